--- a/node/decisionloop.go
+++ b/node/decisionloop.go
@@ -5,16 +5,16 @@
 	"sync"
 	"time"
 
+	"jaspersill/delivery"
 	"jaspersill/door"
 	"jaspersill/logs"
-	"jaspersill/port"
 )
 
 // decisionLoop is the only owner of the module: one goroutine gathers news, calls Round and hands the decisions to
 // those who wait for them. Its indices and the events behind them belong to that goroutine.
 type decisionLoop struct {
 	clock         clock
-	module        port.Decider
+	module        delivery.Scheduler
 	minInterval   int64 // least time between rounds
 	eventsPerCall []int // events in one call, by partner
 	endpoints     *endpoints
@@ -22,7 +22,7 @@
 	peers         *peers
 
 	mu           sync.Mutex
-	pendingInput []func(port.Intake) // what came in since the last round
+	pendingInput []func(delivery.Handler) // what came in since the last round
 	inputReady   chan struct{}
 	stop         chan struct{}
 	done         chan struct{}
@@ -41,13 +41,13 @@
 	newCalls  []*call // opened in this round
 }
 
-func newDecisionLoop(c clock, module port.Decider, tick int64, perCall []int) *decisionLoop {
+func newDecisionLoop(c clock, module delivery.Scheduler, tick int64, perCall []int) *decisionLoop {
 	return &decisionLoop{clock: c, module: module, minInterval: max(tick, 1), eventsPerCall: perCall, inputReady: make(chan struct{}, 1),
 		stop: make(chan struct{}), done: make(chan struct{})}
 }
 
 // enqueue takes a piece of news, which is handed to the module in the next round.
-func (d *decisionLoop) enqueue(news func(port.Intake)) {
+func (d *decisionLoop) enqueue(news func(delivery.Handler)) {
 	d.mu.Lock()
 	d.pendingInput = append(d.pendingInput, news)
 	d.mu.Unlock()
@@ -122,7 +122,7 @@
 }
 
 // Deliver implements port.Feed.
-func (d *decisionLoop) Deliver(to port.Intake) {
+func (d *decisionLoop) Deliver(to delivery.Handler) {
 	d.mu.Lock()
 	news := d.pendingInput
 	d.pendingInput = nil
@@ -138,7 +138,7 @@
 
 // addEvent hands an event in. One that was out before a restart comes with its sends so far.
 func (d *decisionLoop) addEvent(e *event) {
-	d.enqueue(func(to port.Intake) {
+	d.enqueue(func(to delivery.Handler) {
 		if e.index, _ = d.eventIndex.Take(e); int(e.index) == len(d.ended) {
 			d.activeSends, d.ended = append(d.activeSends, nil), append(d.ended, false)
 		}
@@ -153,7 +153,7 @@
 }
 
 // reportPastSends tells of the sends before a restart. Danger: one that was out when the process ended may have run.
-func (d *decisionLoop) reportPastSends(e *event, to port.Intake) {
+func (d *decisionLoop) reportPastSends(e *event, to delivery.Handler) {
 	ranAgo, zone, mayRun := int64(0), 0, false
 	for _, s := range e.pastSends {
 		if !mayRun && s.MayHaveRun() {
@@ -165,8 +165,8 @@
 
 // reportOutcome hands in how a send ended.
 func (d *decisionLoop) reportOutcome(e *event, s *send, r result) {
-	over := r.outcome == port.Acked || r.final
-	d.enqueue(func(to port.Intake) {
+	over := r.outcome == delivery.Acked || r.final
+	d.enqueue(func(to delivery.Handler) {
 		d.activeSends[e.index] = nil
 		d.ended[e.index] = d.ended[e.index] || over
 		if r.confirmation != nil && !over {
@@ -178,13 +178,13 @@
 
 // reportConfirmed tells that the answer to a send, which might have been another call's, was its own.
 func (d *decisionLoop) reportConfirmed(e *event, s *send) {
-	d.enqueue(func(to port.Intake) { to.Confirmed(e.index, s.number) })
+	d.enqueue(func(to delivery.Handler) { to.Confirmed(e.index, s.number) })
 }
 
 // fullRetryAfter asks when one may come back that there is no room for; nothing is told once the desk is closed.
 func (d *decisionLoop) fullRetryAfter() int64 {
 	reply := make(chan int64, 1)
-	d.enqueue(func(port.Intake) { reply <- d.module.Full() })
+	d.enqueue(func(delivery.Handler) { reply <- d.module.RetryAfter() })
 	select {
 	case comeBack := <-reply:
 		return comeBack
@@ -207,7 +207,7 @@
 
 // removeEvent frees the event's index.
 func (d *decisionLoop) removeEvent(e *event) {
-	d.enqueue(func(port.Intake) { d.removed = append(d.removed, e.index) })
+	d.enqueue(func(delivery.Handler) { d.removed = append(d.removed, e.index) })
 }
 
 // Send implements port.Writer, as do the methods below. Sends of a round to one endpoint share a call, while
@@ -243,21 +243,21 @@
 
 func (d *decisionLoop) Cancel(evt int32, number int) {
 	if s := d.activeSends[evt]; s != nil && s.number == number {
-		s.call.giveUp(port.Cancelled)
+		s.call.giveUp(delivery.Cancelled)
 	}
 }
 
-func (d *decisionLoop) Recall(evt int32, number int) {
+func (d *decisionLoop) CancelUnsent(evt int32, number int) {
 	if s := d.activeSends[evt]; s != nil && s.number == number {
 		s.call.recall(s)
 	}
 }
 
-func (d *decisionLoop) Wake(after int64)   { d.wakeAt = d.clock.now() + max(after, 1) }
-func (d *decisionLoop) Watch(on bool)      { d.directory.watch(on) }
-func (d *decisionLoop) CloseIdle(ep int32) { d.endpoints.closeIdle(ep) }
-func (d *decisionLoop) Forget(ep int32)    { d.forgotten = append(d.forgotten, ep) }
-func (d *decisionLoop) TellGood(ep int32)  { d.peers.tellGood(d.endpointIndex.ID(ep)) }
+func (d *decisionLoop) Wake(after int64)         { d.wakeAt = d.clock.now() + max(after, 1) }
+func (d *decisionLoop) Watch(on bool)            { d.directory.watch(on) }
+func (d *decisionLoop) CloseIdle(ep int32)       { d.endpoints.closeIdle(ep) }
+func (d *decisionLoop) Forget(ep int32)          { d.forgotten = append(d.forgotten, ep) }
+func (d *decisionLoop) AnnounceHealthy(ep int32) { d.peers.tellGood(d.endpointIndex.ID(ep)) }
 
 // Probe is never asked for: the module sends none, and the protocol has no call for it.
 func (d *decisionLoop) Probe(ep int32) {
--- a/node/event.go
+++ b/node/event.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
+	"jaspersill/delivery"
 	"jaspersill/lifecycle"
-	"jaspersill/port"
 	"jaspersill/store"
 )
 
@@ -13,7 +13,7 @@
 type event struct {
 	id, idempotencyKey string // mark: what repeats are known by, where its stream type has one
 	typ, customer      int
-	safety             port.Safety
+	safety             delivery.Safety
 	dest               uint32
 	monoDeadline       int64 // on the module's clock
 	wallDeadline       int64 // the same as time of day, which outlasts the process
@@ -74,7 +74,7 @@
 
 // result is how a send ended.
 type result struct {
-	outcome              port.Outcome
+	outcome              delivery.Outcome
 	retryAfter, duration int64
 	final                bool    // the endpoint's side says that the event is over
 	rateFree, rateLimit  float64 // what the answer told of the limit
--- a/node/eventtask.go
+++ b/node/eventtask.go
@@ -4,10 +4,10 @@
 	"errors"
 	"time"
 
+	"jaspersill/delivery"
 	"jaspersill/lifecycle"
 	"jaspersill/logs"
 	"jaspersill/metrics"
-	"jaspersill/port"
 	"jaspersill/store"
 )
 
@@ -175,7 +175,7 @@
 // no attempt follows a delivery, and its notice is held back; a refusal is not recorded, so that a restart, too, takes the
 // attempt for one that may have run.
 func (l *eventTask) handleOutcome(s *send, r result) {
-	over := r.outcome == port.Acked || r.final
+	over := r.outcome == delivery.Acked || r.final
 	switch {
 	case over && r.confirmation != nil:
 		l.completeProvisionally(r.confirmation)
--- a/node/journal.go
+++ b/node/journal.go
@@ -6,9 +6,9 @@
 	"path/filepath"
 	"time"
 
+	"jaspersill/delivery"
 	"jaspersill/errclass"
 	"jaspersill/logs"
-	"jaspersill/port"
 	"jaspersill/store"
 )
 
@@ -149,7 +149,7 @@
 }
 
 // recordOutcome writes how a send recordOutcome.
-func (j *journal) recordOutcome(e *event, number int, how port.Outcome) *store.PendingWrite {
+func (j *journal) recordOutcome(e *event, number int, how delivery.Outcome) *store.PendingWrite {
 	return j.store.RecordOutcome(e.id, e.arrivalSeq, number, how)
 }
 
--- a/node/journal_bench_test.go
+++ b/node/journal_bench_test.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 	"testing"
 
-	"jaspersill/port"
+	"jaspersill/delivery"
 	"jaspersill/store"
 )
 
@@ -48,7 +48,7 @@
 		if err := errors.Join(j.accept(e, "alert", "acme"), j.recordAttempt(e, 0, 5, "zone")); err != nil {
 			return err
 		}
-		j.recordOutcome(e, 0, port.Acked)
+		j.recordOutcome(e, 0, delivery.Acked)
 		j.complete(e)
 		return nil
 	})
--- a/node/journal_test.go
+++ b/node/journal_test.go
@@ -12,7 +12,7 @@
 	"strings"
 	"testing"
 
-	"jaspersill/port"
+	"jaspersill/delivery"
 	"jaspersill/store"
 )
 
@@ -69,8 +69,8 @@
 					t.Fatal(err)
 				}
 			}
-			j.recordOutcome(e, 0, port.Declined)
-			j.recordOutcome(e, 1, port.Reset)
+			j.recordOutcome(e, 0, delivery.Refused)
+			j.recordOutcome(e, 1, delivery.Reset)
 		case 2:
 			e.resolution, e.retryAfter = declined, 500
 			j.recordVerdict(e)
@@ -89,8 +89,8 @@
 		}
 		switch e.id {
 		case "e1":
-			past := []store.Attempt{{StartedAt: 50, Zone: "zone", Ended: true, Outcome: port.Declined},
-				{StartedAt: 60, Zone: "zone", Ended: true, Outcome: port.Reset}, {StartedAt: 70, Zone: "zone"}}
+			past := []store.Attempt{{StartedAt: 50, Zone: "zone", Ended: true, Outcome: delivery.Refused},
+				{StartedAt: 60, Zone: "zone", Ended: true, Outcome: delivery.Reset}, {StartedAt: 70, Zone: "zone"}}
 			if !slices.Equal(e.pastSends, past) || e.sendCount != 3 || string(e.body) != "a\r\n\x00b" {
 				t.Errorf("e1: sends %+v, body %q", e.pastSends, e.body)
 			}
@@ -158,7 +158,7 @@
 				if err := j.recordAttempt(last, n, 1<<60, "a-zone-of-some-length"); err != nil {
 					t.Fatal(err)
 				}
-				j.recordOutcome(last, n, port.Declined)
+				j.recordOutcome(last, n, delivery.Refused)
 			}
 			if used := folderSize(t, folder); used > int64(limit*1e6) {
 				t.Fatalf("%d bytes on disk", used)
@@ -187,15 +187,15 @@
 	if err := j.accept(e, "alert", "acme"); err != nil {
 		t.Fatal(err)
 	}
-	j.recordOutcome(e, 0, port.Unsent) // given up before it began
+	j.recordOutcome(e, 0, delivery.Unsent) // given up before it began
 	_ = j.recordAttempt(e, 1, 50, "zone")
-	j.recordOutcome(e, 1, port.Declined)
+	j.recordOutcome(e, 1, delivery.Refused)
 	for range 2 {
 		j.close()
 		var owed []*event
 		j, owed = reopenJournal(t, folder, 3)
-		want := []store.Attempt{{StartedAt: 50, Zone: "zone", Ended: true, Outcome: port.Unsent},
-			{StartedAt: 50, Zone: "zone", Ended: true, Outcome: port.Declined}}
+		want := []store.Attempt{{StartedAt: 50, Zone: "zone", Ended: true, Outcome: delivery.Unsent},
+			{StartedAt: 50, Zone: "zone", Ended: true, Outcome: delivery.Refused}}
 		if !slices.Equal(owed[0].pastSends, want) {
 			t.Errorf("sends %+v", owed[0].pastSends)
 		}
@@ -221,7 +221,7 @@
 	if err := j.accept(second, "alert", "acme"); err != nil {
 		t.Errorf("a later one of its id: %v", err)
 	}
-	j.recordOutcome(first, 0, port.Acked)
+	j.recordOutcome(first, 0, delivery.Acked)
 	j.complete(first)
 	if err := j.recordAttempt(first, 1, 60, "zone"); !errors.Is(err, errNotPending) {
 		t.Errorf("a send of the former began: %v", err)
@@ -262,9 +262,9 @@
 		legacyRecord(legacyCompleted, "e0"),
 		legacyRecord(legacyAccepted, "e1", "alert", "acme", 7, 1<<60, "m", "a\r\n\x00b"),
 		legacyRecord(legacyAttemptStarted, "e1", byte(0), 50, "zone"),
-		legacyRecord(legacyAttemptEnded, "e1", byte(0), byte(port.Declined)),
+		legacyRecord(legacyAttemptEnded, "e1", byte(0), byte(delivery.Refused)),
 		legacyRecord(legacyAttemptStarted, "e1", byte(1), 60, "zone"),
-		legacyRecord(legacyAttemptEnded, "e1", byte(1), byte(port.Reset)),
+		legacyRecord(legacyAttemptEnded, "e1", byte(1), byte(delivery.Reset)),
 		legacyRecord(legacyAttemptStarted, "e1", byte(2), 70, "zone"),
 		legacyRecord(
 			legacyAccepted,
--- a/node/legacy_journal.go
+++ b/node/legacy_journal.go
@@ -10,8 +10,8 @@
 	"strconv"
 	"time"
 
+	"jaspersill/delivery"
 	"jaspersill/errclass"
-	"jaspersill/port"
 	"jaspersill/store"
 )
 
@@ -19,7 +19,7 @@
 // records, each its payload's length and checksum, then the payload. Long bodies have files of their own. It
 // is read once, and removed when all that it owed stands in the store.
 type legacyJournal struct {
-	name  string
+	name     string
 	pending  map[string]*legacyEvent
 	accepted []*legacyEvent // as taken on
 }
@@ -27,7 +27,7 @@
 // legacyEvent is one event that the file has.
 type legacyEvent struct {
 	store.Event
-	bodyFile int64 // number of its body's own file, 0 for none
+	bodyFile  int64 // number of its body's own file, 0 for none
 	completed bool
 }
 
@@ -41,11 +41,11 @@
 )
 
 const (
-	legacyFrameSize  = 8
-	legacyMaxPayload = 1 << 20   // bytes; a longer one is no record
-	legacyName   = "journal" // in the folder
-	legacyRewriteSuffix   = ".written"
-	legacyBodyInfix   = ".body-" // behind the name, then the number
+	legacyFrameSize     = 8
+	legacyMaxPayload    = 1 << 20   // bytes; a longer one is no record
+	legacyName          = "journal" // in the folder
+	legacyRewriteSuffix = ".written"
+	legacyBodyInfix     = ".body-" // behind the name, then the number
 )
 
 var (
@@ -54,8 +54,8 @@
 )
 
 const (
-	legacyRetryTimeout = 5 * time.Second // for a step of the carrying over that fails for a moment
-	legacyRetryInterval  = 20 * time.Millisecond
+	legacyRetryTimeout  = 5 * time.Second // for a step of the carrying over that fails for a moment
+	legacyRetryInterval = 20 * time.Millisecond
 )
 
 // readLegacyJournal reads a folder's old file; nil for none. damaged hears where a record is.
@@ -175,7 +175,7 @@
 			o.BeginAttempt(number, s)
 		}
 	case legacyAttemptEnded:
-		number, how := int(f.Byte()), port.Outcome(f.Byte())
+		number, how := int(f.Byte()), delivery.Outcome(f.Byte())
 		if f.Invalid() {
 			return false
 		}
--- a/node/node.go
+++ b/node/node.go
@@ -8,8 +8,8 @@
 	"sync/atomic"
 	"time"
 
+	"jaspersill/delivery"
 	"jaspersill/lifecycle"
-	"jaspersill/port"
 	"jaspersill/start"
 	"jaspersill/store"
 )
@@ -57,7 +57,7 @@
 	maxEvents       int64        // events held at most
 	typeNames       []string
 	customerNames   []string
-	types           []port.StreamType
+	types           []delivery.StreamType
 
 	drainTimes atomic.Pointer[drainTimes]
 	restored   []*event // from before a restart
@@ -71,13 +71,13 @@
 }
 
 // Open opens the journal and the sockets of a delivery node; Run starts it.
-func Open(at Config, most Limits, times ClientTimeouts, s start.Start, module port.Decider) (*Node, error) {
+func Open(at Config, most Limits, times ClientTimeouts, s start.Start, module delivery.Scheduler) (*Node, error) {
 	if at.machine == nil {
 		m := thisMachine()
 		at.machine = &m
 	}
 	c := startClock(at.StateFolder, *at.machine)
-	n := &Node{clock: c, maxEvents: int64(s.Room.Events), types: s.Types, typeNames: s.TypeNames,
+	n := &Node{clock: c, maxEvents: int64(s.Room.MaxEvents), types: s.Types, typeNames: s.TypeNames,
 		customerNames: s.CustomerNames}
 	n.SetDrainTimes(drainCloseIdle, drainStopDeciding, drainExit)
 	n.setPhase(Starting)
@@ -85,7 +85,7 @@
 	if at.disk == nil {
 		at.disk = store.Dir(at.StateFolder)
 	}
-	if n.journal, n.restored, err = openJournal(at.StateFolder, at.disk, c.day, most.DiskMB, s.Room.Sends, n.resolveNames); err != nil {
+	if n.journal, n.restored, err = openJournal(at.StateFolder, at.disk, c.day, most.DiskMB, s.Room.MaxAttempts, n.resolveNames); err != nil {
 		return nil, err
 	}
 	sockets := most.Sockets
@@ -97,7 +97,7 @@
 	idle := sockets / endpointIdleDivisor
 	var perCall []int
 	for _, p := range s.Partners {
-		perCall = append(perCall, p.PerCall)
+		perCall = append(perCall, p.MaxEventsPerCall)
 	}
 	n.decisions = newDecisionLoop(c, module, s.Tick, append(perCall, 1))
 	n.endpoints = &endpoints{clock: c, journal: n.journal, dial: dialer(s.ConnectWithin),
@@ -107,7 +107,7 @@
 		partners: s.PartnerNames, zones: s.ZoneNames, rated: s.Rated,
 		answers: failureLog{part: "directory", operation: "watching the list"}}
 	n.notices = openNotices(at.Directory)
-	if n.peers, err = openPeers(at.PeerListen, at.PeersAll, at.Peers, s.Fleet.Me, n.decisions, c.day()); err != nil {
+	if n.peers, err = openPeers(at.PeerListen, at.PeersAll, at.Peers, s.Fleet.Self, n.decisions, c.day()); err != nil {
 		n.journal.close()
 		return nil, err
 	}
@@ -119,7 +119,7 @@
 		}
 	}
 	if err == nil {
-		n.clients, err = openClients(n, at.Listen, times, max(minClients, sockets-idle-s.Room.Slots), keep)
+		n.clients, err = openClients(n, at.Listen, times, max(minClients, sockets-idle-s.Room.MaxConcurrentCalls), keep)
 	}
 	if err != nil {
 		n.peers.close()
@@ -201,17 +201,19 @@
 }
 
 // safetyOf is what repeating an event of a stream type may do. Of a type that is not known any more, nothing was forbidden.
-func (n *Node) safetyOf(typ int) port.Safety {
+func (n *Node) safetyOf(typ int) delivery.Safety {
 	if typ >= len(n.types) {
-		return port.Idempotent
+		return delivery.Idempotent
 	}
 	return n.types[typ].Safety
 }
 
 // repeatable tells whether an event of a stream type may be sent again after an attempt that may have run.
 func (n *Node) repeatable(typ int) bool {
-	return n.safetyOf(typ) != port.NonIdempotent
+	return n.safetyOf(typ) != delivery.NonIdempotent
 }
 
 // requiresIdempotencyKey tells whether events of a stream type carry a mark.
-func (n *Node) requiresIdempotencyKey(typ int) bool { return n.types[typ].Safety == port.Deduplicated }
+func (n *Node) requiresIdempotencyKey(typ int) bool {
+	return n.types[typ].Safety == delivery.Deduplicated
+}
--- a/store/record.go
+++ b/store/record.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"hash/crc32"
 
-	"jaspersill/port"
+	"jaspersill/delivery"
 )
 
 // kind is what a record says.
@@ -167,16 +167,16 @@
 // Invalid tells whether something was read that is not there.
 func (f *Decoder) Invalid() bool { return f.bad }
 
-type outcome = port.Outcome
+type outcome = delivery.Outcome
 
-const unsent = port.Unsent
+const unsent = delivery.Unsent
 
 // Attempt is one send of an event as the store has it.
 type Attempt struct {
 	StartedAt int64 // time of day in ns
 	Zone      string
 	Ended     bool
-	Outcome   port.Outcome
+	Outcome   delivery.Outcome
 }
 
 // MayHaveRun tells whether the send may have taken effect, for all that is known.
@@ -218,7 +218,7 @@
 // have run.
 func (e *Event) BeginAttempt(number int, s Attempt) {
 	for len(e.Attempts) < number {
-		e.Attempts = append(e.Attempts, Attempt{StartedAt: s.StartedAt, Zone: s.Zone, Ended: true, Outcome: port.Unsent})
+		e.Attempts = append(e.Attempts, Attempt{StartedAt: s.StartedAt, Zone: s.Zone, Ended: true, Outcome: delivery.Unsent})
 	}
 	switch {
 	case len(e.Attempts) == number:
@@ -267,7 +267,7 @@
 	}
 	for range n {
 		s := Attempt{StartedAt: f.number(), Zone: f.text()}
-		s.Ended, s.Outcome = f.byte() == 1, port.Outcome(f.byte())
+		s.Ended, s.Outcome = f.byte() == 1, delivery.Outcome(f.byte())
 		e.Attempts = append(e.Attempts, s)
 	}
 	e.Body = f.bytes()
