--- a/node/decisionloop.go
+++ b/node/decisionloop.go
@@ -17,7 +17,7 @@
 	module        delivery.Scheduler
 	minInterval   int64 // least time between rounds
 	eventsPerCall []int // events in one call, by partner
-	endpoints     *endpoints
+	endpoints     *endpointPool
 	directory     *directory
 	peers         *peers
 
@@ -28,7 +28,7 @@
 	done         chan struct{}
 
 	eventIndex    door.Table[*event]
-	activeSends   []*send // the send that is out, by event
+	activeSends   []*attempt // the send that is out, by event
 	destIndex     door.Table[uint32]
 	endpointIndex door.Table[string]
 	partnerOf     []int   // by endpoint
@@ -101,14 +101,14 @@
 		}
 	}
 	for _, c := range d.newCalls {
-		for _, s := range c.sends {
+		for _, s := range c.attempts {
 			s.event.updates <- eventUpdate{kind: updateSendStarted, send: s}
 		}
-		d.endpoints.callBegins(c.endpoint)
-		go d.endpoints.carry(c)
+		d.endpoints.callStarted(c.endpoint)
+		go d.endpoints.execute(c)
 	}
 	d.forgotten = slices.DeleteFunc(d.forgotten, func(ep int32) bool {
-		free := d.endpoints.free(ep)
+		free := d.endpoints.release(ep)
 		if free {
 			d.endpointIndex.Release(ep)
 		}
@@ -164,7 +164,7 @@
 }
 
 // reportOutcome hands in how a send ended.
-func (d *decisionLoop) reportOutcome(e *event, s *send, r result) {
+func (d *decisionLoop) reportOutcome(e *event, s *attempt, r result) {
 	over := r.outcome == delivery.Acked || r.final
 	d.enqueue(func(to delivery.Handler) {
 		d.activeSends[e.index] = nil
@@ -177,7 +177,7 @@
 }
 
 // reportConfirmed tells that the answer to a send, which might have been another call's, was its own.
-func (d *decisionLoop) reportConfirmed(e *event, s *send) {
+func (d *decisionLoop) reportConfirmed(e *event, s *attempt) {
 	d.enqueue(func(to delivery.Handler) { to.Confirmed(e.index, s.number) })
 }
 
@@ -214,17 +214,17 @@
 // their bodies fit into one.
 func (d *decisionLoop) Send(evt, ep int32, timeout int64) {
 	e := d.eventIndex.ID(evt)
-	s := &send{event: e, number: e.sendCount, endpoint: ep, timeout: timeout, began: d.clock.now()}
+	s := &attempt{event: e, number: e.sendCount, endpoint: ep, timeout: timeout, startedAt: d.clock.now()}
 	e.sendCount++
 	d.activeSends[evt] = s
 	most := d.eventsPerCall[min(d.partnerOf[ep], len(d.eventsPerCall)-1)]
 	for _, c := range d.newCalls {
-		if c.endpoint == ep && len(c.sends) < most && c.size+bulkSize(e) <= mostBody {
-			s.call, c.sends, c.size = c, append(c.sends, s), c.size+bulkSize(e)
+		if c.endpoint == ep && len(c.attempts) < most && c.bodySize+bulkSize(e) <= mostBody {
+			s.call, c.attempts, c.bodySize = c, append(c.attempts, s), c.bodySize+bulkSize(e)
 			return
 		}
 	}
-	s.call = &call{of: d.endpoints, endpoint: ep, sends: []*send{s}, size: bulkSize(e)}
+	s.call = &call{pool: d.endpoints, endpoint: ep, attempts: []*attempt{s}, bodySize: bulkSize(e)}
 	d.newCalls = append(d.newCalls, s.call)
 }
 
@@ -243,7 +243,7 @@
 
 func (d *decisionLoop) Cancel(evt int32, number int) {
 	if s := d.activeSends[evt]; s != nil && s.number == number {
-		s.call.giveUp(delivery.Cancelled)
+		s.call.abandon(delivery.Cancelled)
 	}
 }
 
--- a/node/event.go
+++ b/node/event.go
@@ -52,9 +52,9 @@
 // eventUpdate is one thing that happens to an event.
 type eventUpdate struct {
 	kind       updateKind
-	send       *send  // begun, outcome
-	result     result // outcome
-	retryAfter int64  // decline
+	send       *attempt // begun, outcome
+	result     result   // outcome
+	retryAfter int64    // decline
 }
 
 type updateKind uint8
--- a/node/eventtask.go
+++ b/node/eventtask.go
@@ -108,7 +108,7 @@
 	l.release()
 	l.request.DecideEnd()
 	l.request.ReportEnd(l.node.clock.now(), true)
-	l.node.notices.post(l.newNotice())
+	l.node.notices.enqueue(l.newNotice())
 	<-l.updates
 	l.node.journal.complete(l.event)
 }
@@ -174,7 +174,7 @@
 // handleOutcome takes in how an attempt ended. Where its answer may be another call's, only what is safe both ways is done:
 // no attempt follows a delivery, and its notice is held back; a refusal is not recorded, so that a restart, too, takes the
 // attempt for one that may have run.
-func (l *eventTask) handleOutcome(s *send, r result) {
+func (l *eventTask) handleOutcome(s *attempt, r result) {
 	over := r.outcome == delivery.Acked || r.final
 	switch {
 	case over && r.confirmation != nil:
@@ -205,7 +205,7 @@
 	if !l.request.EndProvisionally() {
 		return
 	}
-	end := &provisionalEnd{node: l.node, id: l.id, came: l.arrivalSeq, due: l.monoDeadline, request: l.request,
+	end := &provisionalCompletion{node: l.node, id: l.id, came: l.arrivalSeq, due: l.monoDeadline, request: l.request,
 		record: l.node.journal.recordVerdictAndTrim(l.event, discarded)}
 	c.whenSettled(end.settle)
 }
@@ -226,7 +226,7 @@
 // newNotice is the newNotice of the event's end; its life hears when the platform has it.
 func (l *eventTask) newNotice() notice {
 	e := l.event
-	return notice{id: e.id, verdict: e.resolution, after: e.retryAfter, told: func() { e.updates <- eventUpdate{kind: updateNoticeAcknowledged} }}
+	return notice{id: e.id, verdict: e.resolution, retryAfter: e.retryAfter, onAcknowledged: func() { e.updates <- eventUpdate{kind: updateNoticeAcknowledged} }}
 }
 
 // endUndelivered ends an event that is not delivered. Where its client still waits, a refusal is all it needs to hear; else
@@ -268,7 +268,7 @@
 	}
 	l.pending.written, l.pending.clientTimeout = nil, nil
 	if !l.pending.toClient {
-		l.node.notices.post(l.newNotice())
+		l.node.notices.enqueue(l.newNotice())
 		return
 	}
 	recordRefusal(l.id, refusedByPolicy)
--- a/node/journal.go
+++ b/node/journal.go
@@ -169,7 +169,7 @@
 // completeByID is over for an event that is known by its id and its place in the order of coming. One that comes again under
 // its id is known for a while, also to the next process.
 func (j *journal) completeByID(id string, came uint64) *store.PendingWrite {
-	return j.store.Complete(id, came, j.wallClock()+int64(endedFor))
+	return j.store.Complete(id, came, j.wallClock()+int64(completedIDRetention))
 }
 
 // pendingCount counts the events that are pendingCount an end.
--- a/node/node.go
+++ b/node/node.go
@@ -63,9 +63,9 @@
 	restored   []*event // from before a restart
 	journal    *journal
 	decisions  *decisionLoop
-	endpoints  *endpoints
+	endpoints  *endpointPool
 	directory  *directory
-	notices    *notices
+	notices    *noticeSender
 	peers      *peers
 	clients    *clients
 }
@@ -100,13 +100,13 @@
 		perCall = append(perCall, p.MaxEventsPerCall)
 	}
 	n.decisions = newDecisionLoop(c, module, s.Tick, append(perCall, 1))
-	n.endpoints = &endpoints{clock: c, journal: n.journal, dial: dialer(s.ConnectWithin),
-		idleFor: s.IdleFor, mostIdle: idle}
+	n.endpoints = &endpointPool{clock: c, journal: n.journal, dial: newDialer(s.ConnectWithin),
+		idleTimeout: s.IdleFor, maxIdle: idle}
 	n.directory = &directory{address: at.Directory, open: make(map[*watch]struct{}),
 		dests: make(map[uint32]struct{}), desk: n.decisions, endpoints: n.endpoints,
 		partners: s.PartnerNames, zones: s.ZoneNames, rated: s.Rated,
 		answers: failureLog{part: "directory", operation: "watching the list"}}
-	n.notices = openNotices(at.Directory)
+	n.notices = newNoticeSender(at.Directory)
 	if n.peers, err = openPeers(at.PeerListen, at.PeersAll, at.Peers, s.Fleet.Self, n.decisions, c.day()); err != nil {
 		n.journal.close()
 		return nil, err
@@ -140,12 +140,12 @@
 func (n *Node) SetDirectorySilence(most time.Duration) { n.directory.silence.Store(int64(most)) }
 
 // SetNoticeTimes sets how long the platform has to answer a notice, and when one that failed is told again.
-func (n *Node) SetNoticeTimes(within, again time.Duration) { n.notices.times(within, again) }
+func (n *Node) SetNoticeTimes(within, again time.Duration) { n.notices.setTimeouts(within, again) }
 
 // SetDirectoryAddress tells that the directory, which takes the notices too, is at another address from now on.
 func (n *Node) SetDirectoryAddress(directory string) {
 	n.directory.move(directory)
-	n.notices.move(directory)
+	n.notices.setAddress(directory)
 }
 
 // restoreEvents hands in what is owed from before the restart.
--- a/node/phases.go
+++ b/node/phases.go
@@ -55,7 +55,7 @@
 	n.setPhase(Restoring)
 	go n.peers.hear()
 	go n.notices.run(stop)
-	go n.endpoints.sweep(stop)
+	go n.endpoints.sweepIdle(stop)
 	n.restoreEvents()
 	go n.decisions.run()
 	defer n.journal.close()
@@ -80,7 +80,7 @@
 	n.waitUntil(begin.Add(drain.stopDeciding), n.nothingOwed) // what was admitted just before
 	n.decisions.close()
 	n.waitUntil(begin.Add(drain.exit-drainNoticeReserve), n.confirmationsSettled)
-	n.endpoints.settleRested(true)
+	n.endpoints.settleIdle(true)
 	n.waitUntil(begin.Add(drain.exit), n.quiesced)
 	n.clients.listener.Close()
 	n.clients.listener.dismiss()
@@ -99,17 +99,17 @@
 
 // nothingOwed tells whether nothing is owed, nor about to be, but for ends that wait to be confirmed.
 func (n *Node) nothingOwed() bool {
-	return n.activeEvents.Load() == 0 && n.journal.pendingCount() <= n.endpoints.unsettled() && n.journal.allWritten()
+	return n.activeEvents.Load() == 0 && n.journal.pendingCount() <= n.endpoints.unconfirmedCount() && n.journal.allWritten()
 }
 
 // confirmationsSettled tells whether no end waits to be confirmed, and none can come that would have to.
 func (n *Node) confirmationsSettled() bool {
-	n.endpoints.settleRested(false)
-	return n.endpoints.unsettled() == 0 && (n.endpoints.out.Load() == 0 || n.nothingOwed())
+	n.endpoints.settleIdle(false)
+	return n.endpoints.unconfirmedCount() == 0 && (n.endpoints.activeCalls.Load() == 0 || n.nothingOwed())
 }
 
 // quiesced tells whether nothing is left that ends by itself: no attempt is out, every end that is decided is told and
 // written. What is owed beyond that waits for the next start.
 func (n *Node) quiesced() bool {
-	return n.nothingOwed() || (n.endpoints.out.Load() == 0 && n.unreportedEnds.Load() == 0 && n.journal.allWritten())
+	return n.nothingOwed() || (n.endpoints.activeCalls.Load() == 0 && n.unreportedEnds.Load() == 0 && n.journal.allWritten())
 }
