--- a/node/call.go
+++ b/node/call.go
@@ -20,30 +20,30 @@
 
 // attempt is one attempt of one event.
 type attempt struct {
-	event    *event
-	number   int
-	endpoint int32
-	startedAt    int64
-	timeout  int64
-	call     *call
-	recalled bool // while its record was being written
+	event     *event
+	number    int
+	endpoint  int32
+	startedAt int64
+	timeout   int64
+	call      *call
+	recalled  bool // while its record was being written
 }
 
 // call is one exchange with an endpoint, of one send or of several. It ends once, for all of them.
 type call struct {
-	pool       *endpointPool
+	pool     *endpointPool
 	endpoint int32
-	attempts    []*attempt
-	bodySize     int // bytes of its body, if it has several
-
-	mu     sync.Mutex
-	cancelDial  context.CancelFunc // while connecting
-	conn   *endpointConn
-	progress  writeProgress
-	ended  bool
-	abandoned bool             // while its records or its bytes are being written: the writer ends it
-	abandonOutcome    delivery.Outcome // when given up
-	sentAt int64            // its first byte
+	attempts []*attempt
+	bodySize int // bytes of its body, if it has several
+
+	mu             sync.Mutex
+	cancelDial     context.CancelFunc // while connecting
+	conn           *endpointConn
+	progress       writeProgress
+	ended          bool
+	abandoned      bool             // while its records or its bytes are being written: the writer ends it
+	abandonOutcome delivery.Outcome // when given up
+	sentAt         int64            // its first byte
 
 	timeoutExtended bool        // it timed out while its answer came, and has the time that the rest of one may take
 	localFailure    atomic.Bool // connecting fails for a reason of this machine
@@ -54,9 +54,9 @@
 
 const (
 	progressNone      writeProgress = iota // connecting
-	progressRecording                 // the records of its attempts are being written
-	progressWriting                      // being written: the writer will know
-	progressWritten                       // its last byte has gone, or may have
+	progressRecording                      // the records of its attempts are being written
+	progressWriting                        // being written: the writer will know
+	progressWritten                        // its last byte has gone, or may have
 )
 
 const (
@@ -141,7 +141,7 @@
 	case err == nil:
 		reason = closeGivenUp
 	case errors.Is(err, errEarlyAnswer): // to no call: an endpoint begins one when its last byte has come
-		reason, wait = closeUnread, conn.reader.read(c.attempts).results[0].retryAfter
+		reason, wait = closeUnread, conn.reader.readResponse(c.attempts).results[0].retryAfter
 	}
 	c.pool.closeConn(conn, reason)
 	switch {
@@ -158,7 +158,7 @@
 func (c *call) readResponse(conn *endpointConn) {
 	dest := c.attempts[0].event.dest
 	conn.onStall = func(on bool) { c.pool.setStalled(dest, on) }
-	answer := conn.reader.read(c.attempts)
+	answer := conn.reader.readResponse(c.attempts)
 	again := conn.responses.SawNotRun() && answer.identity.NotRun
 	attribution := conn.attribute(answer)
 	switch {
@@ -182,7 +182,7 @@
 
 // trackResponse has the outcomes followed that it would do harm to act on if the answer is another call's: those that end
 // their event, and those that say that an event never ran which must not run twice.
-func (c *call) trackResponse(conn *endpointConn, answer reply) {
+func (c *call) trackResponse(conn *endpointConn, answer callResponse) {
 	for i := range answer.results {
 		r := &answer.results[i] // of several sends, an answer that says the same of all has one for each
 		over := r.outcome == delivery.Acked || r.final
@@ -252,7 +252,7 @@
 		return false
 	}
 	for {
-		err := c.pool.journal.recordAttempt(s.event, s.number, c.pool.clock.day(), c.pool.site(c.endpoint))
+		err := c.pool.journal.recordAttempt(s.event, s.number, c.pool.clock.timeOfDay(), c.pool.site(c.endpoint))
 		if err == nil {
 			return true
 		}
@@ -372,7 +372,7 @@
 	}
 	if how == delivery.TimedOut && c.progress == progressWritten && !c.timeoutExtended && c.conn.answerStarted() { // its answer has begun to come
 		c.timeoutExtended = true
-		time.AfterFunc(restWithin, func() { c.abandon(delivery.TimedOut) })
+		time.AfterFunc(responseReadTimeout, func() { c.abandon(delivery.TimedOut) })
 		return
 	}
 	c.abandoned, c.abandonOutcome = true, how
--- a/node/call_test.go
+++ b/node/call_test.go
@@ -20,17 +20,17 @@
 )
 
 const (
-	ms   = int64(1e6)
+	ms          = int64(1e6)
 	testTimeout = 20 * time.Second // for what must happen: far longer than it takes anywhere
 )
 
 // testEndpoint is an endpoint of the tests: each call it reads goes to act, which answers it or breaks off.
 type testEndpoint struct {
 	net.Listener
-	mu    sync.Mutex
+	mu             sync.Mutex
 	requestHeaders []string // of the calls that came
-	connCount int
-	disconnected chan struct{} // a connection was closed by the other side
+	connCount      int
+	disconnected   chan struct{} // a connection was closed by the other side
 }
 
 func newTestEndpoint(t *testing.T, act func(conn net.Conn, body string) bool) *testEndpoint {
@@ -279,7 +279,7 @@
 		c.attempts = append(c.attempts, s)
 	}
 	go p.execute(c)
-	(&world{t: t}).until("it is being written", func() bool {
+	(&testEnv{t: t}).waitFor("it is being written", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return c.progress == progressWriting
--- a/node/decisionloop.go
+++ b/node/decisionloop.go
@@ -19,7 +19,7 @@
 	eventsPerCall []int // events in one call, by partner
 	endpoints     *endpointPool
 	directory     *directory
-	peers         *peers
+	peers         *peerMessenger
 
 	mu           sync.Mutex
 	pendingInput []func(delivery.Handler) // what came in since the last round
@@ -157,7 +157,7 @@
 	ranAgo, zone, mayRun := int64(0), 0, false
 	for _, s := range e.pastSends {
 		if !mayRun && s.MayHaveRun() {
-			mayRun, ranAgo, zone = true, max(0, d.clock.day()-s.StartedAt), d.directory.zone(s.Zone)
+			mayRun, ranAgo, zone = true, max(0, d.clock.timeOfDay()-s.StartedAt), d.directory.zoneIndex(s.Zone)
 		}
 	}
 	to.Resumed(e.index, len(e.pastSends), mayRun, ranAgo, zone)
@@ -219,7 +219,7 @@
 	d.activeSends[evt] = s
 	most := d.eventsPerCall[min(d.partnerOf[ep], len(d.eventsPerCall)-1)]
 	for _, c := range d.newCalls {
-		if c.endpoint == ep && len(c.attempts) < most && c.bodySize+bulkSize(e) <= mostBody {
+		if c.endpoint == ep && len(c.attempts) < most && c.bodySize+bulkSize(e) <= maxBodyBytes {
 			s.call, c.attempts, c.bodySize = c, append(c.attempts, s), c.bodySize+bulkSize(e)
 			return
 		}
@@ -254,10 +254,10 @@
 }
 
 func (d *decisionLoop) Wake(after int64)         { d.wakeAt = d.clock.now() + max(after, 1) }
-func (d *decisionLoop) Watch(on bool)            { d.directory.watch(on) }
+func (d *decisionLoop) Watch(on bool)            { d.directory.setWatching(on) }
 func (d *decisionLoop) CloseIdle(ep int32)       { d.endpoints.closeIdle(ep) }
 func (d *decisionLoop) Forget(ep int32)          { d.forgotten = append(d.forgotten, ep) }
-func (d *decisionLoop) AnnounceHealthy(ep int32) { d.peers.tellGood(d.endpointIndex.ID(ep)) }
+func (d *decisionLoop) AnnounceHealthy(ep int32) { d.peers.sendGood(d.endpointIndex.ID(ep)) }
 
 // Probe is never asked for: the module sends none, and the protocol has no call for it.
 func (d *decisionLoop) Probe(ep int32) {
--- a/node/endpointconn.go
+++ b/node/endpointconn.go
@@ -54,7 +54,7 @@
 	*retryConn
 	id         uint64
 	endpoint   int32
-	reader     *replyReader
+	reader     *responseReader
 	address    string // the address it goes to
 	lastUsedAt int64  // when its last call ended
 	callCount  int
@@ -68,7 +68,7 @@
 
 func newEndpointConn(conn *retryConn, endpoint int32, address string) *endpointConn {
 	connectionsOpened.Add()
-	return &endpointConn{retryConn: conn, id: newConnectionID(), endpoint: endpoint, reader: newReplyReader(conn), address: address}
+	return &endpointConn{retryConn: conn, id: newConnectionID(), endpoint: endpoint, reader: newResponseReader(conn), address: address}
 }
 
 // countCall notes a call on the connection.
@@ -82,9 +82,9 @@
 }
 
 // attribute tells how sure it is that an answer is the newest call's. One that could not be read decides nothing.
-func (c *endpointConn) attribute(answer reply) lifecycle.Attribution {
+func (c *endpointConn) attribute(answer callResponse) lifecycle.Attribution {
 	switch {
-	case answer.cut:
+	case answer.truncated:
 		return c.responses.ObserveTruncated()
 	case answer.identity.Digest == 0:
 		return lifecycle.Certain
--- a/node/inspect.go
+++ b/node/journalreport.go
@@ -9,24 +9,24 @@
 	"jaspersill/store"
 )
 
-// Owed is one event that a folder still owes an end.
-type Owed struct {
-	ID, Kind, Owner, Mark string
+// PendingEvent is one event that a folder still owes an end.
+type PendingEvent struct {
+	ID, Kind, Owner, IdempotencyKey string
 	Dest                  uint32
 	Deadline              time.Time
-	Sends                 int
+	Attempts                 int
 	MayHaveRun            bool   // a send is out, or ended without telling
 	Verdict               string // open, declined or discarded
-	Body                  int    // bytes
+	BodyBytes                  int    // bytes
 }
 
-// Report is what a folder holds. Reading it changes nothing.
-type Report struct {
-	Owed    []Owed
-	Size    int64    // bytes of the files
+// JournalReport is what a folder holds. Reading it changes nothing.
+type JournalReport struct {
+	Pending    []PendingEvent
+	SizeBytes    int64    // bytes of the files
 	Records int      // that could be read
-	Torn    int      // bytes at the end that were cut off
-	Lost    bool     // records are missing, so that what stood before them counts as possibly run
+	TruncatedBytes    int      // bytes at the end that were cut off
+	RecordsMissing    bool     // records are missing, so that what stood before them counts as possibly run
 	Faults  []string // file, offset and reason of what is damaged, missing or foreign
 }
 
@@ -34,7 +34,7 @@
 
 // ReadJournal reads what a folder holds, of a node that runs or not, in the form of this version or the one
 // before. Damage is told in the report; the error is for a folder that cannot be read or holds nothing.
-func ReadJournal(folder string) (*Report, error) {
+func ReadJournal(folder string) (*JournalReport, error) {
 	if !hasJournal(folder) {
 		return nil, fmt.Errorf("%s: nothing that a node owes: %w", folder, fs.ErrNotExist)
 	}
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Report{Size: found.Size, Records: found.Records, Torn: found.TornBytes, Lost: found.RecordsLost}
+	r := &JournalReport{SizeBytes: found.Size, Records: found.Records, TruncatedBytes: found.TornBytes, RecordsMissing: found.RecordsLost}
 	for _, fault := range found.Faults {
 		r.Faults = append(r.Faults, filepath.Join(folder, fault))
 	}
@@ -63,9 +63,9 @@
 		}
 	}
 	for _, e := range list {
-		r.Owed = append(r.Owed, Owed{ID: e.ID, Kind: e.Kind, Owner: e.Owner, Mark: e.IdempotencyKey, Dest: e.Dest,
-			Deadline: time.Unix(0, e.Deadline), Sends: len(e.Attempts), Verdict: resolution(e.Verdict).String(),
-			Body: len(e.Body), MayHaveRun: e.MayHaveRun()})
+		r.Pending = append(r.Pending, PendingEvent{ID: e.ID, Kind: e.Kind, Owner: e.Owner, IdempotencyKey: e.IdempotencyKey, Dest: e.Dest,
+			Deadline: time.Unix(0, e.Deadline), Attempts: len(e.Attempts), Verdict: resolution(e.Verdict).String(),
+			BodyBytes: len(e.Body), MayHaveRun: e.MayHaveRun()})
 	}
 	return r, nil
 }
--- a/node/node.go
+++ b/node/node.go
@@ -21,8 +21,8 @@
 	Peers                          []string
 	KnownEndpoints                 []byte // the list of endpoints as it was last had
 
-	disk    store.FS // tests put one that fails in place of Folder
-	machine *machine // and one whose wall clock steps in place of this one
+	disk    store.FS    // tests put one that fails in place of Folder
+	machine *timeSource // and one whose wall clock steps in place of this one
 }
 
 // ClientTimeouts is how long clients' connections may take; 0 for the usual time.
@@ -66,17 +66,17 @@
 	endpoints  *endpointPool
 	directory  *directory
 	notices    *noticeSender
-	peers      *peers
-	clients    *clients
+	peers      *peerMessenger
+	clients    *clientServer
 }
 
 // Open opens the journal and the sockets of a delivery node; Run starts it.
 func Open(at Config, most Limits, times ClientTimeouts, s start.Start, module delivery.Scheduler) (*Node, error) {
 	if at.machine == nil {
-		m := thisMachine()
+		m := systemTimeSource()
 		at.machine = &m
 	}
-	c := startClock(at.StateFolder, *at.machine)
+	c := newClock(at.StateFolder, *at.machine)
 	n := &Node{clock: c, maxEvents: int64(s.Room.MaxEvents), types: s.Types, typeNames: s.TypeNames,
 		customerNames: s.CustomerNames}
 	n.SetDrainTimes(drainCloseIdle, drainStopDeciding, drainExit)
@@ -85,7 +85,7 @@
 	if at.disk == nil {
 		at.disk = store.Dir(at.StateFolder)
 	}
-	if n.journal, n.restored, err = openJournal(at.StateFolder, at.disk, c.day, most.DiskMB, s.Room.MaxAttempts, n.resolveNames); err != nil {
+	if n.journal, n.restored, err = openJournal(at.StateFolder, at.disk, c.timeOfDay, most.DiskMB, s.Room.MaxAttempts, n.resolveNames); err != nil {
 		return nil, err
 	}
 	sockets := most.Sockets
@@ -102,24 +102,24 @@
 	n.decisions = newDecisionLoop(c, module, s.Tick, append(perCall, 1))
 	n.endpoints = &endpointPool{clock: c, journal: n.journal, dial: newDialer(s.ConnectWithin),
 		idleTimeout: s.IdleFor, maxIdle: idle}
-	n.directory = &directory{address: at.Directory, open: make(map[*watch]struct{}),
-		dests: make(map[uint32]struct{}), desk: n.decisions, endpoints: n.endpoints,
-		partners: s.PartnerNames, zones: s.ZoneNames, rated: s.Rated,
-		answers: failureLog{part: "directory", operation: "watching the list"}}
+	n.directory = &directory{address: at.Directory, openWatches: make(map[*watch]struct{}),
+		knownDests: make(map[uint32]struct{}), desk: n.decisions, endpoints: n.endpoints,
+		partnerNames: s.PartnerNames, zoneNames: s.ZoneNames, useRates: s.Rated,
+		watchErrors: failureLog{part: "directory", operation: "watching the list"}}
 	n.notices = newNoticeSender(at.Directory)
-	if n.peers, err = openPeers(at.PeerListen, at.PeersAll, at.Peers, s.Fleet.Self, n.decisions, c.day()); err != nil {
+	if n.peers, err = newPeerMessenger(at.PeerListen, at.PeersAll, at.Peers, s.Fleet.Self, n.decisions, c.timeOfDay()); err != nil {
 		n.journal.close()
 		return nil, err
 	}
-	n.SetDirectorySilence(silentAfter)
+	n.SetDirectorySilence(defaultWatchSilence)
 	n.decisions.endpoints, n.decisions.directory, n.decisions.peers = n.endpoints, n.directory, n.peers
 	if len(at.KnownEndpoints) > 0 {
-		if err = n.directory.list(nil, at.KnownEndpoints); err != nil {
+		if err = n.directory.applyList(nil, at.KnownEndpoints); err != nil {
 			err = fmt.Errorf("known: %w", err)
 		}
 	}
 	if err == nil {
-		n.clients, err = openClients(n, at.Listen, times, max(minClients, sockets-idle-s.Room.MaxConcurrentCalls), keep)
+		n.clients, err = newClientServer(n, at.Listen, times, max(minClients, sockets-idle-s.Room.MaxConcurrentCalls), keep)
 	}
 	if err != nil {
 		n.peers.close()
@@ -137,14 +137,14 @@
 }
 
 // SetDirectorySilence sets for how long a call to the directory may show no sign of life.
-func (n *Node) SetDirectorySilence(most time.Duration) { n.directory.silence.Store(int64(most)) }
+func (n *Node) SetDirectorySilence(most time.Duration) { n.directory.silenceTimeout.Store(int64(most)) }
 
 // SetNoticeTimes sets how long the platform has to answer a notice, and when one that failed is told again.
 func (n *Node) SetNoticeTimes(within, again time.Duration) { n.notices.setTimeouts(within, again) }
 
 // SetDirectoryAddress tells that the directory, which takes the notices too, is at another address from now on.
 func (n *Node) SetDirectoryAddress(directory string) {
-	n.directory.move(directory)
+	n.directory.setAddress(directory)
 	n.notices.setAddress(directory)
 }
 
@@ -152,7 +152,7 @@
 func (n *Node) restoreEvents() {
 	n.activeEvents.Add(int64(len(n.restored)))
 	for _, e := range n.restored {
-		e.monoDeadline = n.clock.now() + e.wallDeadline - n.clock.day()
+		e.monoDeadline = n.clock.now() + e.wallDeadline - n.clock.timeOfDay()
 		e.safety = n.safetyOf(e.typ)
 		e.request = lifecycle.RestoreRequest(e.id, e.monoDeadline, n.repeatable(e.typ), e.mayHaveRun())
 		if e.resolution == unresolved {
@@ -167,7 +167,7 @@
 // later.
 func (n *Node) refusalReason(e *event) (reason string) {
 	switch {
-	case !n.directory.knows(e.dest):
+	case !n.directory.isKnownDest(e.dest):
 		return refusedUnlisted
 	case !n.admit():
 		return refusedAtCapacity
--- a/node/notices.go
+++ b/node/notices.go
@@ -339,7 +339,7 @@
 	}
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
-	if err := resp.ReadLimitBody(conn.reader, mostReply); err != nil {
+	if err := resp.ReadLimitBody(conn.reader, maxResponseBytes); err != nil {
 		return true, err
 	}
 	if resp.StatusCode() != fasthttp.StatusNoContent {
