--- a/node/endpointpool.go
+++ b/node/endpointpool.go
@@ -13,33 +13,33 @@
 )
 
 const (
-	idleMargin = int64(1e9) // ns by which an idle connection is closed before the endpoint would: the way there
+	idleMargin         = int64(1e9) // ns by which an idle connection is closed before the endpoint would: the way there
 	idleSweepInterval  = time.Second
-	responseBufferSize  = 4096 // bytes of a connection's read buffer: an answer is a few lines
+	responseBufferSize = 4096 // bytes of a connection's read buffer: an answer is a few lines
 )
 
 // endpointPool keeps the connections to endpointPool. A connection carries one call at a time.
 type endpointPool struct {
-	clock    clock
-	journal  *journal
-	dial     dialFunc
-	idleTimeout  int64 // ns after which an endpoint closes an idle connection
-	maxIdle int   // idle connections in all
+	clock       clock
+	journal     *journal
+	dial        dialFunc
+	idleTimeout int64 // ns after which an endpoint closes an idle connection
+	maxIdle     int   // idle connections in all
 
 	activeCalls atomic.Int32 // calls
 
-	mu         sync.Mutex
-	stalledReads map[uint32]int // by destination, answers that may have come and cannot be read for a moment
-	addresses      []string       // by endpoint
-	sites      []string
-	names      []string
-	reuse      []connreuse.EndpointStats
-	refusals   connreuse.RefusalStats
-	callsByEndpoint       []int             // calls that know its index
-	idle       [][]*endpointConn // by endpoint, the one used last at the end
-	idleCount      int
-	unconfirmed    int          // outcomes that are followed
-	toSettle    []settlement // found out while the lock is held
+	mu              sync.Mutex
+	stalledReads    map[uint32]int // by destination, answers that may have come and cannot be read for a moment
+	addresses       []string       // by endpoint
+	sites           []string
+	names           []string
+	reuse           []connreuse.EndpointStats
+	refusals        connreuse.RefusalStats
+	callsByEndpoint []int             // calls that know its index
+	idle            [][]*endpointConn // by endpoint, the one used last at the end
+	idleCount       int
+	unconfirmed     int          // outcomes that are followed
+	toSettle        []settlement // found out while the lock is held
 }
 
 // updateEndpoint learns where an endpoint is now; idle connections to where it was are closed.
--- a/node/failurelog.go
+++ b/node/failurelog.go
@@ -14,7 +14,7 @@
 // directory fails, a line for each event would drown all others.
 type failureLog struct {
 	part, operation string
-	failing        atomic.Bool
+	failing         atomic.Bool
 }
 
 // record takes how the last try went.
@@ -32,9 +32,9 @@
 type throttledLog struct {
 	part, message string
 
-	mu    sync.Mutex
-	count int
-	lastLogged    time.Time // of the last line
+	mu         sync.Mutex
+	count      int
+	lastLogged time.Time // of the last line
 }
 
 const throttleInterval = 10 * time.Second
--- a/node/iofaults_test.go
+++ b/node/iofaults_test.go
@@ -22,9 +22,9 @@
 // faultyDisk is a folder whose files cannot be written, or only slowly, while a test says so.
 type faultyDisk struct {
 	store.Dir
-	failing atomic.Bool
-	writeDelay    atomic.Int64 // ns for each write
-	onWrite func(text []byte)
+	failing    atomic.Bool
+	writeDelay atomic.Int64 // ns for each write
+	onWrite    func(text []byte)
 }
 
 func (d *faultyDisk) Create(name string) (store.File, error) {
@@ -202,13 +202,13 @@
 // faultyConn is a connection on which calls fail for a moment.
 type faultyConn struct {
 	*net.TCPConn
-	errno  syscall.Errno
-	mu     sync.Mutex
-	failReads  int  // so many fail
-	failWrites int  // so many fail, the first after a byte
-	writeNothing   bool // not even that byte
-	writeClosed   bool
-	bytesAfterClose   int // bytes that were read after the half close
+	errno           syscall.Errno
+	mu              sync.Mutex
+	failReads       int  // so many fail
+	failWrites      int  // so many fail, the first after a byte
+	writeNothing    bool // not even that byte
+	writeClosed     bool
+	bytesAfterClose int // bytes that were read after the half close
 }
 
 func (c *faultyConn) Read(b []byte) (int, error) {
@@ -252,10 +252,10 @@
 // faultyListener hands out faulty connections, after so many failures.
 type faultyListener struct {
 	net.Listener
-	mu    sync.Mutex
-	errno syscall.Errno
+	mu             sync.Mutex
+	errno          syscall.Errno
 	acceptFailures int
-	wrap  func(*net.TCPConn) net.Conn
+	wrap           func(*net.TCPConn) net.Conn
 }
 
 func (l *faultyListener) Accept() (net.Conn, error) {
@@ -281,7 +281,9 @@
 		w.addEndpoint(1, respond(httpResponse("200 OK", "", "")))
 		w.beforeRun = func(n *Node) {
 			n.clients.listener.Listener = &faultyListener{Listener: n.clients.listener.Listener,
-				wrap: func(c *net.TCPConn) net.Conn { return &faultyConn{TCPConn: c, errno: errno, failReads: 5, failWrites: 5} }}
+				wrap: func(c *net.TCPConn) net.Conn {
+					return &faultyConn{TCPConn: c, errno: errno, failReads: 5, failWrites: 5}
+				}}
 		}
 		w.startNode()
 		c := w.dial()
--- a/node/journalreport.go
+++ b/node/journalreport.go
@@ -12,22 +12,22 @@
 // PendingEvent is one event that a folder still owes an end.
 type PendingEvent struct {
 	ID, Kind, Owner, IdempotencyKey string
-	Dest                  uint32
-	Deadline              time.Time
-	Attempts                 int
-	MayHaveRun            bool   // a send is out, or ended without telling
-	Verdict               string // open, declined or discarded
-	BodyBytes                  int    // bytes
+	Dest                            uint32
+	Deadline                        time.Time
+	Attempts                        int
+	MayHaveRun                      bool   // a send is out, or ended without telling
+	Verdict                         string // open, declined or discarded
+	BodyBytes                       int    // bytes
 }
 
 // JournalReport is what a folder holds. Reading it changes nothing.
 type JournalReport struct {
-	Pending    []PendingEvent
-	SizeBytes    int64    // bytes of the files
-	Records int      // that could be read
-	TruncatedBytes    int      // bytes at the end that were cut off
-	RecordsMissing    bool     // records are missing, so that what stood before them counts as possibly run
-	Faults  []string // file, offset and reason of what is damaged, missing or foreign
+	Pending        []PendingEvent
+	SizeBytes      int64    // bytes of the files
+	Records        int      // that could be read
+	TruncatedBytes int      // bytes at the end that were cut off
+	RecordsMissing bool     // records are missing, so that what stood before them counts as possibly run
+	Faults         []string // file, offset and reason of what is damaged, missing or foreign
 }
 
 func (v resolution) String() string { return [...]string{"open", "declined", "discarded"}[v] }
--- a/node/recentrequests.go
+++ b/node/recentrequests.go
@@ -21,17 +21,17 @@
 // recentRequests knows the requests that came of late. A client gives each request an id of its own, so one that comes again is a
 // copy that was made on the way: it gets the answer of the first, and nothing is done for it.
 type recentRequests struct {
-	mu     sync.Mutex
-	byID   map[string]*recentRequest
+	mu            sync.Mutex
+	byID          map[string]*recentRequest
 	answeredOrder []*recentRequest // answered ones, in the order of their answers
 }
 
 // recentRequest is one request that came. Its answer may be read once it is answered.
 type recentRequest struct {
-	id       string
-	done chan struct{}
-	answer   clientResponse
-	expiresAt    time.Time
+	id        string
+	done      chan struct{}
+	answer    clientResponse
+	expiresAt time.Time
 }
 
 // add notes a request, and tells whether it is the add under its id.
--- a/node/retryconn.go
+++ b/node/retryconn.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	minRetryPause     = time.Millisecond // before a call is tried again that failed for a moment, doubling
+	minRetryPause = time.Millisecond // before a call is tried again that failed for a moment, doubling
 	maxRetryPause = 20 * time.Millisecond
 )
 
@@ -27,7 +27,7 @@
 type retryConn struct {
 	net.Conn
 	readFailingSince time.Time  // when a read first failed so; what was read since may have come then
-	onStall       func(bool) // hears when reads begin to fail so, and when they work again; nil for nobody
+	onStall          func(bool) // hears when reads begin to fail so, and when they work again; nil for nobody
 
 	mu       sync.Mutex // held while bytes are taken off the connection, so that they are seen on one side or the other
 	received bool       // bytes were taken off it since it was last told to expect some
@@ -231,8 +231,8 @@
 }
 
 const (
-	openSocketTimeout = 5 * time.Second // for sockets that cannot be opened at the start
-	openSocketInterval  = 20 * time.Millisecond
+	openSocketTimeout  = 5 * time.Second // for sockets that cannot be opened at the start
+	openSocketInterval = 20 * time.Millisecond
 )
 
 // openSocket opens a socket of the start, and tries again while that fails for a reason of this machine.
--- a/store/recovery.go
+++ b/store/recovery.go
@@ -9,16 +9,16 @@
 
 // Recovery is what a folder holds. Reading it changes nothing.
 type Recovery struct {
-	Events   []*Event         // owed, in the order of their coming, with their bodies
+	Events      []*Event         // owed, in the order of their coming, with their bodies
 	Backoffs    map[string]int64 // until when, as time of day
-	Outages  map[string]int64 // since when
-	Completed     map[string]int64 // ids that are over, until when that is known
-	Segments int
-	Size     int64    // bytes of all files of the store
-	Records  int      // that could be read
-	TornBytes     int      // bytes at the end of the log that were cut off
-	RecordsLost     bool     // records are missing: what stood before may have gone on
-	Faults   []string // file, offset and reason of what is damaged, missing or foreign
+	Outages     map[string]int64 // since when
+	Completed   map[string]int64 // ids that are over, until when that is known
+	Segments    int
+	Size        int64    // bytes of all files of the store
+	Records     int      // that could be read
+	TornBytes   int      // bytes at the end of the log that were cut off
+	RecordsLost bool     // records are missing: what stood before may have gone on
+	Faults      []string // file, offset and reason of what is damaged, missing or foreign
 
 	epoch, seq, number uint64
 	mirror             int              // whole bytes of the mirror
