--- a/node/journal_test.go
+++ b/node/journal_test.go
@@ -297,7 +297,9 @@
 		t.Errorf("left behind: %v", left)
 	}
 	write(folder) // a crash between the two: the old file is there still
-	j.complete(owed[2])
+	if err := j.complete(owed[2]).Wait(); err != nil {
+		t.Fatal(err)
+	}
 	folder = copyAsKilled(t, folder)
 	j.close()
 	j, owed = reopenJournal(t, folder, 3)
