--- a/node/attribution_test.go
+++ b/node/attribution_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"jaspersill/port"
+	"jaspersill/delivery"
 	"jaspersill/store"
 )
 
@@ -163,7 +163,7 @@
 	s.event.body = make([]byte, 40<<20)
 	c.sends = []*send{s}
 	go p.carry(c)
-	if r := ending(t, s); r.how != port.ConnectFailed {
+	if r := ending(t, s); r.how != delivery.ConnectFailed {
 		t.Errorf("it ended as %v", r.how)
 	}
 }
@@ -173,7 +173,7 @@
 	at := newPeer(t, say(answerOf("200 OK", "", "other1 done\r\nother2 done\r\n")))
 	p := newEndpoints(t, at.Addr().String())
 	ends, _ := deliver(t, p, long, long)
-	if ends[0].how != port.Spoilt || ends[1].how != port.Spoilt {
+	if ends[0].how != delivery.Unreadable || ends[1].how != delivery.Unreadable {
 		t.Errorf("got %+v", ends)
 	}
 	select {
--- a/node/confirmation.go
+++ b/node/confirmation.go
@@ -7,11 +7,11 @@
 
 	"github.com/sirupsen/logrus"
 
+	"jaspersill/connreuse"
+	"jaspersill/delivery"
 	"jaspersill/lifecycle"
 	"jaspersill/logs"
 	"jaspersill/metrics"
-	"jaspersill/port"
-	"jaspersill/reuse"
 	"jaspersill/store"
 )
 
@@ -32,7 +32,7 @@
 type confirmation struct {
 	conn       *endpointConn
 	id         string
-	how        port.Outcome
+	how        delivery.Outcome
 	answeredAt int64
 	timer      *time.Timer
 
@@ -108,14 +108,14 @@
 }
 
 // follow begins to follow an outcome of a send on a connection.
-func (p *endpoints) follow(conn *endpointConn, s *send, how port.Outcome) *confirmation {
+func (p *endpoints) follow(conn *endpointConn, s *send, how delivery.Outcome) *confirmation {
 	now := p.clock.now()
 	c := &confirmation{conn: conn, id: s.event.id, how: how, answeredAt: now}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	conn.pending = append(conn.pending, c)
 	p.pending++
-	hold := reuse.HoldUntil(s.began, s.timeout, s.event.due) - now
+	hold := connreuse.HoldUntil(s.began, s.timeout, s.event.due) - now
 	c.timer = time.AfterFunc(time.Duration(max(hold, 0)), func() { p.expireHold(c) })
 	return c
 }
@@ -158,7 +158,7 @@
 		p.end(conn, state.closeReason())
 		return false
 	}
-	if p.clock.now()-conn.used >= p.reuse[conn.endpoint].Rest() {
+	if p.clock.now()-conn.used >= p.reuse[conn.endpoint].QuietPeriod() {
 		conn.provenAt = conn.used
 		conn.answers.Prove()
 	}
@@ -181,7 +181,7 @@
 
 func (p *endpoints) noteOutOfStep(conn *endpointConn, reason closeReason) {
 	outOfStep.Add()
-	p.reuse[conn.endpoint].OutOfStep(p.clock.now())
+	p.reuse[conn.endpoint].RecordOutOfSync(p.clock.now())
 	logs.Part("endpoints").WithFields(logrus.Fields{"connection": conn.id, "endpoint": p.names[conn.endpoint], "calls": conn.calls,
 		"in_doubt": len(conn.pending), "reason": string(reason)}).Warn("an answer came that no call waits for")
 }
--- a/node/desk.go
+++ b/node/desk.go
@@ -5,16 +5,16 @@
 	"sync"
 	"time"
 
+	"jaspersill/delivery"
 	"jaspersill/door"
 	"jaspersill/logs"
-	"jaspersill/port"
 )
 
 // desk is the only owner of the module: one goroutine gathers news, calls Round and hands the decisions to
 // those who wait for them. Its indices and the events behind them belong to that goroutine.
 type desk struct {
 	clock     clock
-	module    port.Decider
+	module    delivery.Scheduler
 	tick      int64 // least time between rounds
 	perCall   []int // events in one call, by partner
 	endpoints *endpoints
@@ -22,7 +22,7 @@
 	peers     *peers
 
 	mu   sync.Mutex
-	news []func(port.Intake) // what came in since the last round
+	news []func(delivery.Handler) // what came in since the last round
 	bell chan struct{}
 	stop chan struct{}
 	done chan struct{}
@@ -41,13 +41,13 @@
 	calls  []*call // opened in this round
 }
 
-func newDesk(c clock, module port.Decider, tick int64, perCall []int) *desk {
+func newDesk(c clock, module delivery.Scheduler, tick int64, perCall []int) *desk {
 	return &desk{clock: c, module: module, tick: max(tick, 1), perCall: perCall, bell: make(chan struct{}, 1),
 		stop: make(chan struct{}), done: make(chan struct{})}
 }
 
 // hear takes a piece of news, which is handed to the module in the next round.
-func (d *desk) hear(news func(port.Intake)) {
+func (d *desk) hear(news func(delivery.Handler)) {
 	d.mu.Lock()
 	d.news = append(d.news, news)
 	d.mu.Unlock()
@@ -122,7 +122,7 @@
 }
 
 // Deliver implements port.Feed.
-func (d *desk) Deliver(to port.Intake) {
+func (d *desk) Deliver(to delivery.Handler) {
 	d.mu.Lock()
 	news := d.news
 	d.news = nil
@@ -138,7 +138,7 @@
 
 // take hands an event in. One that was out before a restart comes with its sends so far.
 func (d *desk) take(e *event) {
-	d.hear(func(to port.Intake) {
+	d.hear(func(to delivery.Handler) {
 		if e.index, _ = d.evts.Take(e); int(e.index) == len(d.ended) {
 			d.current, d.ended = append(d.current, nil), append(d.ended, false)
 		}
@@ -153,7 +153,7 @@
 }
 
 // resume tells of the sends before a restart. Danger: one that was out when the process ended may have run.
-func (d *desk) resume(e *event, to port.Intake) {
+func (d *desk) resume(e *event, to delivery.Handler) {
 	ranAgo, zone, mayRun := int64(0), 0, false
 	for _, s := range e.past {
 		if !mayRun && s.MayHaveRun() {
@@ -165,8 +165,8 @@
 
 // tell hands in how a send ended.
 func (d *desk) tell(e *event, s *send, r result) {
-	over := r.how == port.Acked || r.over
-	d.hear(func(to port.Intake) {
+	over := r.how == delivery.Acked || r.over
+	d.hear(func(to delivery.Handler) {
 		d.current[e.index] = nil
 		d.ended[e.index] = d.ended[e.index] || over
 		if r.confirm != nil && !over {
@@ -178,13 +178,13 @@
 
 // confirm tells that the answer to a send, which might have been another call's, was its own.
 func (d *desk) confirm(e *event, s *send) {
-	d.hear(func(to port.Intake) { to.Confirmed(e.index, s.number) })
+	d.hear(func(to delivery.Handler) { to.Confirmed(e.index, s.number) })
 }
 
 // full asks when one may come back that there is no room for; nothing is told once the desk is closed.
 func (d *desk) full() int64 {
 	reply := make(chan int64, 1)
-	d.hear(func(port.Intake) { reply <- d.module.Full() })
+	d.hear(func(delivery.Handler) { reply <- d.module.RetryAfter() })
 	select {
 	case comeBack := <-reply:
 		return comeBack
@@ -207,7 +207,7 @@
 
 // leave frees the event's index.
 func (d *desk) leave(e *event) {
-	d.hear(func(port.Intake) { d.gone = append(d.gone, e.index) })
+	d.hear(func(delivery.Handler) { d.gone = append(d.gone, e.index) })
 }
 
 // Send implements port.Writer, as do the methods below. Sends of a round to one endpoint share a call, while
@@ -243,21 +243,21 @@
 
 func (d *desk) Cancel(evt int32, number int) {
 	if s := d.current[evt]; s != nil && s.number == number {
-		s.call.giveUp(port.Cancelled)
+		s.call.giveUp(delivery.Cancelled)
 	}
 }
 
-func (d *desk) Recall(evt int32, number int) {
+func (d *desk) CancelUnsent(evt int32, number int) {
 	if s := d.current[evt]; s != nil && s.number == number {
 		s.call.recall(s)
 	}
 }
 
-func (d *desk) Wake(after int64)   { d.wakeAt = d.clock.now() + max(after, 1) }
-func (d *desk) Watch(on bool)      { d.directory.watch(on) }
-func (d *desk) CloseIdle(ep int32) { d.endpoints.closeIdle(ep) }
-func (d *desk) Forget(ep int32)    { d.left = append(d.left, ep) }
-func (d *desk) TellGood(ep int32)  { d.peers.tellGood(d.eps.ID(ep)) }
+func (d *desk) Wake(after int64)         { d.wakeAt = d.clock.now() + max(after, 1) }
+func (d *desk) Watch(on bool)            { d.directory.watch(on) }
+func (d *desk) CloseIdle(ep int32)       { d.endpoints.closeIdle(ep) }
+func (d *desk) Forget(ep int32)          { d.left = append(d.left, ep) }
+func (d *desk) AnnounceHealthy(ep int32) { d.peers.tellGood(d.eps.ID(ep)) }
 
 // Probe is never asked for: the module sends none, and the protocol has no call for it.
 func (d *desk) Probe(ep int32) {
--- a/node/directory.go
+++ b/node/directory.go
@@ -20,9 +20,9 @@
 	"github.com/valyala/fasthttp"
 	"github.com/valyala/fastjson"
 
+	"jaspersill/delivery"
 	"jaspersill/logs"
 	"jaspersill/metrics"
-	"jaspersill/port"
 	"jaspersill/start"
 )
 
@@ -140,7 +140,7 @@
 // failed tells the module that a call failed or the watch broke.
 func (d *directory) failed(err error) {
 	d.answers.note(err)
-	d.desk.hear(func(to port.Intake) { to.ListFailed() })
+	d.desk.hear(func(to delivery.Handler) { to.ListFailed() })
 }
 
 // follow makes one call and hands in each list that it brings, until it ends.
@@ -241,7 +241,7 @@
 		site       string
 		dest       uint32
 		partner    int
-		state      port.State
+		state      delivery.EndpointState
 		rate       float64
 	}
 	var list []entry
@@ -262,11 +262,11 @@
 		}
 		switch state := string(h.GetStringBytes("health")); state {
 		case "Ready":
-			e.state = port.Ready
+			e.state = delivery.Ready
 		case "Gone":
-			e.state = port.Gone
+			e.state = delivery.Gone
 		default: // danger: what is not known to be ready may want nothing new
-			e.state = port.Draining
+			e.state = delivery.Draining
 		}
 		list = append(list, e)
 	}
@@ -287,20 +287,20 @@
 	for _, e := range list {
 		d.dests[e.dest] = struct{}{}
 	}
-	d.desk.hear(func(to port.Intake) {
-		to.ListBegins(whole)
+	d.desk.hear(func(to delivery.Handler) {
+		to.ListStarted(whole)
 		for _, e := range list {
 			ep, fresh := d.desk.listed(e.host, e.partner)
 			if e.dial != "" || fresh {
 				d.endpoints.listed(ep, e.host, e.site, e.dial)
 			}
-			if e.state == port.Gone { // danger: what answers there from now on may be another
+			if e.state == delivery.Gone { // danger: what answers there from now on may be another
 				d.endpoints.listed(ep, e.host, e.site, "")
 			}
 			dest, _ := d.desk.dests.Take(e.dest)
-			to.Listed(ep, dest, e.partner, d.zone(e.site), e.state, e.rate)
+			to.EndpointListed(ep, dest, e.partner, d.zone(e.site), e.state, e.rate)
 		}
-		to.ListEnds()
+		to.ListEnded()
 	})
 	return nil
 }
--- a/node/endpoints.go
+++ b/node/endpoints.go
@@ -8,8 +8,8 @@
 	"sync/atomic"
 	"time"
 
+	"jaspersill/connreuse"
 	"jaspersill/errclass"
-	"jaspersill/reuse"
 )
 
 const (
@@ -33,8 +33,8 @@
 	dials      []string       // by endpoint
 	sites      []string
 	names      []string
-	reuse      []reuse.Endpoint
-	refusals   reuse.Refusals
+	reuse      []connreuse.EndpointStats
+	refusals   connreuse.RefusalStats
 	busy       []int             // calls that know its index
 	idle       [][]*endpointConn // by endpoint, the one used last at the end
 	idles      int
@@ -48,7 +48,7 @@
 	defer p.unlock()
 	for int(ep) >= len(p.dials) {
 		p.dials, p.sites, p.names = append(p.dials, ""), append(p.sites, ""), append(p.names, "")
-		p.idle, p.busy, p.reuse = append(p.idle, nil), append(p.busy, 0), append(p.reuse, reuse.Endpoint{})
+		p.idle, p.busy, p.reuse = append(p.idle, nil), append(p.busy, 0), append(p.reuse, connreuse.EndpointStats{})
 	}
 	if p.names[ep], p.sites[ep] = name, site; p.dials[ep] != dial {
 		p.dials[ep] = dial
@@ -80,7 +80,7 @@
 		return false
 	}
 	p.drop(ep, closeMoved)
-	p.dials[ep], p.sites[ep], p.names[ep], p.reuse[ep] = "", "", "", reuse.Endpoint{}
+	p.dials[ep], p.sites[ep], p.names[ep], p.reuse[ep] = "", "", "", connreuse.EndpointStats{}
 	return true
 }
 
@@ -137,11 +137,11 @@
 	defer p.unlock()
 	now := p.clock.now()
 	for {
-		candidates := make([]reuse.Candidate, 0, len(p.idle[ep]))
+		candidates := make([]connreuse.Candidate, 0, len(p.idle[ep]))
 		for _, c := range p.idle[ep] {
-			candidates = append(candidates, reuse.Candidate{Rested: now - c.used, InStep: c.answers.InStep(), Refused: c.answers.Refused()})
+			candidates = append(candidates, connreuse.Candidate{IdleTime: now - c.used, InSync: c.answers.InStep(), RefusedBefore: c.answers.Refused()})
 		}
-		i := p.reuse[ep].Choose(candidates, repeatable, p.refusals.Distinct(), now)
+		i := p.reuse[ep].Choose(candidates, repeatable, p.refusals.Distinguishable(), now)
 		if i < 0 {
 			return nil, p.dials[ep]
 		}
@@ -161,7 +161,7 @@
 func (p *endpoints) learnRefusal(alike bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.refusals.Read(alike)
+	p.refusals.Record(alike)
 }
 
 // close closes a connection that carries a call.
@@ -181,7 +181,7 @@
 func (p *endpoints) keep(c *endpointConn, took int64) {
 	p.mu.Lock()
 	defer p.unlock()
-	p.reuse[c.endpoint].Answered(took)
+	p.reuse[c.endpoint].RecordAnswer(took)
 	switch {
 	case c.dial != p.dials[c.endpoint]:
 		p.end(c, closeMoved)
--- a/node/event.go
+++ b/node/event.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
+	"jaspersill/delivery"
 	"jaspersill/lifecycle"
-	"jaspersill/port"
 	"jaspersill/store"
 )
 
@@ -13,7 +13,7 @@
 type event struct {
 	id, mark      string // mark: what repeats are known by, where its stream type has one
 	typ, customer int
-	safety        port.Safety
+	safety        delivery.Safety
 	dest          uint32
 	due           int64 // on the module's clock
 	deadline      int64 // the same as time of day, which outlasts the process
@@ -74,7 +74,7 @@
 
 // result is how a send ended.
 type result struct {
-	how         port.Outcome
+	how         delivery.Outcome
 	wait, took  int64
 	over        bool    // the endpoint's side says that the event is over
 	left, limit float64 // what the answer told of the limit
--- a/node/failing_test.go
+++ b/node/failing_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
+	"jaspersill/delivery"
 	"jaspersill/lifecycle"
-	"jaspersill/port"
 	"jaspersill/store"
 )
 
@@ -173,7 +173,7 @@
 	t.Cleanup(j.close)
 	at := newPeer(t, say(answerOf("200 OK", "", "")))
 	for name, callOff := range map[string]func(*call){
-		"given up": func(c *call) { c.giveUp(port.Cancelled) },
+		"given up": func(c *call) { c.giveUp(delivery.Cancelled) },
 		"recalled": func(c *call) { c.recall(c.sends[0]) },
 	} {
 		p := newEndpoints(t, at.Addr().String())
@@ -189,7 +189,7 @@
 		if took := time.Since(began); took > 100*time.Millisecond {
 			t.Errorf("%s: it took %v", name, took)
 		}
-		if r := ending(t, s); r.how != port.Unsent {
+		if r := ending(t, s); r.how != delivery.Unsent {
 			t.Errorf("%s: ended as %v", name, r.how)
 		}
 		disk.slow.Store(0)
@@ -309,7 +309,7 @@
 			}
 			return &faultyConn{TCPConn: conn.(*net.TCPConn), errno: errno, reads: 3, writes: 3}, nil
 		}
-		if ends, _ := deliver(t, p, 5*time.Second); ends[0].how != port.Acked {
+		if ends, _ := deliver(t, p, 5*time.Second); ends[0].how != delivery.Acked {
 			t.Errorf("%v: ended as %v", errno, ends[0].how)
 		}
 		if calls, _ := at.calls(); calls != 1 {
@@ -324,7 +324,7 @@
 	p.dial = func(context.Context, string) (net.Conn, error) {
 		return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", syscall.ENFILE)}
 	}
-	if ends, _ := deliver(t, p, 300*time.Millisecond); ends[0].how != port.Unsent {
+	if ends, _ := deliver(t, p, 300*time.Millisecond); ends[0].how != delivery.Unsent {
 		t.Errorf("ended as %v", ends[0].how)
 	}
 }
@@ -431,7 +431,7 @@
 // Guards against an attempt that goes out late, after a wait, its window or its deadline, because writing it failed.
 func TestAnAttemptThatCannotBeWrittenIsStillRecalled(t *testing.T) {
 	for name, callOff := range map[string]func(*call){
-		"given up": func(c *call) { c.giveUp(port.TimedOut) },
+		"given up": func(c *call) { c.giveUp(delivery.TimedOut) },
 		"recalled": func(c *call) { c.recall(c.sends[0]) },
 		"late":     func(c *call) {},
 	} {
@@ -454,7 +454,7 @@
 		go p.carry(c)
 		time.Sleep(50 * time.Millisecond)
 		callOff(c)
-		if r := ending(t, s); r.how != port.Unsent {
+		if r := ending(t, s); r.how != delivery.Unsent {
 			t.Errorf("%s: ended as %v", name, r.how)
 		}
 		time.Sleep(400 * time.Millisecond) // 20 failures take 0.3 s
@@ -487,10 +487,10 @@
 	go p.carry(c)
 	time.Sleep(50 * time.Millisecond) // its first byte cannot be written
 	c.recall(recalled)
-	if r := ending(t, recalled); r.how != port.Unsent {
+	if r := ending(t, recalled); r.how != delivery.Unsent {
 		t.Errorf("recalled: %+v", r)
 	}
-	if r := ending(t, kept); r.how != port.Acked {
+	if r := ending(t, kept); r.how != delivery.Acked {
 		t.Errorf("the other: %+v", r)
 	}
 	if body := <-bodies; strings.Contains(body, "of the other") || !strings.Contains(body, "of the one") {
@@ -525,10 +525,10 @@
 		t.Errorf("%d calls while the first answer cannot be read", calls)
 	}
 	second.recall(recalled)
-	if r := ending(t, recalled); r.how != port.Unsent {
+	if r := ending(t, recalled); r.how != delivery.Unsent {
 		t.Errorf("recalled: ended as %v", r.how)
 	}
-	if r := ending(t, first.sends[0]); r.how != port.Acked {
+	if r := ending(t, first.sends[0]); r.how != delivery.Acked {
 		t.Errorf("the first ended as %v", r.how)
 	}
 }
@@ -607,8 +607,8 @@
 	go func() { ends <- ending(t, s) }()
 	go p.carry(c)
 	time.Sleep(110 * time.Millisecond) // the answer has begun, and stands unread or is being read
-	c.giveUp(port.TimedOut)
-	if r := <-ends; r.how != port.Acked {
+	c.giveUp(delivery.TimedOut)
+	if r := <-ends; r.how != delivery.Acked {
 		t.Errorf("ended as %v", r.how)
 	}
 }
@@ -629,7 +629,7 @@
 		t.Fatal(err)
 	}
 	c := &call{of: p, conn: conn, bytes: all}
-	if c.giveUp(port.TimedOut); c.gaveUp || !c.extended {
+	if c.giveUp(delivery.TimedOut); c.gaveUp || !c.extended {
 		t.Error("its call is given up")
 	}
 }
--- a/node/journal.go
+++ b/node/journal.go
@@ -6,9 +6,9 @@
 	"path/filepath"
 	"time"
 
+	"jaspersill/delivery"
 	"jaspersill/errclass"
 	"jaspersill/logs"
-	"jaspersill/port"
 	"jaspersill/store"
 )
 
@@ -149,7 +149,7 @@
 }
 
 // ended writes how a send ended.
-func (j *journal) ended(e *event, number int, how port.Outcome) *store.Receipt {
+func (j *journal) ended(e *event, number int, how delivery.Outcome) *store.Receipt {
 	return j.store.RecordOutcome(e.id, e.came, number, how)
 }
 
--- a/node/journal_bench_test.go
+++ b/node/journal_bench_test.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 	"testing"
 
-	"jaspersill/port"
+	"jaspersill/delivery"
 	"jaspersill/store"
 )
 
@@ -48,7 +48,7 @@
 		if err := errors.Join(j.take(e, "alert", "acme"), j.began(e, 0, 5, "zone")); err != nil {
 			return err
 		}
-		j.ended(e, 0, port.Acked)
+		j.ended(e, 0, delivery.Acked)
 		j.over(e)
 		return nil
 	})
--- a/node/journal_test.go
+++ b/node/journal_test.go
@@ -12,7 +12,7 @@
 	"strings"
 	"testing"
 
-	"jaspersill/port"
+	"jaspersill/delivery"
 	"jaspersill/store"
 )
 
@@ -69,8 +69,8 @@
 					t.Fatal(err)
 				}
 			}
-			j.ended(e, 0, port.Declined)
-			j.ended(e, 1, port.Reset)
+			j.ended(e, 0, delivery.Refused)
+			j.ended(e, 1, delivery.Reset)
 		case 2:
 			e.verdict, e.comeBack = declined, 500
 			j.decide(e)
@@ -89,8 +89,8 @@
 		}
 		switch e.id {
 		case "e1":
-			past := []store.Send{{At: 50, Zone: "zone", Ended: true, How: port.Declined},
-				{At: 60, Zone: "zone", Ended: true, How: port.Reset}, {At: 70, Zone: "zone"}}
+			past := []store.Send{{At: 50, Zone: "zone", Ended: true, How: delivery.Refused},
+				{At: 60, Zone: "zone", Ended: true, How: delivery.Reset}, {At: 70, Zone: "zone"}}
 			if !slices.Equal(e.past, past) || e.sends != 3 || string(e.body) != "a\r\n\x00b" {
 				t.Errorf("e1: sends %+v, body %q", e.past, e.body)
 			}
@@ -158,7 +158,7 @@
 				if err := j.began(last, n, 1<<60, "a-zone-of-some-length"); err != nil {
 					t.Fatal(err)
 				}
-				j.ended(last, n, port.Declined)
+				j.ended(last, n, delivery.Refused)
 			}
 			if used := folderSize(t, folder); used > int64(limit*1e6) {
 				t.Fatalf("%d bytes on disk", used)
@@ -187,15 +187,15 @@
 	if err := j.take(e, "alert", "acme"); err != nil {
 		t.Fatal(err)
 	}
-	j.ended(e, 0, port.Unsent) // given up before it began
+	j.ended(e, 0, delivery.Unsent) // given up before it began
 	_ = j.began(e, 1, 50, "zone")
-	j.ended(e, 1, port.Declined)
+	j.ended(e, 1, delivery.Refused)
 	for range 2 {
 		j.close()
 		var owed []*event
 		j, owed = reopen(t, folder, 3)
-		want := []store.Send{{At: 50, Zone: "zone", Ended: true, How: port.Unsent},
-			{At: 50, Zone: "zone", Ended: true, How: port.Declined}}
+		want := []store.Send{{At: 50, Zone: "zone", Ended: true, How: delivery.Unsent},
+			{At: 50, Zone: "zone", Ended: true, How: delivery.Refused}}
 		if !slices.Equal(owed[0].past, want) {
 			t.Errorf("sends %+v", owed[0].past)
 		}
@@ -221,7 +221,7 @@
 	if err := j.take(second, "alert", "acme"); err != nil {
 		t.Errorf("a later one of its id: %v", err)
 	}
-	j.ended(first, 0, port.Acked)
+	j.ended(first, 0, delivery.Acked)
 	j.over(first)
 	if err := j.began(first, 1, 60, "zone"); !errors.Is(err, errOver) {
 		t.Errorf("a send of the former began: %v", err)
@@ -262,9 +262,9 @@
 		oldRec(oldOver, "e0"),
 		oldRec(oldTake, "e1", "alert", "acme", 7, 1<<60, "m", "a\r\n\x00b"),
 		oldRec(oldBegan, "e1", byte(0), 50, "zone"),
-		oldRec(oldEnded, "e1", byte(0), byte(port.Declined)),
+		oldRec(oldEnded, "e1", byte(0), byte(delivery.Refused)),
 		oldRec(oldBegan, "e1", byte(1), 60, "zone"),
-		oldRec(oldEnded, "e1", byte(1), byte(port.Reset)),
+		oldRec(oldEnded, "e1", byte(1), byte(delivery.Reset)),
 		oldRec(oldBegan, "e1", byte(2), 70, "zone"),
 		oldRec(
 			oldTake,
--- a/node/life.go
+++ b/node/life.go
@@ -4,10 +4,10 @@
 	"errors"
 	"time"
 
+	"jaspersill/delivery"
 	"jaspersill/lifecycle"
 	"jaspersill/logs"
 	"jaspersill/metrics"
-	"jaspersill/port"
 	"jaspersill/store"
 )
 
@@ -175,7 +175,7 @@
 // no attempt follows a delivery, and its notice is held back; a refusal is not recorded, so that a restart, too, takes the
 // attempt for one that may have run.
 func (l *life) endAttempt(s *send, r result) {
-	over := r.how == port.Acked || r.over
+	over := r.how == delivery.Acked || r.over
 	switch {
 	case over && r.confirm != nil:
 		l.completeProvisionally(r.confirm)
--- a/node/node.go
+++ b/node/node.go
@@ -8,8 +8,8 @@
 	"sync/atomic"
 	"time"
 
+	"jaspersill/delivery"
 	"jaspersill/lifecycle"
-	"jaspersill/port"
 	"jaspersill/start"
 	"jaspersill/store"
 )
@@ -57,7 +57,7 @@
 	most      int64        // events held at most
 	typeNames []string
 	owners    []string
-	types     []port.StreamType
+	types     []delivery.StreamType
 
 	drain     atomic.Pointer[drainTimes]
 	owed      []*event // from before a restart
@@ -71,13 +71,13 @@
 }
 
 // Open opens the journal and the sockets of a delivery node; Run starts it.
-func Open(at Place, most Limits, times ClientTimes, s start.Start, module port.Decider) (*Node, error) {
+func Open(at Place, most Limits, times ClientTimes, s start.Start, module delivery.Scheduler) (*Node, error) {
 	if at.machine == nil {
 		m := thisMachine()
 		at.machine = &m
 	}
 	c := startClock(at.Folder, *at.machine)
-	n := &Node{clock: c, most: int64(s.Room.Events), types: s.Types, typeNames: s.TypeNames,
+	n := &Node{clock: c, most: int64(s.Room.MaxEvents), types: s.Types, typeNames: s.TypeNames,
 		owners: s.CustomerNames}
 	n.Drain(drainRest, drainChoose, drainEnd)
 	n.enter(Starting)
@@ -85,7 +85,7 @@
 	if at.disk == nil {
 		at.disk = store.Dir(at.Folder)
 	}
-	if n.journal, n.owed, err = openJournal(at.Folder, at.disk, c.day, most.DiskMB, s.Room.Sends, n.find); err != nil {
+	if n.journal, n.owed, err = openJournal(at.Folder, at.disk, c.day, most.DiskMB, s.Room.MaxAttempts, n.find); err != nil {
 		return nil, err
 	}
 	sockets := most.Sockets
@@ -97,7 +97,7 @@
 	idle := sockets / idlePart
 	var perCall []int
 	for _, p := range s.Partners {
-		perCall = append(perCall, p.PerCall)
+		perCall = append(perCall, p.MaxEventsPerCall)
 	}
 	n.desk = newDesk(c, module, s.Tick, append(perCall, 1))
 	n.endpoints = &endpoints{clock: c, journal: n.journal, dial: dialer(s.ConnectWithin),
@@ -107,7 +107,7 @@
 		partners: s.PartnerNames, zones: s.ZoneNames, rated: s.Rated,
 		answers: trouble{part: "directory", what: "watching the list"}}
 	n.notices = openNotices(at.Directory)
-	if n.peers, err = openPeers(at.PeerListen, at.PeersAll, at.Peers, s.Fleet.Me, n.desk, c.day()); err != nil {
+	if n.peers, err = openPeers(at.PeerListen, at.PeersAll, at.Peers, s.Fleet.Self, n.desk, c.day()); err != nil {
 		n.journal.close()
 		return nil, err
 	}
@@ -119,7 +119,7 @@
 		}
 	}
 	if err == nil {
-		n.clients, err = openClients(n, at.Listen, times, max(fewClients, sockets-idle-s.Room.Slots), keep)
+		n.clients, err = openClients(n, at.Listen, times, max(fewClients, sockets-idle-s.Room.MaxConcurrentCalls), keep)
 	}
 	if err != nil {
 		n.peers.close()
@@ -199,17 +199,17 @@
 }
 
 // safety is what repeating an event of a stream type may do. Of a type that is not known any more, nothing was forbidden.
-func (n *Node) safety(typ int) port.Safety {
+func (n *Node) safety(typ int) delivery.Safety {
 	if typ >= len(n.types) {
-		return port.Idempotent
+		return delivery.Idempotent
 	}
 	return n.types[typ].Safety
 }
 
 // repeatable tells whether an event of a stream type may be sent again after an attempt that may have run.
 func (n *Node) repeatable(typ int) bool {
-	return n.safety(typ) != port.NonIdempotent
+	return n.safety(typ) != delivery.NonIdempotent
 }
 
 // marked tells whether events of a stream type carry a mark.
-func (n *Node) marked(typ int) bool { return n.types[typ].Safety == port.Deduplicated }
+func (n *Node) marked(typ int) bool { return n.types[typ].Safety == delivery.Deduplicated }
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -19,9 +19,9 @@
 	"github.com/valyala/bytebufferpool"
 	"github.com/valyala/fasthttp"
 
-	"jaspersill/choice"
+	"jaspersill/delivery"
 	"jaspersill/note"
-	"jaspersill/port"
+	"jaspersill/scheduler"
 	"jaspersill/start"
 	"jaspersill/store"
 )
@@ -91,8 +91,8 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	s.Directory.Asked = true
-	module := choice.New(1, s.Types, s.Partners, s.Room, s.Recovery, s.Directory, s.Fleet, s.OrderPause)
+	s.Directory.RequiresWatch = true
+	module := scheduler.New(1, s.Types, s.Partners, s.Room, s.Recovery, s.Directory, s.Fleet, s.OrderPause)
 	w.Node, err = Open(Place{Listen: "127.0.0.1:0", Directory: directory.Addr().String(), Folder: w.folder,
 		Known: []byte(list), disk: w.disk, machine: w.machine}, Limits{DiskMB: w.diskMB}, ClientTimes{}, s, module)
 	if err != nil {
@@ -798,9 +798,9 @@
 
 // recorder is a module that writes down some of what it is told, and decides nothing.
 type recorder struct {
-	port.Intake // what no test here tells it
-	mu          sync.Mutex
-	said        []string
+	delivery.Handler // what no test here tells it
+	mu               sync.Mutex
+	said             []string
 }
 
 func (r *recorder) say(format string, a ...any) {
@@ -815,20 +815,20 @@
 	return strings.Join(r.said, " ")
 }
 
-func (r *recorder) Round(now int64, feed port.Feed, out port.Writer) { feed.Deliver(r) }
+func (r *recorder) Round(now int64, feed delivery.Feed, out delivery.Executor) { feed.Deliver(r) }
 
 func (r *recorder) Event(e int32, typ, customer int, key uint64, left, work int64, dest int32) {
 	r.say("%d", dest)
 }
 
-func (r *recorder) Unconfirmed(e int32, send int) { r.say("unconfirmed %d %d", e, send) }
-func (r *recorder) Confirmed(e int32, send int)   { r.say("confirmed %d %d", e, send) }
-func (r *recorder) Full() int64                   { return 0 }
-func (r *recorder) ListBegins(whole bool)         { r.say("whole=%v", whole) }
-func (r *recorder) ListEnds()                     { r.say(";") }
-func (r *recorder) ListFailed()                   { r.say("failed") }
-func (r *recorder) PeerGood(p int, e int32)       { r.say("good %d %d", p, e) }
-func (r *recorder) Listed(ep, dest int32, partner, zone int, state port.State, rate float64) {
+func (r *recorder) Unconfirmed(e int32, send int)      { r.say("unconfirmed %d %d", e, send) }
+func (r *recorder) Confirmed(e int32, send int)        { r.say("confirmed %d %d", e, send) }
+func (r *recorder) RetryAfter() int64                  { return 0 }
+func (r *recorder) ListStarted(whole bool)             { r.say("whole=%v", whole) }
+func (r *recorder) ListEnded()                         { r.say(";") }
+func (r *recorder) ListFailed()                        { r.say("failed") }
+func (r *recorder) PeerReportedHealthy(p int, e int32) { r.say("good %d %d", p, e) }
+func (r *recorder) EndpointListed(ep, dest int32, partner, zone int, state delivery.EndpointState, rate float64) {
 	r.say("%d/%d/%d/%d/%d/%v", ep, dest, partner, zone, state, rate)
 }
 
--- a/node/oldjournal.go
+++ b/node/oldjournal.go
@@ -10,8 +10,8 @@
 	"strconv"
 	"time"
 
+	"jaspersill/delivery"
 	"jaspersill/errclass"
-	"jaspersill/port"
 	"jaspersill/store"
 )
 
@@ -175,7 +175,7 @@
 			o.Begin(number, s)
 		}
 	case oldEnded:
-		number, how := int(f.Byte()), port.Outcome(f.Byte())
+		number, how := int(f.Byte()), delivery.Outcome(f.Byte())
 		if f.Bad() {
 			return false
 		}
--- a/node/peers.go
+++ b/node/peers.go
@@ -5,11 +5,11 @@
 	"sync/atomic"
 	"time"
 
+	"jaspersill/delivery"
 	"jaspersill/errclass"
 	"jaspersill/logs"
 	"jaspersill/metrics"
 	"jaspersill/note"
-	"jaspersill/port"
 )
 
 // peers trades notes with the other delivery nodes, by datagrams that may come late or never.
@@ -81,9 +81,9 @@
 			lateNotes.Add()
 			continue
 		}
-		p.desk.hear(func(to port.Intake) {
+		p.desk.hear(func(to delivery.Handler) {
 			if ep, listed := p.desk.eps.Find(host); listed {
-				to.PeerGood(peer, ep)
+				to.PeerReportedHealthy(peer, ep)
 			}
 		})
 	}
--- a/node/sends.go
+++ b/node/sends.go
@@ -11,11 +11,11 @@
 	"github.com/sirupsen/logrus"
 	"github.com/valyala/bytebufferpool"
 
+	"jaspersill/delivery"
 	"jaspersill/errclass"
 	"jaspersill/lifecycle"
 	"jaspersill/logs"
 	"jaspersill/metrics"
-	"jaspersill/port"
 )
 
 // send is one send of one event.
@@ -41,9 +41,9 @@
 	conn   *endpointConn
 	bytes  progress
 	ended  bool
-	gaveUp bool         // while its records or its bytes are being written: the writer ends it
-	how    port.Outcome // when given up
-	sentAt int64        // its first byte
+	gaveUp bool             // while its records or its bytes are being written: the writer ends it
+	how    delivery.Outcome // when given up
+	sentAt int64            // its first byte
 
 	extended bool        // it timed out while its answer came, and has the time that the rest of one may take
 	local    atomic.Bool // connecting fails for a reason of this machine
@@ -64,8 +64,8 @@
 )
 
 var attemptsEnded = metrics.NewFamily("jaspersill_attempts_ended_total", "Attempts that ended, by outcome.", "outcome",
-	port.Acked.String(), port.Errored.String(), port.Declined.String(), port.TimedOut.String(), port.ConnectFailed.String(),
-	port.Reset.String(), port.Cancelled.String(), port.Unsent.String(), port.Spoilt.String())
+	delivery.Acked.String(), delivery.Errored.String(), delivery.Refused.String(), delivery.TimedOut.String(), delivery.ConnectFailed.String(),
+	delivery.Reset.String(), delivery.Cancelled.String(), delivery.Unsent.String(), delivery.Unreadable.String())
 
 // carry makes a call and tells each send how it ended. A call is made once: nothing here repeats it.
 func (p *endpoints) carry(c *call) {
@@ -76,7 +76,7 @@
 	if timeout == 0 { // given up before it began
 		return
 	}
-	timer := time.AfterFunc(time.Duration(timeout), func() { c.giveUp(port.TimedOut) })
+	timer := time.AfterFunc(time.Duration(timeout), func() { c.giveUp(delivery.TimedOut) })
 	defer timer.Stop()
 
 	conn := c.prepare(ctx)
@@ -130,7 +130,7 @@
 
 // repeatable tells whether all its sends may go out again after one that may have run.
 func (c *call) repeatable() bool {
-	return !slices.ContainsFunc(c.sends, func(s *send) bool { return s.event.safety == port.NonIdempotent })
+	return !slices.ContainsFunc(c.sends, func(s *send) bool { return s.event.safety == delivery.NonIdempotent })
 }
 
 // endUnanswered ends a call that was given up, or broke, before its last byte was written or as it was.
@@ -146,11 +146,11 @@
 	c.of.close(conn, reason)
 	switch {
 	case errclass.Stream(err) == errclass.Momentary: // of this machine, and nothing went out
-		c.finish(result{how: port.Unsent})
+		c.finish(result{how: delivery.Unsent})
 	case cut: // the call's last byte was not written: it never ran
-		c.finish(result{how: port.ConnectFailed, wait: wait})
+		c.finish(result{how: delivery.ConnectFailed, wait: wait})
 	default:
-		c.finish(result{how: port.Reset})
+		c.finish(result{how: delivery.Reset})
 	}
 }
 
@@ -185,8 +185,8 @@
 func (c *call) followAnswer(conn *endpointConn, answer reply) {
 	for i := range answer.results {
 		r := &answer.results[i] // of several sends, an answer that says the same of all has one for each
-		over := r.how == port.Acked || r.over
-		if over || (!r.how.MayHaveRun() && c.sends[i].event.safety != port.Idempotent) {
+		over := r.how == delivery.Acked || r.over
+		if over || (!r.how.MayHaveRun() && c.sends[i].event.safety != delivery.Idempotent) {
 			r.confirm = c.of.follow(conn, c.sends[i], r.how)
 		}
 	}
@@ -210,11 +210,11 @@
 
 // connectOutcome is how an attempt ended whose connection did not come up. A reason of this machine is not the
 // endpoint's.
-func connectOutcome(err error) port.Outcome {
+func connectOutcome(err error) delivery.Outcome {
 	if errclass.Socket(err) == errclass.Momentary {
-		return port.Unsent
+		return delivery.Unsent
 	}
-	return port.ConnectFailed
+	return delivery.ConnectFailed
 }
 
 // recordAttempts writes that the call's attempts go out, just before their bytes do: the process may end while one is
@@ -275,7 +275,7 @@
 func (c *call) drop(s *send) {
 	if i := slices.Index(c.sends, s); i >= 0 {
 		c.sends = slices.Delete(c.sends, i, i+1)
-		c.report(s, result{how: port.Unsent})
+		c.report(s, result{how: delivery.Unsent})
 	}
 	if c.ended = c.ended || len(c.sends) == 0; c.ended && c.abort != nil {
 		c.abort()
@@ -290,7 +290,7 @@
 		return false
 	}
 	if c.gaveUp {
-		c.how = port.Unsent
+		c.how = delivery.Unsent
 		c.end(nil)
 		return false
 	}
@@ -364,15 +364,15 @@
 
 // giveUp stops waiting for a call, by closing its connection: the protocol has no other way. A call of several sends is
 // given up as a whole: what becomes of the others would be up to the endpoint.
-func (c *call) giveUp(how port.Outcome) {
+func (c *call) giveUp(how delivery.Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.ended || c.gaveUp {
 		return
 	}
-	if how == port.TimedOut && c.bytes == all && !c.extended && c.conn.answerBegun() { // its answer has begun to come
+	if how == delivery.TimedOut && c.bytes == all && !c.extended && c.conn.answerBegun() { // its answer has begun to come
 		c.extended = true
-		time.AfterFunc(restWithin, func() { c.giveUp(port.TimedOut) })
+		time.AfterFunc(restWithin, func() { c.giveUp(delivery.TimedOut) })
 		return
 	}
 	c.gaveUp, c.how = true, how
@@ -418,10 +418,10 @@
 	how := c.how
 	switch {
 	case c.bytes == some || c.bytes == all:
-	case how == port.TimedOut && c.bytes == none && !c.local.Load():
-		how = port.ConnectFailed
+	case how == delivery.TimedOut && c.bytes == none && !c.local.Load():
+		how = delivery.ConnectFailed
 	default:
-		how = port.Unsent
+		how = delivery.Unsent
 	}
 	for i, s := range c.sends {
 		r := result{how: how}
--- a/node/wire.go
+++ b/node/wire.go
@@ -17,8 +17,8 @@
 	"github.com/valyala/bytebufferpool"
 	"github.com/valyala/fasthttp"
 
+	"jaspersill/delivery"
 	"jaspersill/lifecycle"
-	"jaspersill/port"
 )
 
 const (
@@ -111,7 +111,7 @@
 // how the call fared, an answer was spoilt, or the connection broke before it was whole.
 func (r *replyReader) read(sends []*send) reply {
 	if _, err := r.buf.Peek(1); err != nil {
-		return reply{results: []result{{how: port.Reset}}, close: closeBroken}
+		return reply{results: []result{{how: delivery.Reset}}, close: closeBroken}
 	}
 	// Danger: an answer that never ends would hold its slot, and what it says, for all the send's time.
 	r.conn.SetReadDeadline(time.Now().Add(restWithin))
@@ -131,11 +131,11 @@
 	switch {
 	case err == nil:
 	case delivered: // its first line has delivered a single event, whatever becomes of the rest
-		return reply{results: []result{{how: port.Acked, over: true, wait: r.toldWait(resp)}}, cut: true, close: closeAnswer}
+		return reply{results: []result{{how: delivery.Acked, over: true, wait: r.toldWait(resp)}}, cut: true, close: closeAnswer}
 	case errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET):
-		return reply{results: []result{{how: port.Reset, wait: r.toldWait(resp)}}, close: closeAnswer}
+		return reply{results: []result{{how: delivery.Reset, wait: r.toldWait(resp)}}, close: closeAnswer}
 	default:
-		return reply{results: []result{{how: port.Spoilt, wait: r.toldWait(resp)}}, close: closeAnswer}
+		return reply{results: []result{{how: delivery.Unreadable, wait: r.toldWait(resp)}}, close: closeAnswer}
 	}
 	var all result
 	all.left, all.limit = readLoad(string(resp.Header.Peek(headLoad)))
@@ -225,24 +225,24 @@
 }
 
 // readStatus maps an answer's status to how the send ended and whether its event is over.
-func readStatus(status int, noSlot, bulk bool) (how port.Outcome, over bool) {
+func readStatus(status int, noSlot, bulk bool) (how delivery.Outcome, over bool) {
 	switch {
 	case status == fasthttp.StatusOK:
-		return port.Acked, true
+		return delivery.Acked, true
 	case status == fasthttp.StatusTooManyRequests:
-		return port.Declined, false
+		return delivery.Refused, false
 	case status == fasthttp.StatusServiceUnavailable && noSlot:
-		return port.Unsent, false
+		return delivery.Unsent, false
 	case status == fasthttp.StatusServiceUnavailable:
-		return port.Declined, false
+		return delivery.Refused, false
 	case status == fasthttp.StatusGatewayTimeout: // all its sends are used up
-		return port.Unsent, false
+		return delivery.Unsent, false
 	case status == fasthttp.StatusGone:
-		return port.Unsent, true
+		return delivery.Unsent, true
 	case bulk && (status == fasthttp.StatusBadRequest || status == fasthttp.StatusRequestEntityTooLarge):
-		return port.Unsent, false // none has run
+		return delivery.Unsent, false // none has run
 	}
-	return port.Errored, false // danger: what is not known may have run
+	return delivery.Errored, false // danger: what is not known may have run
 }
 
 // readEnds reads the line of each event. An answer that leaves one out is not whole: it was cut short, or is another
@@ -251,7 +251,7 @@
 	count := 0
 	for i := range results {
 		results[i] = all
-		results[i].how = port.Spoilt
+		results[i].how = delivery.Unreadable
 	}
 	for line := range bytes.Lines(body) {
 		id, word, _ := strings.Cut(strings.TrimSpace(string(line)), " ")
@@ -262,15 +262,15 @@
 			count++
 			switch strings.TrimSpace(word) {
 			case "done":
-				results[i].how, results[i].over = port.Acked, true
+				results[i].how, results[i].over = delivery.Acked, true
 			case "failed":
-				results[i].how = port.Errored
+				results[i].how = delivery.Errored
 			case "busy":
-				results[i].how = port.Declined
+				results[i].how = delivery.Refused
 			case "void":
-				results[i].how, results[i].over = port.Unsent, true
+				results[i].how, results[i].over = delivery.Unsent, true
 			case "used_up":
-				results[i].how = port.Unsent
+				results[i].how = delivery.Unsent
 			default:
 				count--
 			}
@@ -281,7 +281,7 @@
 	}
 	for i := range results {
 		results[i] = all // a wait that it told binds all the same
-		results[i].how = port.Spoilt
+		results[i].how = delivery.Unreadable
 	}
 	return false
 }
--- a/store/failing_test.go
+++ b/store/failing_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"jaspersill/port"
+	"jaspersill/delivery"
 )
 
 // eventually waits until something holds: the store tries again by itself.
@@ -73,7 +73,7 @@
 			}
 		}
 		folder.failNext(failures, "", refused)
-		s.RecordOutcome("e0", 0, 0, port.Declined).Wait()
+		s.RecordOutcome("e0", 0, 0, delivery.Refused).Wait()
 		s.Resolve("e1", 0, Discarded, 0).Wait()
 		s.Complete("e2", 0, 0).Wait()
 		eventually(t, "all is written", func() bool {
--- a/store/record.go
+++ b/store/record.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"hash/crc32"
 
-	"jaspersill/port"
+	"jaspersill/delivery"
 )
 
 // kind is what a record says.
@@ -167,16 +167,16 @@
 // Bad tells whether something was read that is not there.
 func (f *Fields) Bad() bool { return f.bad }
 
-type outcome = port.Outcome
+type outcome = delivery.Outcome
 
-const unsent = port.Unsent
+const unsent = delivery.Unsent
 
 // Send is one send of an event as the store has it.
 type Send struct {
 	At    int64 // time of day in ns
 	Zone  string
 	Ended bool
-	How   port.Outcome
+	How   delivery.Outcome
 }
 
 // MayHaveRun tells whether the send may have taken effect, for all that is known.
@@ -218,7 +218,7 @@
 // have run.
 func (e *Event) Begin(number int, s Send) {
 	for len(e.Sends) < number {
-		e.Sends = append(e.Sends, Send{At: s.At, Zone: s.Zone, Ended: true, How: port.Unsent})
+		e.Sends = append(e.Sends, Send{At: s.At, Zone: s.Zone, Ended: true, How: delivery.Unsent})
 	}
 	switch {
 	case len(e.Sends) == number:
@@ -267,7 +267,7 @@
 	}
 	for range n {
 		s := Send{At: f.number(), Zone: f.text()}
-		s.Ended, s.How = f.byte() == 1, port.Outcome(f.byte())
+		s.Ended, s.How = f.byte() == 1, delivery.Outcome(f.byte())
 		e.Sends = append(e.Sends, s)
 	}
 	e.Body = f.bytes()
--- a/store/store_test.go
+++ b/store/store_test.go
@@ -14,7 +14,7 @@
 
 	"pgregory.net/rapid"
 
-	"jaspersill/port"
+	"jaspersill/delivery"
 )
 
 // now is the clock of the tests; it has no particular value.
@@ -86,7 +86,7 @@
 			m.ran[id] = true
 		}
 	case 2:
-		if err = s.RecordOutcome(id, 0, 0, port.Reset).Wait(); err == nil && m.ran[id] {
+		if err = s.RecordOutcome(id, 0, 0, delivery.Reset).Wait(); err == nil && m.ran[id] {
 			m.ran[id] = true
 		}
 	case 3:
@@ -369,7 +369,7 @@
 	for i := range taken { // what was taken on can all be brought to its end
 		id := fmt.Sprintf("e%d", i)
 		for n := range 6 {
-			if err := errors.Join(s.RecordAttempt(id, 0, n, now, "zone"), s.RecordOutcome(id, 0, n, port.Errored).Wait()); err != nil {
+			if err := errors.Join(s.RecordAttempt(id, 0, n, now, "zone"), s.RecordOutcome(id, 0, n, delivery.Errored).Wait()); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -448,7 +448,7 @@
 			defer wg.Done()
 			for i := range each {
 				e := event(w*each+i, "body")
-				err := errors.Join(take(s, e), s.RecordAttempt(e.ID, 0, 0, now, "z"), s.RecordOutcome(e.ID, 0, 0, port.Acked).Wait())
+				err := errors.Join(take(s, e), s.RecordAttempt(e.ID, 0, 0, now, "z"), s.RecordOutcome(e.ID, 0, 0, delivery.Acked).Wait())
 				if err != nil {
 					t.Error(err)
 				}
