--- a/connreuse/connreuse.go
+++ b/connreuse/connreuse.go
@@ -7,25 +7,25 @@
 	millisecond = int64(1e6)
 	second      = 1000 * millisecond
 
-	restFactor   = 2                 // a connection rests for so many times the slowest answer of late
-	restLeast    = 100 * millisecond // a quick endpoint may be held up for a moment
-	restMost     = 3 * second / 2    // the decision module's least time-out: an answer later than that is given up
-	restUnknown  = 500 * millisecond // before any answer was measured
+	quietFactor  = 2                 // a connection rests for so many times the slowest answer of late
+	minQuiet     = 100 * millisecond // a quick endpoint may be held up for a moment
+	maxQuiet     = 3 * second / 2    // the decision module's least time-out: an answer later than that is given up
+	defaultQuiet = 500 * millisecond // before any answer was measured
 	slowestDecay = 16                // the slowest answer of late shrinks by this part with each quicker one
 
-	alikeFirst  = 0.25 // share of refusals that are taken to be alike before any was seen: two that differ prove enough
-	alikeKeep   = 0.25 // weight of a new one
-	alikeFewest = 0.15 // below this share a refused message that may not be repeated is seldom given up for want of proof
+	initialAlikeShare = 0.25 // share of refusals that are taken to be alike before any was seen: two that differ prove enough
+	alikeWeight       = 0.25 // weight of a new one
+	maxAlikeShare     = 0.15 // below this share a refused message that may not be repeated is seldom given up for want of proof
 
-	suspectFirst = 30 * second  // no connection is reused for so long after answers were out of step, doubling
-	suspectMost  = 600 * second // and so long at most
+	minSuspectTime = 30 * second  // no connection is reused for so long after answers were out of step, doubling
+	maxSuspectTime = 600 * second // and so long at most
 )
 
 // EndpointStats is what is known of the answers of one endpoint. The zero value knows nothing.
 type EndpointStats struct {
 	slowest      int64 // answer of late
 	suspectUntil int64
-	suspectSpan  int64
+	suspectTime  int64
 }
 
 // RecordAnswer takes in how long a call took that was answered.
@@ -39,9 +39,9 @@
 // had to come would have come.
 func (e *EndpointStats) QuietPeriod() int64 {
 	if e.slowest == 0 {
-		return restUnknown
+		return defaultQuiet
 	}
-	return min(max(restLeast, restFactor*e.slowest), restMost)
+	return min(max(minQuiet, quietFactor*e.slowest), maxQuiet)
 }
 
 // RecordOutOfSync notes that answers were seen that no call waits for. More will come.
@@ -49,8 +49,8 @@
 	if now < e.suspectUntil {
 		return
 	}
-	e.suspectSpan = min(max(suspectFirst, 2*e.suspectSpan), suspectMost)
-	e.suspectUntil = now + e.suspectSpan
+	e.suspectTime = min(max(minSuspectTime, 2*e.suspectTime), maxSuspectTime)
+	e.suspectUntil = now + e.suspectTime
 }
 
 // ReuseAllowed tells whether connections are used for more than one call at present.
@@ -67,16 +67,16 @@
 // Record takes in a refusal on a connection that was refused something before, and whether it looks like that.
 func (r *RefusalStats) Record(alike bool) {
 	if !r.seen {
-		r.seen, r.alike = true, alikeFirst
+		r.seen, r.alike = true, initialAlikeShare
 	}
-	r.alike -= alikeKeep * r.alike
+	r.alike -= alikeWeight * r.alike
 	if alike {
-		r.alike += alikeKeep
+		r.alike += alikeWeight
 	}
 }
 
 // Distinguishable tells whether refusals can mostly be told apart.
-func (r *RefusalStats) Distinguishable() bool { return r.seen && r.alike < alikeFewest }
+func (r *RefusalStats) Distinguishable() bool { return r.seen && r.alike < maxAlikeShare }
 
 // Candidate is an idle connection that might take a call.
 type Candidate struct {
--- a/connreuse/connreuse_test.go
+++ b/connreuse/connreuse_test.go
@@ -48,18 +48,18 @@
 	if e.Choose([]Candidate{{IdleTime: rested}}, true, true, second) != -1 {
 		t.Error("a connection is reused just after answers were out of step")
 	}
-	e.RecordOutOfSync(suspectFirst)
-	if !e.ReuseAllowed(3*suspectFirst) || e.ReuseAllowed(3*suspectFirst-1) {
+	e.RecordOutOfSync(minSuspectTime)
+	if !e.ReuseAllowed(3*minSuspectTime) || e.ReuseAllowed(3*minSuspectTime-1) {
 		t.Error("the second time does not last twice as long as the first")
 	}
-	if e.QuietPeriod() != restUnknown {
+	if e.QuietPeriod() != defaultQuiet {
 		t.Error("an endpoint that was never measured")
 	}
 	e.RecordAnswer(300 * millisecond)
 	for range 100 {
 		e.RecordAnswer(10 * millisecond)
 	}
-	if e.QuietPeriod() != restLeast {
+	if e.QuietPeriod() != minQuiet {
 		t.Errorf("one slow answer long ago makes it rest %d", e.QuietPeriod())
 	}
 }
