--- a/connreuse/connreuse_test.go
+++ b/connreuse/connreuse_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// Guards against a call that may not be repeated on a connection where a refusal of it could be a copy, and against
-// connections that are opened without need.
+// Guards against sending a non-repeatable call on a connection where a duplicate of an earlier refusal could be taken
+// for its own, and against opening connections needlessly.
 func TestChooseAvoidsAmbiguousRefusals(t *testing.T) {
-	const rested, not = second, millisecond
+	const quiet, recent = second, millisecond
 	for _, c := range []struct {
 		name       string
 		idle       []Candidate
@@ -13,53 +13,53 @@
 		want       int
 	}{
 		{"none", nil, true, -1},
-		{"rested", []Candidate{{IdleTime: rested}}, false, 0},
-		{"not rested, once", []Candidate{{IdleTime: not}}, false, -1},
-		{"in step though not rested, once", []Candidate{{IdleTime: not, InSync: true}}, false, 0},
-		{"refused, once", []Candidate{{IdleTime: rested, RefusedBefore: true}}, false, -1},
-		{"not rested, repeatable", []Candidate{{IdleTime: 2 * not}, {IdleTime: not}}, true, 0},
-		{"refused is left to the repeatable", []Candidate{{IdleTime: rested, RefusedBefore: true}, {IdleTime: rested}}, true, 0},
-		{"the one used last", []Candidate{{IdleTime: 2 * rested}, {IdleTime: rested}}, true, 1},
-		{"rested before not rested", []Candidate{{IdleTime: rested}, {IdleTime: not, RefusedBefore: true}}, true, 0},
+		{"quiet", []Candidate{{IdleTime: quiet}}, false, 0},
+		{"recently used, non-repeatable", []Candidate{{IdleTime: recent}}, false, -1},
+		{"recently used but in sync, non-repeatable", []Candidate{{IdleTime: recent, InSync: true}}, false, 0},
+		{"refused before, non-repeatable", []Candidate{{IdleTime: quiet, RefusedBefore: true}}, false, -1},
+		{"recently used, repeatable", []Candidate{{IdleTime: 2 * recent}, {IdleTime: recent}}, true, 0},
+		{"repeatable prefers one refused before", []Candidate{{IdleTime: quiet, RefusedBefore: true}, {IdleTime: quiet}}, true, 0},
+		{"most recently used", []Candidate{{IdleTime: 2 * quiet}, {IdleTime: quiet}}, true, 1},
+		{"quiet preferred to recently used", []Candidate{{IdleTime: quiet}, {IdleTime: recent, RefusedBefore: true}}, true, 0},
 	} {
 		if got := (&EndpointStats{}).Choose(c.idle, c.repeatable, false, 0); got != c.want {
-			t.Errorf("%s: %d, want %d", c.name, got, c.want)
+			t.Errorf("%s: chose %d, want %d", c.name, got, c.want)
 		}
 	}
-	if (&EndpointStats{}).Choose([]Candidate{{IdleTime: rested, RefusedBefore: true}}, false, true, 0) != 0 {
-		t.Error("a new connection where refusals can be told apart")
+	if (&EndpointStats{}).Choose([]Candidate{{IdleTime: quiet, RefusedBefore: true}}, false, true, 0) != 0 {
+		t.Error("a new connection was chosen although refusals are distinguishable")
 	}
 	var r RefusalStats
 	if r.Distinguishable() {
-		t.Error("refusals are distinct before any was seen")
+		t.Error("refusals are distinguishable before any was recorded")
 	}
 	for range 20 {
 		r.Record(false)
 	}
 	if !r.Distinguishable() {
-		t.Error("refusals that all differ are not distinct")
+		t.Error("refusals that all differ are not distinguishable")
 	}
 	r.Record(true)
 	if r.Record(true); r.Distinguishable() {
-		t.Error("refusals of which two in a row are alike are distinct")
+		t.Error("refusals are distinguishable after two similar ones in a row")
 	}
 	e := &EndpointStats{}
 	e.RecordOutOfSync(0)
-	if e.Choose([]Candidate{{IdleTime: rested}}, true, true, second) != -1 {
-		t.Error("a connection is reused just after answers were out of step")
+	if e.Choose([]Candidate{{IdleTime: quiet}}, true, true, second) != -1 {
+		t.Error("a connection was reused right after an unexpected answer")
 	}
 	e.RecordOutOfSync(minSuspectTime)
 	if !e.ReuseAllowed(3*minSuspectTime) || e.ReuseAllowed(3*minSuspectTime-1) {
-		t.Error("the second time does not last twice as long as the first")
+		t.Error("the second suspension does not last twice as long as the first")
 	}
 	if e.QuietPeriod() != defaultQuiet {
-		t.Error("an endpoint that was never measured")
+		t.Error("an endpoint without measurements does not use the default quiet period")
 	}
 	e.RecordAnswer(300 * millisecond)
 	for range 100 {
 		e.RecordAnswer(10 * millisecond)
 	}
 	if e.QuietPeriod() != minQuiet {
-		t.Errorf("one slow answer long ago makes it rest %d", e.QuietPeriod())
+		t.Errorf("quiet period %d after one slow answer long ago, want the minimum", e.QuietPeriod())
 	}
 }
--- a/delivery/delivery.go
+++ b/delivery/delivery.go
@@ -1,21 +1,21 @@
-// Package port is the protocol-neutral interface between the decision module
-// and whatever carries its decisions out. Times are nanoseconds; events,
-// endpoints and destinations are small dense indices given out at the door.
+// Package delivery defines the protocol-neutral interface between the scheduler, which decides when and where
+// events are sent, and the code that carries out its decisions. Times are nanoseconds. Events, endpoints and
+// destinations are small dense indices that the code on the other side of the interface assigns.
 package delivery
 
-// Outcome says how a send ended.
+// Outcome is the result of a send.
 type Outcome uint8
 
 const (
 	Acked         Outcome = iota // delivered
 	Errored                      // the destination answered with an error; it may have run
-	Refused                      // turned away unseen
-	TimedOut                     // no answer in time; it may have run
-	ConnectFailed                // no connection; it did not run
+	Refused                      // rejected by the endpoint without processing
+	TimedOut                     // no answer before the timeout; it may have run
+	ConnectFailed                // no connection could be established; it did not run
 	Reset                        // the connection broke; it may have run
-	Cancelled                    // called off; it may have run
+	Cancelled                    // cancelled by the scheduler; it may have run
 	Unsent                       // never left the delivery node
-	Unreadable                   // an answer came that cannot be read; it may have run
+	Unreadable                   // the answer could not be parsed; it may have run
 )
 
 func (o Outcome) String() string {
@@ -23,12 +23,12 @@
 		"unreadable"}[o]
 }
 
-// MayHaveRun reports whether a send that ended so may have taken effect.
+// MayHaveRun reports whether a send with this outcome may have taken effect.
 func (o Outcome) MayHaveRun() bool {
 	return o != Refused && o != ConnectFailed && o != Unsent
 }
 
-// Safety is what repeating an event of a stream type may do.
+// Safety says whether events of a stream type can be sent more than once without a second effect.
 type Safety uint8
 
 const (
@@ -37,7 +37,7 @@
 	NonIdempotent
 )
 
-// EndpointState is what the directory says of an endpoint.
+// EndpointState is the state of an endpoint in the directory.
 type EndpointState uint8
 
 const (
@@ -46,37 +46,39 @@
 	Gone
 )
 
-// StreamType is one stream type's terms.
+// StreamType holds the delivery terms of one type of stream.
 type StreamType struct {
 	Safety           Safety
-	DedupPerZone     bool  // repeats are dropped only by endpoints of one zone
-	Ordered          bool  // events with the same key go one at a time
-	DedupWindow      int64 // how long a destination knows a repeat
+	DedupPerZone     bool  // duplicates are recognized only by endpoints of the same zone
+	Ordered          bool  // events with the same key are sent one at a time
+	DedupWindow      int64 // how long a destination recognizes a duplicate
 	SLO              int64
 	SLOPerWork       float64 // the SLO time grows by this multiple of the event's own work
 	MaxAge           int64
 	Utility          float64
 	LateUtility      float64 // share of the utility left at max age
-	ExponentialDecay bool    // utility halves with each further SLO time, else it falls evenly
+	ExponentialDecay bool    // past the SLO time the utility halves with each further SLO time instead of falling linearly
 }
 
-// Customer is a customer's share, in events a second over all delivery nodes.
+// Customer holds the quota of a customer, in events per second over all delivery nodes.
 type Customer struct{ Rate float64 }
 
-// DestinationKind is a kind of destination.
+// DestinationKind holds the properties that destinations of one kind have in common.
 type DestinationKind struct {
-	LimitPerEndpoint bool // its endpoints are routes apart, each with its own limit
-	MaxEventsPerCall int  // events in one call at most
+	LimitPerEndpoint bool // each endpoint has a rate limit of its own; else a destination's endpoints share one
+	MaxEventsPerCall int
 }
 
-// Limits is what a delivery node may have at once and may do.
+// Limits is what a delivery node is allowed to do.
 type Limits struct {
-	MaxConcurrentCalls, MaxEvents, MaxAttempts int
+	MaxConcurrentCalls, MaxEvents, MaxAttempts int // MaxAttempts: sends of one event
 	CanCancel                                  bool
-	MaxRetryAfter                              int64 // longest come-back time a client honours; 0 when it can't be told
+	MaxRetryAfter                              int64 // longest retry-after time that clients honour; 0 if none can be sent
 }
 
-// Recovery tells how a destination comes back from an outage.
+// Recovery describes how destinations behave after an outage. A cold one bears ColdShare of its rate limit, and more as
+// it warms up over WarmupTime. It fails again when the calls that reach it within OverloadAfter exceed OverloadFactor
+// times what it bears.
 type Recovery struct {
 	ColdShare      float64
 	WarmupTime     int64
@@ -84,68 +86,68 @@
 	OverloadAfter  int64
 }
 
-// Directory tells how the list of endpoints is kept.
+// Directory describes how the list of endpoints is delivered.
 type Directory struct {
-	RequiresWatch bool  // changes come only when asked for
-	Automatic     bool  // they count as told from the first moment, asked for or not
-	DrainGrace    int64 // time to stop sending to a draining or gone endpoint
+	RequiresWatch bool  // changes are delivered only to nodes that watch
+	Automatic     bool  // nodes are held to changes from the first moment, whether they watch or not
+	DrainGrace    int64 // time allowed to stop sending to a draining or gone endpoint
 }
 
-// Cluster is the place of this delivery node among its peers.
+// Cluster describes this delivery node's place among its peers.
 type Cluster struct {
 	Self, Nodes  int
-	PeerMessages bool // peers may be told things
+	PeerMessages bool // nodes can send messages to each other
 	Probes       bool
 }
 
-// Executor takes the decisions of one round, in order. Sends of one round to one endpoint may share a call,
-// which ends as a whole: when the least patient of them times out, or one is cancelled or recalled.
+// Executor carries out the decisions of one round, in order. Sends of one round to one endpoint may share a call.
+// A call ends as a whole: when the shortest of their timeouts expires, or when one of them is cancelled.
 type Executor interface {
-	Send(evt, endpoint int32, timeout int64)
-	Decline(evt int32, comeBack int64)
-	Discard(evt int32)
-	Cancel(evt int32, send int)
-	CancelUnsent(evt int32, send int) // ends as unsent what still waits for its connection; else it does nothing
+	Send(event, endpoint int32, timeout int64)
+	Decline(event int32, retryAfter int64)
+	Discard(event int32)
+	Cancel(event int32, send int)
+	CancelUnsent(event int32, send int) // a send still waiting for its connection ends as Unsent; otherwise a no-op
 	Wake(after int64)
 	Watch(on bool)
 	Probe(endpoint int32)
 	CloseIdle(endpoint int32)
-	Forget(endpoint int32)           // its index stands for nothing any more, and may be given out again
-	AnnounceHealthy(endpoint int32)  // tells all peers that the endpoint answers well
-	Log(text string, endpoint int32) // a line for the staff, about an endpoint
+	Forget(endpoint int32)           // releases the index, which may then be assigned again
+	AnnounceHealthy(endpoint int32)  // tells all peers that the endpoint answers normally
+	Log(text string, endpoint int32) // writes a log line about an endpoint for operators
 }
 
-// Handler takes what came in, in the order of arrival.
+// Handler receives the inputs of a round in the order of their arrival.
 type Handler interface {
-	Event(evt int32, streamType, customer int, key uint64, left, work int64, dest int32)
-	// Resumed follows Event for one taken on before a restart, with the sends it had. If one of them may have
-	// run, it says so, with how long ago the first such went out, and to which zone.
-	Resumed(evt int32, sends int, mayRun bool, ago int64, zone int)
-	ProcessingStarted(evt int32, send int)
-	// Outcome: limit is the calls a second that the destination told, 0 for none, and left
-	// the share of it that it said was free.
-	Outcome(evt int32, send int, endpoint int32, how Outcome, wait, took int64, ended bool, left, limit float64)
-	// Unconfirmed comes before the Outcome of a send whose answer may be another call's. It may have run, whatever
-	// the outcome says.
-	Unconfirmed(evt int32, send int)
-	// Confirmed takes that back: the answer was its own.
-	Confirmed(evt int32, send int)
-	Withdrawn(evt int32)
+	Event(event int32, streamType, customer int, key uint64, left, work int64, dest int32)
+	// Resumed follows Event for an event that was accepted before a restart, with the number of its sends. If one of
+	// them may have run, mayRun is set, with how long ago the first such send left and to which zone.
+	Resumed(event int32, sends int, mayRun bool, ago int64, zone int)
+	ProcessingStarted(event int32, send int)
+	// Outcome reports the end of a send. limit is the rate limit that the destination reported, in calls per second, or
+	// 0 for none; left is the share of it that was reported as unused.
+	Outcome(event int32, send int, endpoint int32, outcome Outcome, wait, took int64, ended bool, left, limit float64)
+	// Unconfirmed precedes the Outcome of a send whose answer may belong to another call. The send may have run,
+	// whatever its outcome says.
+	Unconfirmed(event int32, send int)
+	// Confirmed revokes Unconfirmed: the answer belonged to the send.
+	Confirmed(event int32, send int)
+	Withdrawn(event int32)
 	ListStarted(whole bool)
-	EndpointListed(endpoint, dest int32, partner, zone int, state EndpointState, rate float64)
+	EndpointListed(endpoint, dest int32, kind, zone int, state EndpointState, rate float64)
 	ListEnded()
 	ListFailed()
-	Probed(endpoint int32, how Outcome, took int64, left, limit float64)
+	Probed(endpoint int32, outcome Outcome, took int64, left, limit float64)
 	PeerReportedHealthy(peer int, endpoint int32)
 	Woken()
 }
 
-// Feed hands a round's news to an Intake.
+// Feed passes the inputs of a round to a Handler.
 type Feed interface{ Deliver(Handler) }
 
-// Scheduler is a decision module: one for each delivery node.
+// Scheduler makes the decisions of one delivery node.
 type Scheduler interface {
-	Round(now int64, feed Feed, out Executor)
-	// RetryAfter tells after how long an event may come back that the delivery node has no room for.
+	Round(now int64, feed Feed, exec Executor)
+	// RetryAfter returns the time after which a client may retry an event that the delivery node has no capacity for.
 	RetryAfter() int64
 }
