--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -14,20 +14,27 @@
 	"jaspersill/delivery"
 )
 
-// TestScenarios plays testdata/*.txt. A scenario is a name ("== name"), facts read at start, then steps:
+// TestScenarios runs testdata/*.txt. A scenario consists of a title ("== title"), declarations, and steps:
 //
-//	at TIME: NEWS; NEWS => DECISIONS     one round
-//	to TIME => DECISIONS                 a round each 10 ms until then
+//	at TIME: INPUTS => DECISIONS     one round
+//	to TIME => DECISIONS             a round every 10 ms until then
 //
-// News: event E TYPE DEST [left D] [key N] [sends N] [ran D], the last two for one from before a restart |
-// OUTCOME E [wait D] [took D] [limit N] | withdrawn E | good EP | full LEAST MOST | list full|delta|failed
-// EP:DEST[:STATE[:ZONE]]... | reply EP OUTCOME D [limit N], which answers the sends to EP. Decisions, in
-// order, all of them: send E EP | decline E | discard E | cancel E | watch | good EP, each with [@FROM..TO]
-// for its time; or "sends EP FROM..TO" for how many go to EP and nothing said of the rest.
+// INPUTS, separated by semicolons:
+//
+//	event E TYPE DEST [left D] [key N] [sends N] [ran D]   sends and ran: for an event accepted before a restart
+//	OUTCOME E [wait D] [took D] [limit N]                  the end of the event's current send
+//	withdrawn E
+//	good EP                                                a peer reports the endpoint as healthy
+//	full MIN MAX                                           the retry-after time without capacity is in this range
+//	list full|delta|failed EP:DEST[:STATE[:ZONE]]...
+//	reply EP OUTCOME D [limit N]                           answers all further sends to the endpoint
+//
+// DECISIONS must be complete and in order: send E EP | decline E | discard E | cancel E | watch | good EP, each with
+// [@FROM..TO] for its time. Alternatively "sends EP FROM..TO" gives only the number of sends to an endpoint.
 func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no scenarios: %v", err)
+		t.Fatalf("no scenario files: %v", err)
 	}
 	for _, file := range files {
 		text, err := os.ReadFile(file)
@@ -43,7 +50,7 @@
 }
 
 func runScenario(t *testing.T, body string) {
-	p := &harness{t: t, types: map[string]int{}, replies: map[string]pendingOutcome{},
+	h := &harness{t: t, types: map[string]int{}, replies: map[string]pendingOutcome{},
 		limits:   delivery.Limits{MaxConcurrentCalls: 8, MaxEvents: 100, MaxAttempts: 6, CanCancel: true, MaxRetryAfter: 2 * second},
 		recovery: delivery.Recovery{ColdShare: 0.25, WarmupTime: 10 * second, OverloadFactor: 2, OverloadAfter: 2 * second},
 	}
@@ -51,20 +58,20 @@
 		"type status idempotent slo 1s age 8s utility 3\n" + body
 	for line := range strings.SplitSeq(body, "\n") {
 		line, _, _ = strings.Cut(line, "#")
-		if p.line = strings.TrimSpace(line); p.line != "" {
-			p.runLine(p.line)
+		if h.line = strings.TrimSpace(line); h.line != "" {
+			h.runLine(h.line)
 		}
 	}
 }
 
-// epoch is the clock at the start: it has no particular value.
+// epoch is the time at which scenarios start; any value would do.
 const epoch = 1000 * second
 
-// pendingOutcome is an outcome, given by the scenario or still to come.
+// pendingOutcome is the outcome of a send, set by the scenario or still to come.
 type pendingOutcome struct {
 	at, took, wait int64
 	evt, ep        int32
-	how            delivery.Outcome
+	outcome        delivery.Outcome
 	limit          float64
 	never          bool
 }
@@ -74,9 +81,9 @@
 	text string
 }
 
-// harness is the world of one scenario: it feeds the module, takes its decisions and keeps the rules in sight.
+// harness runs one scenario: it feeds the scheduler, records its decisions and checks that they obey the rules.
 type harness struct {
-	delivery.Executor // what no scenario speaks of
+	delivery.Executor // methods that no scenario uses
 	t                 *testing.T
 	line              string
 	types             map[string]int
@@ -93,7 +100,7 @@
 	events, endpoints, dests []string
 	sends                    []int
 	ended                    []bool
-	inFlight                 []*pendingOutcome // the send out, by event
+	inFlight                 []*pendingOutcome // current send of each event
 	finalAnswerBy            []int64
 	ready                    map[string]bool
 	pending                  []pendingOutcome
@@ -102,21 +109,21 @@
 	decisions                []decision
 }
 
-func (p *harness) fail(format string, a ...any) {
-	p.t.Helper()
-	p.t.Fatalf("%q: %s", p.line, fmt.Sprintf(format, a...))
+func (h *harness) fail(format string, a ...any) {
+	h.t.Helper()
+	h.t.Fatalf("%q: %s", h.line, fmt.Sprintf(format, a...))
 }
 
-func (p *harness) duration(s string) int64 {
+func (h *harness) duration(s string) int64 {
 	d, err := time.ParseDuration(s)
 	if err != nil {
-		p.fail("%v", err)
+		h.fail("%v", err)
 	}
 	return int64(d)
 }
 
-// options reads the "name value" pairs behind a line's first words; what is absent is 0.
-func (p *harness) options(words []string, from int) (num func(string) float64, dur func(string) int64) {
+// options parses the "name value" pairs after the first words of a line. Absent options are 0.
+func (h *harness) options(words []string, from int) (num func(string) float64, dur func(string) int64) {
 	o := map[string]string{}
 	for i := from; i+1 < len(words); i += 2 {
 		o[words[i]] = words[i+1]
@@ -124,14 +131,14 @@
 	num = func(name string) float64 {
 		f, err := strconv.ParseFloat(cmp.Or(o[name], "0"), 64)
 		if err != nil {
-			p.fail("%v", err)
+			h.fail("%v", err)
 		}
 		return f
 	}
-	return num, func(name string) int64 { return p.duration(cmp.Or(o[name], "0s")) }
+	return num, func(name string) int64 { return h.duration(cmp.Or(o[name], "0s")) }
 }
 
-// indexOf gives out a name's indexOf, one that was forgotten first.
+// indexOf returns the index of a name, assigning one if it has none; forgotten indices are reused first.
 func indexOf(names *[]string, name string) int32 {
 	i := slices.Index(*names, name)
 	if i < 0 {
@@ -145,163 +152,164 @@
 var outcomes = map[string]delivery.Outcome{"acked": delivery.Acked, "errored": delivery.Errored, "declined": delivery.Refused,
 	"timedout": delivery.TimedOut, "spoilt": delivery.Unreadable, "nolink": delivery.ConnectFailed, "reset": delivery.Reset, "unsent": delivery.Unsent}
 
-func (p *harness) runLine(line string) {
+func (h *harness) runLine(line string) {
 	w := strings.Fields(line)
-	num, dur := p.options(w, cmp.Or(map[string]int{"start": 2}[w[0]], 3))
+	num, dur := h.options(w, cmp.Or(map[string]int{"start": 2}[w[0]], 3))
 	switch w[0] {
 	case "type": // type NAME SAFETY slo D age D utility N late N window D ordered 1 zone 1
-		p.types[w[1]] = len(p.streamTypes)
-		p.streamTypes = append(p.streamTypes, delivery.StreamType{SLO: dur("slo"), MaxAge: dur("age"), Utility: num("utility"),
+		h.types[w[1]] = len(h.streamTypes)
+		h.streamTypes = append(h.streamTypes, delivery.StreamType{SLO: dur("slo"), MaxAge: dur("age"), Utility: num("utility"),
 			LateUtility: num("late"), DedupWindow: dur("window"), Ordered: num("ordered") > 0, DedupPerZone: num("zone") > 0,
 			Safety: delivery.Safety(slices.Index([]string{"idempotent", "deduplicated", "once"}, w[2]))})
 	case "start": // start with slots N sends N nodes N pause D percall N routes 1 asked 1 pushed 1 firm 1
-		p.limits.MaxConcurrentCalls, p.limits.MaxAttempts = cmp.Or(int(num("slots")), p.limits.MaxConcurrentCalls), cmp.Or(int(num("sends")), p.limits.MaxAttempts)
-		p.cluster = delivery.Cluster{Nodes: int(num("nodes")), PeerMessages: true}
-		p.orderPause = dur("pause")
+		h.limits.MaxConcurrentCalls, h.limits.MaxAttempts = cmp.Or(int(num("slots")), h.limits.MaxConcurrentCalls),
+			cmp.Or(int(num("sends")), h.limits.MaxAttempts)
+		h.cluster = delivery.Cluster{Nodes: int(num("nodes")), PeerMessages: true}
+		h.orderPause = dur("pause")
 		if num("firm") > 0 {
-			p.recovery = delivery.Recovery{}
+			h.recovery = delivery.Recovery{}
 		}
-		p.kinds = []delivery.DestinationKind{{MaxEventsPerCall: max(1, int(num("percall"))), LimitPerEndpoint: num("routes") > 0}}
-		p.dir = delivery.Directory{RequiresWatch: num("asked") > 0, Automatic: num("pushed") > 0}
+		h.kinds = []delivery.DestinationKind{{MaxEventsPerCall: max(1, int(num("percall"))), LimitPerEndpoint: num("routes") > 0}}
+		h.dir = delivery.Directory{RequiresWatch: num("asked") > 0, Automatic: num("pushed") > 0}
 	case "at", "to":
 		head, want, _ := strings.Cut(line[3:], "=>")
-		when, news, _ := strings.Cut(head, ":")
-		end := epoch + p.duration(strings.TrimSpace(when))
-		for p.scheduler != nil && (p.now+wakeInterval < end || w[0] == "to" && p.now < end) {
-			p.now += wakeInterval
-			p.round()
+		when, inputs, _ := strings.Cut(head, ":")
+		end := epoch + h.duration(strings.TrimSpace(when))
+		for h.scheduler != nil && (h.now+wakeInterval < end || w[0] == "to" && h.now < end) {
+			h.now += wakeInterval
+			h.round()
 		}
-		for item := range strings.SplitSeq(news, ";") {
+		for item := range strings.SplitSeq(inputs, ";") {
 			if f := strings.Fields(item); len(f) > 0 {
-				p.now = end
-				p.addInput(f)
+				h.now = end
+				h.addInput(f)
 			}
 		}
-		if p.now = end; w[0] == "at" {
-			p.round()
+		if h.now = end; w[0] == "at" {
+			h.round()
 		}
-		p.expect(want)
+		h.expect(want)
 	default:
-		p.fail("unknown word %q", w[0])
+		h.fail("unknown keyword %q", w[0])
 	}
 }
 
-func (p *harness) round() {
-	if p.scheduler == nil {
-		p.scheduler = New(7, p.streamTypes, p.kinds, p.limits, p.recovery, p.dir, p.cluster, p.orderPause)
+func (h *harness) round() {
+	if h.scheduler == nil {
+		h.scheduler = New(7, h.streamTypes, h.kinds, h.limits, h.recovery, h.dir, h.cluster, h.orderPause)
 	}
-	p.pending = slices.DeleteFunc(p.pending, func(d pendingOutcome) bool {
-		if d.at <= p.now {
-			p.deliverOutcome(d)
+	h.pending = slices.DeleteFunc(h.pending, func(d pendingOutcome) bool {
+		if d.at <= h.now {
+			h.deliverOutcome(d)
 		}
-		return d.at <= p.now
+		return d.at <= h.now
 	})
-	p.scheduler.Round(p.now, p, p)
-	p.inputs = nil
-	for e := range p.finalAnswerBy {
-		if !p.ended[e] && p.now > p.finalAnswerBy[e] {
-			p.fail("%s has no final answer at %v", p.events[e], time.Duration(p.now))
+	h.scheduler.Round(h.now, h, h)
+	h.inputs = nil
+	for e := range h.finalAnswerBy {
+		if !h.ended[e] && h.now > h.finalAnswerBy[e] {
+			h.fail("%s has no final answer by %v", h.events[e], time.Duration(h.now))
 		}
 	}
 }
 
-func (p *harness) deliverOutcome(d pendingOutcome) {
-	if p.inFlight[d.evt] == nil {
-		p.fail("outcome for %s, which has no send out", p.events[d.evt])
+func (h *harness) deliverOutcome(d pendingOutcome) {
+	if h.inFlight[d.evt] == nil {
+		h.fail("outcome for %s, which has no send in flight", h.events[d.evt])
 	}
-	p.inFlight[d.evt] = nil
-	p.ended[d.evt] = p.ended[d.evt] || d.how == delivery.Acked
-	n, ended := p.sends[d.evt]-1, p.ended[d.evt]
-	p.inputs = append(p.inputs, func(to delivery.Handler) {
-		to.Outcome(d.evt, n, d.ep, d.how, d.wait, d.took, ended, 0, d.limit)
+	h.inFlight[d.evt] = nil
+	h.ended[d.evt] = h.ended[d.evt] || d.outcome == delivery.Acked
+	n, ended := h.sends[d.evt]-1, h.ended[d.evt]
+	h.inputs = append(h.inputs, func(to delivery.Handler) {
+		to.Outcome(d.evt, n, d.ep, d.outcome, d.wait, d.took, ended, 0, d.limit)
 	})
 }
 
-func (p *harness) addInput(f []string) {
+func (h *harness) addInput(f []string) {
 	switch f[0] {
 	case "event":
-		num, dur := p.options(f, 4)
-		e, typ, dest, key := indexOf(&p.events, f[1]), p.types[f[2]], indexOf(&p.dests, f[3]), uint64(num("key"))
-		left := cmp.Or(dur("left"), p.streamTypes[typ].MaxAge)
-		p.sends, p.ended, p.inFlight = append(p.sends, 0), append(p.ended, false), append(p.inFlight, nil)
-		p.finalAnswerBy = append(p.finalAnswerBy, p.now+left)
+		num, dur := h.options(f, 4)
+		e, typ, dest, key := indexOf(&h.events, f[1]), h.types[f[2]], indexOf(&h.dests, f[3]), uint64(num("key"))
+		left := cmp.Or(dur("left"), h.streamTypes[typ].MaxAge)
+		h.sends, h.ended, h.inFlight = append(h.sends, 0), append(h.ended, false), append(h.inFlight, nil)
+		h.finalAnswerBy = append(h.finalAnswerBy, h.now+left)
 		sends, ran := int(num("sends")), dur("ran")
-		p.sends[e] = sends
-		p.inputs = append(p.inputs, func(to delivery.Handler) {
+		h.sends[e] = sends
+		h.inputs = append(h.inputs, func(to delivery.Handler) {
 			if to.Event(e, typ, 0, key, left, 0, dest); sends > 0 {
 				to.Resumed(e, sends, ran > 0, ran, 0)
 			}
 		})
 	case "withdrawn":
-		e := indexOf(&p.events, f[1])
-		p.ended[e] = true
-		p.inputs = append(p.inputs, func(to delivery.Handler) { to.Withdrawn(e) })
-	case "full": // full LEAST MOST: the come-back time told lies between
-		p.inputs = append(p.inputs, func(delivery.Handler) {
-			if back := p.scheduler.RetryAfter(); back < p.duration(f[1]) || back > p.duration(f[2]) {
-				p.fail("told to come back after %v", time.Duration(back))
+		e := indexOf(&h.events, f[1])
+		h.ended[e] = true
+		h.inputs = append(h.inputs, func(to delivery.Handler) { to.Withdrawn(e) })
+	case "full": // full MIN MAX
+		h.inputs = append(h.inputs, func(delivery.Handler) {
+			if after := h.scheduler.RetryAfter(); after < h.duration(f[1]) || after > h.duration(f[2]) {
+				h.fail("retry-after time is %v", time.Duration(after))
 			}
 		})
 	case "good":
-		ep := indexOf(&p.endpoints, f[1])
-		p.inputs = append(p.inputs, func(to delivery.Handler) { to.PeerReportedHealthy(1, ep) })
+		ep := indexOf(&h.endpoints, f[1])
+		h.inputs = append(h.inputs, func(to delivery.Handler) { to.PeerReportedHealthy(1, ep) })
 	case "reply":
-		how, ever := outcomes[f[2]]
-		num, _ := p.options(f, 4)
-		p.replies[f[1]] = pendingOutcome{how: how, took: p.duration(f[3]), never: !ever, limit: num("limit")}
+		outcome, known := outcomes[f[2]]
+		num, _ := h.options(f, 4)
+		h.replies[f[1]] = pendingOutcome{outcome: outcome, took: h.duration(f[3]), never: !known, limit: num("limit")}
 	case "list":
-		p.addList(f[1], f[2:])
+		h.addList(f[1], f[2:])
 	default:
-		how, ok := outcomes[f[0]]
+		outcome, ok := outcomes[f[0]]
 		if !ok {
-			p.fail("unknown news %q", f[0])
+			h.fail("unknown input %q", f[0])
 		}
-		e := indexOf(&p.events, f[1])
-		if p.inFlight[e] == nil {
-			p.fail("%s has no send out", f[1])
+		e := indexOf(&h.events, f[1])
+		if h.inFlight[e] == nil {
+			h.fail("%s has no send in flight", f[1])
 		}
-		num, dur := p.options(f, 2)
-		d := *p.inFlight[e]
-		d.how, d.took, d.wait, d.limit = how, p.now-d.at, dur("wait"), num("limit")
-		p.deliverOutcome(d)
+		num, dur := h.options(f, 2)
+		d := *h.inFlight[e]
+		d.outcome, d.took, d.wait, d.limit = outcome, h.now-d.at, dur("wait"), num("limit")
+		h.deliverOutcome(d)
 	}
 }
 
-func (p *harness) addList(how string, entries []string) {
-	if how == "failed" {
-		p.inputs = append(p.inputs, func(to delivery.Handler) { to.ListFailed() })
+func (h *harness) addList(kind string, entries []string) {
+	if kind == "failed" {
+		h.inputs = append(h.inputs, func(to delivery.Handler) { to.ListFailed() })
 		return
 	}
-	p.inputs = append(p.inputs, func(to delivery.Handler) { to.ListStarted(how == "full") })
-	if p.ready == nil || how == "full" {
-		p.ready = map[string]bool{}
+	h.inputs = append(h.inputs, func(to delivery.Handler) { to.ListStarted(kind == "full") })
+	if h.ready == nil || kind == "full" {
+		h.ready = map[string]bool{}
 	}
 	for _, entry := range entries {
 		part := append(strings.Split(entry, ":"), "ready", "0")
 		zone, _ := strconv.Atoi(part[3])
 		state := map[string]delivery.EndpointState{"ready": delivery.Ready, "draining": delivery.Draining, "gone": delivery.Gone}[part[2]]
-		p.ready[part[0]] = state == delivery.Ready
-		ep, dest := indexOf(&p.endpoints, part[0]), indexOf(&p.dests, part[1])
-		p.inputs = append(p.inputs, func(to delivery.Handler) {
+		h.ready[part[0]] = state == delivery.Ready
+		ep, dest := indexOf(&h.endpoints, part[0]), indexOf(&h.dests, part[1])
+		h.inputs = append(h.inputs, func(to delivery.Handler) {
 			to.EndpointListed(ep, dest, 0, zone, state, 0)
 		})
 	}
-	p.inputs = append(p.inputs, func(to delivery.Handler) { to.ListEnded() })
+	h.inputs = append(h.inputs, func(to delivery.Handler) { to.ListEnded() })
 }
 
-func (p *harness) expect(want string) {
-	p.t.Helper()
-	defer func() { p.decisions = nil }()
+func (h *harness) expect(want string) {
+	h.t.Helper()
+	defer func() { h.decisions = nil }()
 	if f := strings.Fields(want); len(f) == 3 && f[0] == "sends" {
 		n := 0
-		for _, d := range p.decisions {
+		for _, d := range h.decisions {
 			if w := strings.Fields(d.text); w[0] == "send" && w[2] == f[1] {
 				n++
 			}
 		}
 		var lo, hi int
 		if _, err := fmt.Sscanf(f[2], "%d..%d", &lo, &hi); err != nil || n < lo || n > hi {
-			p.fail("%d sends %v", n, err)
+			h.fail("got %d sends; error: %v", n, err)
 		}
 		return
 	}
@@ -311,68 +319,68 @@
 		if text == "" {
 			continue
 		}
-		if i >= len(p.decisions) || p.decisions[i].text != text {
-			p.fail("want %q as decision %d, got %v", text, i, p.decisions)
+		if i >= len(h.decisions) || h.decisions[i].text != text {
+			h.fail("want %q as decision %d, got %v", text, i, h.decisions)
 		}
-		if lo, hi, _ := strings.Cut(span, ".."); timed && (p.decisions[i].at < epoch+p.duration(lo) || p.decisions[i].at > epoch+p.duration(hi)) {
-			p.fail("%q came at %v", text, time.Duration(p.decisions[i].at-epoch))
+		if lo, hi, _ := strings.Cut(span, ".."); timed && (h.decisions[i].at < epoch+h.duration(lo) || h.decisions[i].at > epoch+h.duration(hi)) {
+			h.fail("got %q at %v", text, time.Duration(h.decisions[i].at-epoch))
 		}
 		i++
 	}
-	if i < len(p.decisions) {
-		p.fail("more than was wanted: %v", p.decisions[i:])
+	if i < len(h.decisions) {
+		h.fail("unexpected further decisions: %v", h.decisions[i:])
 	}
 }
 
-// Deliver implements port.Feed; the methods below implement port.Writer.
-func (p *harness) Deliver(to delivery.Handler) {
-	for _, item := range p.inputs {
+// Deliver implements delivery.Feed; the methods below implement delivery.Executor.
+func (h *harness) Deliver(to delivery.Handler) {
+	for _, item := range h.inputs {
 		item(to)
 	}
 }
 
-func (p *harness) record(text string) { p.decisions = append(p.decisions, decision{p.now, text}) }
+func (h *harness) record(text string) { h.decisions = append(h.decisions, decision{h.now, text}) }
 
-func (p *harness) Send(evt, ep int32, timeout int64) {
-	name := p.endpoints[ep]
-	if p.ended[evt] || p.inFlight[evt] != nil || !p.ready[name] || timeout <= 0 {
-		p.fail("send of %s to %s with time-out %v is against the rules", p.events[evt], name, time.Duration(timeout))
+func (h *harness) Send(evt, ep int32, timeout int64) {
+	name := h.endpoints[ep]
+	if h.ended[evt] || h.inFlight[evt] != nil || !h.ready[name] || timeout <= 0 {
+		h.fail("send of %s to %s with timeout %v breaks the rules", h.events[evt], name, time.Duration(timeout))
 	}
-	p.sends[evt]++
-	p.inFlight[evt] = &pendingOutcome{at: p.now, evt: evt, ep: ep}
-	if a, ok := p.replies[name]; ok {
+	h.sends[evt]++
+	h.inFlight[evt] = &pendingOutcome{at: h.now, evt: evt, ep: ep}
+	if a, ok := h.replies[name]; ok {
 		if a.evt, a.ep = evt, ep; a.never || timeout < a.took {
-			a.how, a.took = delivery.TimedOut, timeout
+			a.outcome, a.took = delivery.TimedOut, timeout
 		}
-		a.at = p.now + a.took
-		p.pending = append(p.pending, a)
+		a.at = h.now + a.took
+		h.pending = append(h.pending, a)
 	}
-	p.record("send " + p.events[evt] + " " + name)
+	h.record("send " + h.events[evt] + " " + name)
 }
 
-func (p *harness) endEvent(evt int32, word string) {
-	if p.ended[evt] {
-		p.fail("%s is answered twice", p.events[evt])
+func (h *harness) endEvent(evt int32, word string) {
+	if h.ended[evt] {
+		h.fail("%s got two final answers", h.events[evt])
 	}
-	p.ended[evt] = true
-	p.record(word + " " + p.events[evt])
+	h.ended[evt] = true
+	h.record(word + " " + h.events[evt])
 }
 
-func (p *harness) Cancel(evt int32, send int) {
-	p.record("cancel " + p.events[evt])
-	for i := range p.pending {
-		if p.pending[i].evt == evt {
-			p.pending[i].at, p.pending[i].how, p.pending[i].took = p.now, delivery.Cancelled, p.now-p.inFlight[evt].at
+func (h *harness) Cancel(evt int32, send int) {
+	h.record("cancel " + h.events[evt])
+	for i := range h.pending {
+		if h.pending[i].evt == evt {
+			h.pending[i].at, h.pending[i].outcome, h.pending[i].took = h.now, delivery.Cancelled, h.now-h.inFlight[evt].at
 		}
 	}
 }
 
-func (p *harness) CancelUnsent(evt int32, send int)  { p.record("recall " + p.events[evt]) }
-func (p *harness) Decline(evt int32, comeBack int64) { p.endEvent(evt, "decline") }
-func (p *harness) Discard(evt int32)                 { p.endEvent(evt, "discard") }
-func (p *harness) Wake(int64)                        {}
-func (p *harness) Watch(bool)                        { p.record("watch") }
-func (p *harness) AnnounceHealthy(ep int32)          { p.record("good " + p.endpoints[ep]) }
-func (p *harness) Log(string, int32)                 {}
-func (p *harness) Forget(ep int32)                   { p.record("forget " + p.endpoints[ep]); p.endpoints[ep] = "" }
-func (p *harness) CloseIdle(ep int32)                { p.record("close " + p.endpoints[ep]) }
+func (h *harness) CancelUnsent(evt int32, send int)    { h.record("recall " + h.events[evt]) }
+func (h *harness) Decline(evt int32, retryAfter int64) { h.endEvent(evt, "decline") }
+func (h *harness) Discard(evt int32)                   { h.endEvent(evt, "discard") }
+func (h *harness) Wake(int64)                          {}
+func (h *harness) Watch(bool)                          { h.record("watch") }
+func (h *harness) AnnounceHealthy(ep int32)            { h.record("good " + h.endpoints[ep]) }
+func (h *harness) Log(string, int32)                   {}
+func (h *harness) Forget(ep int32)                     { h.record("forget " + h.endpoints[ep]); h.endpoints[ep] = "" }
+func (h *harness) CloseIdle(ep int32)                  { h.record("close " + h.endpoints[ep]) }
