--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -24,13 +24,16 @@
 //	event E TYPE DEST [left D] [key N] [sends N] [ran D]   sends and ran: for an event accepted before a restart
 //	OUTCOME E [wait D] [took D] [limit N]                  the end of the event's current send
 //	withdrawn E
-//	good EP                                                a peer reports the endpoint as healthy
-//	full MIN MAX                                           the retry-after time without capacity is in this range
+//	peer_healthy EP                                        a peer reports the endpoint as healthy
+//	retry_after MIN MAX                                    the retry-after time without capacity is in this range
 //	list full|delta|failed EP:DEST[:STATE[:ZONE]]...
 //	reply EP OUTCOME D [limit N]                           answers all further sends to the endpoint
 //
-// DECISIONS must be complete and in order: send E EP | decline E | discard E | cancel E | watch | good EP, each with
-// [@FROM..TO] for its time. Alternatively "sends EP FROM..TO" gives only the number of sends to an endpoint.
+// OUTCOME is one of the names in the variable outcomes; in a reply, never stands for no answer.
+//
+// DECISIONS must be complete and in order: send E EP | decline E | discard E | cancel E | cancel_unsent E | watch |
+// announce EP | close_idle EP | forget EP, each with [@FROM..TO] for its time. Alternatively "sends EP FROM..TO" gives
+// only the number of sends to an endpoint.
 func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
@@ -54,7 +57,7 @@
 		limits:   delivery.Limits{MaxConcurrentCalls: 8, MaxEvents: 100, MaxAttempts: 6, CanCancel: true, MaxRetryAfter: 2 * second},
 		recovery: delivery.Recovery{ColdShare: 0.25, WarmupTime: 10 * second, OverloadFactor: 2, OverloadAfter: 2 * second},
 	}
-	body = "type alert idempotent slo 4s age 28s utility 1 late 0.5\ntype charge once slo 4s age 24s utility 4 late 0.5\n" +
+	body = "type alert idempotent slo 4s age 28s utility 1 late 0.5\ntype charge non-idempotent slo 4s age 24s utility 4 late 0.5\n" +
 		"type status idempotent slo 1s age 8s utility 3\n" + body
 	for line := range strings.SplitSeq(body, "\n") {
 		line, _, _ = strings.Cut(line, "#")
@@ -149,8 +152,8 @@
 	return int32(i)
 }
 
-var outcomes = map[string]delivery.Outcome{"acked": delivery.Acked, "errored": delivery.Errored, "declined": delivery.Refused,
-	"timedout": delivery.TimedOut, "spoilt": delivery.Unreadable, "nolink": delivery.ConnectFailed, "reset": delivery.Reset, "unsent": delivery.Unsent}
+var outcomes = map[string]delivery.Outcome{"acked": delivery.Acked, "errored": delivery.Errored, "refused": delivery.Refused,
+	"timed_out": delivery.TimedOut, "unreadable": delivery.Unreadable, "connect_failed": delivery.ConnectFailed, "reset": delivery.Reset, "unsent": delivery.Unsent}
 
 func (h *harness) runLine(line string) {
 	w := strings.Fields(line)
@@ -160,17 +163,17 @@
 		h.types[w[1]] = len(h.streamTypes)
 		h.streamTypes = append(h.streamTypes, delivery.StreamType{SLO: dur("slo"), MaxAge: dur("age"), Utility: num("utility"),
 			LateUtility: num("late"), DedupWindow: dur("window"), Ordered: num("ordered") > 0, DedupPerZone: num("zone") > 0,
-			Safety: delivery.Safety(slices.Index([]string{"idempotent", "deduplicated", "once"}, w[2]))})
-	case "start": // start with slots N sends N nodes N pause D percall N routes 1 asked 1 pushed 1 firm 1
+			Safety: delivery.Safety(slices.Index([]string{"idempotent", "deduplicated", "non-idempotent"}, w[2]))})
+	case "start": // start with slots N max_attempts N nodes N order_pause D max_events N endpoint_limits 1 requires_watch 1 automatic 1 no_overload 1
 		h.limits.MaxConcurrentCalls, h.limits.MaxAttempts = cmp.Or(int(num("slots")), h.limits.MaxConcurrentCalls),
-			cmp.Or(int(num("sends")), h.limits.MaxAttempts)
+			cmp.Or(int(num("max_attempts")), h.limits.MaxAttempts)
 		h.cluster = delivery.Cluster{Nodes: int(num("nodes")), PeerMessages: true}
-		h.orderPause = dur("pause")
-		if num("firm") > 0 {
+		h.orderPause = dur("order_pause")
+		if num("no_overload") > 0 {
 			h.recovery = delivery.Recovery{}
 		}
-		h.kinds = []delivery.DestinationKind{{MaxEventsPerCall: max(1, int(num("percall"))), LimitPerEndpoint: num("routes") > 0}}
-		h.dir = delivery.Directory{RequiresWatch: num("asked") > 0, Automatic: num("pushed") > 0}
+		h.kinds = []delivery.DestinationKind{{MaxEventsPerCall: max(1, int(num("max_events"))), LimitPerEndpoint: num("endpoint_limits") > 0}}
+		h.dir = delivery.Directory{RequiresWatch: num("requires_watch") > 0, Automatic: num("automatic") > 0}
 	case "at", "to":
 		head, want, _ := strings.Cut(line[3:], "=>")
 		when, inputs, _ := strings.Cut(head, ":")
@@ -244,13 +247,13 @@
 		e := indexOf(&h.events, f[1])
 		h.ended[e] = true
 		h.inputs = append(h.inputs, func(to delivery.Handler) { to.Withdrawn(e) })
-	case "full": // full MIN MAX
+	case "retry_after": // retry_after MIN MAX
 		h.inputs = append(h.inputs, func(delivery.Handler) {
 			if after := h.scheduler.RetryAfter(); after < h.duration(f[1]) || after > h.duration(f[2]) {
 				h.fail("retry-after time is %v", time.Duration(after))
 			}
 		})
-	case "good":
+	case "peer_healthy":
 		ep := indexOf(&h.endpoints, f[1])
 		h.inputs = append(h.inputs, func(to delivery.Handler) { to.PeerReportedHealthy(1, ep) })
 	case "reply":
@@ -375,12 +378,12 @@
 	}
 }
 
-func (h *harness) CancelUnsent(evt int32, send int)    { h.record("recall " + h.events[evt]) }
+func (h *harness) CancelUnsent(evt int32, send int)    { h.record("cancel_unsent " + h.events[evt]) }
 func (h *harness) Decline(evt int32, retryAfter int64) { h.endEvent(evt, "decline") }
 func (h *harness) Discard(evt int32)                   { h.endEvent(evt, "discard") }
 func (h *harness) Wake(int64)                          {}
 func (h *harness) Watch(bool)                          { h.record("watch") }
-func (h *harness) AnnounceHealthy(ep int32)            { h.record("good " + h.endpoints[ep]) }
+func (h *harness) AnnounceHealthy(ep int32)            { h.record("announce " + h.endpoints[ep]) }
 func (h *harness) Log(string, int32)                   {}
 func (h *harness) Forget(ep int32)                     { h.record("forget " + h.endpoints[ep]); h.endpoints[ep] = "" }
-func (h *harness) CloseIdle(ep int32)                  { h.record("close " + h.endpoints[ep]) }
+func (h *harness) CloseIdle(ep int32)                  { h.record("close_idle " + h.endpoints[ep]) }
