--- a/node/attribution_test.go
+++ b/node/attribution_test.go
@@ -163,8 +163,8 @@
 	s.event.body = make([]byte, 40<<20)
 	c.sends = []*send{s}
 	go p.carry(c)
-	if r := ending(t, s); r.how != port.ConnectFailed {
-		t.Errorf("it ended as %v", r.how)
+	if r := ending(t, s); r.outcome != port.ConnectFailed {
+		t.Errorf("it ended as %v", r.outcome)
 	}
 }
 
@@ -173,7 +173,7 @@
 	at := newPeer(t, say(answerOf("200 OK", "", "other1 done\r\nother2 done\r\n")))
 	p := newEndpoints(t, at.Addr().String())
 	ends, _ := deliver(t, p, long, long)
-	if ends[0].how != port.Spoilt || ends[1].how != port.Spoilt {
+	if ends[0].outcome != port.Spoilt || ends[1].outcome != port.Spoilt {
 		t.Errorf("got %+v", ends)
 	}
 	select {
@@ -304,7 +304,7 @@
 		if !first {
 			t.Fatal("one that never came is known")
 		}
-		r.answer(request, answer{status: statusTaken})
+		r.answer(request, clientResponse{status: statusTaken})
 	}
 	if len(r.byID) != receivedMost || len(r.oldest) != receivedMost {
 		t.Errorf("%d are known, %d in order", len(r.byID), len(r.oldest))
--- a/node/clientconn.go
+++ b/node/clientconn.go
@@ -93,7 +93,7 @@
 	}
 	g.within(g.listener.between)
 	if g.wrote {
-		g.delayedSince = time.Time{}
+		g.readFailingSince = time.Time{}
 	}
 	g.listener.mu.Unlock()
 	n, err := g.retryConn.Read(g.woken[:])
@@ -165,7 +165,7 @@
 	defer g.listener.mu.Unlock()
 	g.whole, g.asked = true, g.asked || good
 	g.requests++
-	g.state.ReadRequest()
+	g.state.MarkRequestRead()
 }
 
 // idle marks that the answer was written.
@@ -202,7 +202,7 @@
 			g.awaitEnd()
 		}
 	}
-	g.state.Close(g.RemoteAddr().String())
+	g.state.CheckClose(g.RemoteAddr().String())
 	g.noteEnd()
 	g.Conn.Close()
 	g.listener.mu.Lock()
@@ -222,10 +222,10 @@
 
 // delay is how long ago the request that was read last may have come, beyond the time that reading it took.
 func (g *clientConn) delay() time.Duration {
-	if g.delayedSince.IsZero() {
+	if g.readFailingSince.IsZero() {
 		return 0
 	}
-	return time.Since(g.delayedSince)
+	return time.Since(g.readFailingSince)
 }
 
 // awaitEnd waits until the client has closed its side, or has no more time. It takes no byte off the connection.
@@ -247,7 +247,7 @@
 	raw.Read(func(descriptor uintptr) bool {
 		var one [1]byte
 		n, _, err := syscall.Recvfrom(int(descriptor), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		unread = n > 0 || errclass.Socket(err) == errclass.Momentary
+		unread = n > 0 || errclass.Socket(err) == errclass.Transient
 		return !errors.Is(err, syscall.EAGAIN)
 	})
 	return unread
--- a/node/clients.go
+++ b/node/clients.go
@@ -44,7 +44,7 @@
 	node     *Node
 	listener *listener
 	answer   func(*fasthttp.RequestCtx) // a request that could be read
-	bad      tally
+	bad      throttledLog
 	received received
 }
 
@@ -59,15 +59,15 @@
 
 func (quiet) Printf(format string, args ...any) { logs.Part("clients").Debugf(format, args...) }
 
-func openClients(n *Node, address string, times ClientTimes, most, keep int) (*clients, error) {
+func openClients(n *Node, address string, times ClientTimeouts, most, keep int) (*clients, error) {
 	l, err := openSocket(func() (net.Listener, error) { return net.Listen("tcp", address) })
 	if err != nil {
 		return nil, err
 	}
 	c := &clients{node: n, listener: newListener(l, most, keep),
-		bad: tally{part: "clients", what: "refused what is no event"}}
-	c.listener.first, c.listener.between = cmp.Or(times.First, firstWithin), cmp.Or(times.Between, clientIdle)
-	c.listener.request = cmp.Or(times.Whole, readWithin)
+		bad: throttledLog{part: "clients", message: "refused what is no event"}}
+	c.listener.first, c.listener.between = cmp.Or(times.FirstRequest, firstWithin), cmp.Or(times.Idle, clientIdle)
+	c.listener.request = cmp.Or(times.Request, readWithin)
 	c.answer = c.handle
 	return c, nil
 }
@@ -141,7 +141,7 @@
 	}
 	g.SetWriteDeadline(time.Now().Add(writeWithin))
 	_, err := g.Write(out.B)
-	g.state.Answer() // whole, or its client has gone
+	g.state.MarkAnswered() // whole, or its client has gone
 	switch {
 	case err != nil:
 		g.endsFor(endUnwritten)
@@ -233,23 +233,23 @@
 }
 
 // takeOn takes an event on, or refuses it, and returns what its client hears.
-func (c *clients) takeOn(ctx *fasthttp.RequestCtx, e *event) answer {
-	if reason := c.node.refuses(e); reason != "" {
-		logRefusal(e.id, reason)
-		return answer{status: statusDeclined, comeBack: c.node.desk.full()}
+func (c *clients) takeOn(ctx *fasthttp.RequestCtx, e *event) clientResponse {
+	if reason := c.node.refusalReason(e); reason != "" {
+		recordRefusal(e.id, reason)
+		return clientResponse{status: statusDeclined, retryAfter: c.node.decisions.fullRetryAfter()}
 	}
 	if g, ok := ctx.Conn().(*clientConn); ok && logs.Debugging() {
 		logs.Event("clients", e.id).WithField("connection", g.id).Debug("a request came")
 	}
-	go c.node.life(e)
-	return <-e.answer
+	go c.node.runEvent(e)
+	return <-e.response
 }
 
 // reply tells a client that its event is taken on, or when to come back.
-func (c *clients) reply(ctx *fasthttp.RequestCtx, a answer) {
+func (c *clients) reply(ctx *fasthttp.RequestCtx, a clientResponse) {
 	ctx.SetStatusCode(a.status)
 	if a.status == statusDeclined {
-		ctx.Response.Header.Set(headRetry, strconv.FormatFloat(float64(a.comeBack)/1e9, 'f', retryDigits, 64))
+		ctx.Response.Header.Set(headRetry, strconv.FormatFloat(float64(a.retryAfter)/1e9, 'f', retryDigits, 64))
 	}
 }
 
@@ -271,7 +271,7 @@
 
 // turnAway answers a client's mistake.
 func (c *clients) turnAway(ctx *fasthttp.RequestCtx, status int, text string) {
-	c.bad.note(text)
+	c.bad.record(text)
 	plain(ctx, status, text)
 }
 
@@ -285,18 +285,18 @@
 func (n *Node) readEvent(ctx *fasthttp.RequestCtx) (e *event, status int, problem string) {
 	head := func(name string) string { return string(ctx.Request.Header.Peek(name)) }
 	bad := fasthttp.StatusBadRequest
-	e = &event{id: head(headID), mark: head(headMark)}
+	e = &event{id: head(headID), idempotencyKey: head(headMark)}
 	if !isWord(e.id, longestID) {
 		return nil, bad, headID + ": want 1 to 64 plain characters"
 	}
 	var ok bool
-	if e.typ, e.customer, ok = n.find(head(headKind), head(headOwner)); !ok {
+	if e.typ, e.customer, ok = n.resolveNames(head(headKind), head(headOwner)); !ok {
 		return nil, bad, headKind + " or " + headOwner + " is unknown"
 	}
-	if e.mark != "" && !isWord(e.mark, longestMark) {
+	if e.idempotencyKey != "" && !isWord(e.idempotencyKey, longestMark) {
 		return nil, bad, headMark + ": want at most 256 plain characters"
 	}
-	if e.mark == "" && n.marked(e.typ) {
+	if e.idempotencyKey == "" && n.requiresIdempotencyKey(e.typ) {
 		return nil, bad, headMark + " is missing"
 	}
 	left, err := strconv.ParseUint(head(headDeadline), 10, 63)
@@ -310,10 +310,10 @@
 	if g, ok := ctx.Conn().(*clientConn); ok { // the time counts from when the request came
 		left -= uint64(min(g.delay().Milliseconds(), int64(left)))
 	}
-	e.due, e.deadline = n.clock.now()+int64(left)*1e6, n.clock.day()+int64(left)*1e6
-	e.safety = n.safety(e.typ)
-	e.request = lifecycle.NewRequest(e.id, e.due, n.repeatable(e.typ))
-	e.steps, e.answer = make(chan step, maxSteps), make(chan answer, 1)
+	e.monoDeadline, e.wallDeadline = n.clock.now()+int64(left)*1e6, n.clock.day()+int64(left)*1e6
+	e.safety = n.safetyOf(e.typ)
+	e.request = lifecycle.NewRequest(e.id, e.monoDeadline, n.repeatable(e.typ))
+	e.updates, e.response = make(chan eventUpdate, updateBuffer), make(chan clientResponse, 1)
 	return e, 0, ""
 }
 
--- a/node/confirmation.go
+++ b/node/confirmation.go
@@ -115,7 +115,7 @@
 	defer p.mu.Unlock()
 	conn.pending = append(conn.pending, c)
 	p.pending++
-	hold := reuse.HoldUntil(s.began, s.timeout, s.event.due) - now
+	hold := reuse.HoldUntil(s.began, s.timeout, s.event.monoDeadline) - now
 	c.timer = time.AfterFunc(time.Duration(max(hold, 0)), func() { p.expireHold(c) })
 	return c
 }
@@ -160,7 +160,7 @@
 	}
 	if p.clock.now()-conn.used >= p.reuse[conn.endpoint].Rest() {
 		conn.provenAt = conn.used
-		conn.answers.Prove()
+		conn.answers.MarkInSync()
 	}
 	return true
 }
@@ -229,32 +229,32 @@
 // settle ends the event: nothing more is owed if the answer was its own, else a notice, which does no harm if it was.
 func (e *provisionalEnd) settle(confirmed bool) {
 	if confirmed {
-		e.request.Confirm()
+		e.request.ConfirmEnd()
 		e.node.journal.forget(e.id, e.came)
 		return
 	}
-	if e.request.Doubt() != nil {
+	if e.request.FailConfirmation() != nil {
 		return
 	}
-	e.node.ending.Add(1)
+	e.node.unreportedEnds.Add(1)
 	go e.tell()
 }
 
 // tell tells the platform that the event was not delivered, once a restart would respect it.
 func (e *provisionalEnd) tell() {
 	written := false
-	if !e.request.MayTell(e.node.clock.now(), false) {
+	if !e.request.MayReportEnd(e.node.clock.now(), false) {
 		select {
 		case <-e.record.Written():
 			written = true
 		case <-time.After(time.Duration(e.due - e.node.clock.now())):
 		}
 	}
-	if e.request.Tell(e.node.clock.now(), written) != nil {
+	if e.request.ReportEnd(e.node.clock.now(), written) != nil {
 		return
 	}
 	e.node.notices.post(notice{id: e.id, verdict: discarded, told: func() {
-		e.node.ending.Add(-1)
+		e.node.unreportedEnds.Add(-1)
 		e.node.journal.forget(e.id, e.came)
 	}})
 }
--- a/node/directory.go
+++ b/node/directory.go
@@ -41,13 +41,13 @@
 type directory struct {
 	address   string
 	silence   atomic.Int64 // ns; without a sign for so long, a call is broken
-	desk      *desk
+	desk      *decisionLoop
 	endpoints *endpoints
 	partners  []string
 	zones     []string
 	rated     bool
 
-	answers trouble
+	answers failureLog
 
 	mu     sync.Mutex
 	seq    uint64
@@ -139,8 +139,8 @@
 
 // failed tells the module that a call failed or the watch broke.
 func (d *directory) failed(err error) {
-	d.answers.note(err)
-	d.desk.hear(func(to port.Intake) { to.ListFailed() })
+	d.answers.record(err)
+	d.desk.enqueue(func(to port.Intake) { to.ListFailed() })
 }
 
 // follow makes one call and hands in each list that it brings, until it ends.
@@ -151,7 +151,7 @@
 	connect := func(ctx context.Context, address string) (net.Conn, error) {
 		return dialer.DialContext(ctx, "tcp", address)
 	}
-	conn, err := dialAgain(connecting, connect, address)
+	conn, err := dialWithRetry(connecting, connect, address)
 	if err != nil {
 		return err
 	}
@@ -199,7 +199,7 @@
 			return fmt.Errorf("a list cannot be read: %w", err)
 		}
 		signs.left = mostList
-		d.answers.note(nil)
+		d.answers.record(nil)
 	}
 	return ctx.Err()
 }
@@ -287,17 +287,17 @@
 	for _, e := range list {
 		d.dests[e.dest] = struct{}{}
 	}
-	d.desk.hear(func(to port.Intake) {
+	d.desk.enqueue(func(to port.Intake) {
 		to.ListBegins(whole)
 		for _, e := range list {
-			ep, fresh := d.desk.listed(e.host, e.partner)
+			ep, fresh := d.desk.registerEndpoint(e.host, e.partner)
 			if e.dial != "" || fresh {
 				d.endpoints.listed(ep, e.host, e.site, e.dial)
 			}
 			if e.state == port.Gone { // danger: what answers there from now on may be another
 				d.endpoints.listed(ep, e.host, e.site, "")
 			}
-			dest, _ := d.desk.dests.Take(e.dest)
+			dest, _ := d.desk.destIndex.Take(e.dest)
 			to.Listed(ep, dest, e.partner, d.zone(e.site), e.state, e.rate)
 		}
 		to.ListEnds()
--- a/node/endpointconn.go
+++ b/node/endpointconn.go
@@ -58,7 +58,7 @@
 	dial     string // the address it goes to
 	used     int64  // when its last call ended
 	calls    int
-	answers  lifecycle.AnswerSequence
+	answers  lifecycle.AnswerTracker
 
 	// These belong to endpoints, under its lock.
 	resting  bool            // it is among the idle ones
@@ -85,11 +85,11 @@
 func (c *endpointConn) attribute(answer reply) lifecycle.Attribution {
 	switch {
 	case answer.cut:
-		return c.answers.ReadCut()
+		return c.answers.ObserveTruncated()
 	case answer.identity.Digest == 0:
 		return lifecycle.Certain
 	}
-	return c.answers.Read(answer.identity)
+	return c.answers.Observe(answer.identity)
 }
 
 // end closes the connection for a reason, and counts it.
--- a/node/endpoints.go
+++ b/node/endpoints.go
@@ -139,7 +139,7 @@
 	for {
 		candidates := make([]reuse.Candidate, 0, len(p.idle[ep]))
 		for _, c := range p.idle[ep] {
-			candidates = append(candidates, reuse.Candidate{Rested: now - c.used, InStep: c.answers.InStep(), Refused: c.answers.Refused()})
+			candidates = append(candidates, reuse.Candidate{Rested: now - c.used, InStep: c.answers.InSync(), Refused: c.answers.SawNotRun()})
 		}
 		i := p.reuse[ep].Choose(candidates, repeatable, p.refusals.Distinct(), now)
 		if i < 0 {
@@ -221,10 +221,10 @@
 func (p *endpoints) connect(ctx context.Context, ep int32, address string, local *atomic.Bool) (*endpointConn, error) {
 	dial := func(ctx context.Context, address string) (net.Conn, error) {
 		conn, err := p.dial(ctx, address)
-		local.Store(errclass.Socket(err) == errclass.Momentary)
+		local.Store(errclass.Socket(err) == errclass.Transient)
 		return conn, err
 	}
-	conn, err := dialAgain(ctx, dial, address)
+	conn, err := dialWithRetry(ctx, dial, address)
 	if err != nil {
 		return nil, err
 	}
--- a/node/failing_test.go
+++ b/node/failing_test.go
@@ -189,8 +189,8 @@
 		if took := time.Since(began); took > 100*time.Millisecond {
 			t.Errorf("%s: it took %v", name, took)
 		}
-		if r := ending(t, s); r.how != port.Unsent {
-			t.Errorf("%s: ended as %v", name, r.how)
+		if r := ending(t, s); r.outcome != port.Unsent {
+			t.Errorf("%s: ended as %v", name, r.outcome)
 		}
 		disk.slow.Store(0)
 	}
@@ -309,8 +309,8 @@
 			}
 			return &faultyConn{TCPConn: conn.(*net.TCPConn), errno: errno, reads: 3, writes: 3}, nil
 		}
-		if ends, _ := deliver(t, p, 5*time.Second); ends[0].how != port.Acked {
-			t.Errorf("%v: ended as %v", errno, ends[0].how)
+		if ends, _ := deliver(t, p, 5*time.Second); ends[0].outcome != port.Acked {
+			t.Errorf("%v: ended as %v", errno, ends[0].outcome)
 		}
 		if calls, _ := at.calls(); calls != 1 {
 			t.Errorf("%v: %d calls", errno, calls)
@@ -324,8 +324,8 @@
 	p.dial = func(context.Context, string) (net.Conn, error) {
 		return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", syscall.ENFILE)}
 	}
-	if ends, _ := deliver(t, p, 300*time.Millisecond); ends[0].how != port.Unsent {
-		t.Errorf("ended as %v", ends[0].how)
+	if ends, _ := deliver(t, p, 300*time.Millisecond); ends[0].outcome != port.Unsent {
+		t.Errorf("ended as %v", ends[0].outcome)
 	}
 }
 
@@ -448,14 +448,14 @@
 		c := &call{of: p}
 		s := newSend(t, c, name, 10*time.Second)
 		if name == "late" {
-			s.event.request = lifecycle.RestoredRequest(name, p.clock.now()+int64(200*time.Millisecond), true, false)
+			s.event.request = lifecycle.RestoreRequest(name, p.clock.now()+int64(200*time.Millisecond), true, false)
 		}
 		c.sends = []*send{s}
 		go p.carry(c)
 		time.Sleep(50 * time.Millisecond)
 		callOff(c)
-		if r := ending(t, s); r.how != port.Unsent {
-			t.Errorf("%s: ended as %v", name, r.how)
+		if r := ending(t, s); r.outcome != port.Unsent {
+			t.Errorf("%s: ended as %v", name, r.outcome)
 		}
 		time.Sleep(400 * time.Millisecond) // 20 failures take 0.3 s
 		if calls, _ := at.calls(); calls > 0 {
@@ -487,10 +487,10 @@
 	go p.carry(c)
 	time.Sleep(50 * time.Millisecond) // its first byte cannot be written
 	c.recall(recalled)
-	if r := ending(t, recalled); r.how != port.Unsent {
+	if r := ending(t, recalled); r.outcome != port.Unsent {
 		t.Errorf("recalled: %+v", r)
 	}
-	if r := ending(t, kept); r.how != port.Acked {
+	if r := ending(t, kept); r.outcome != port.Acked {
 		t.Errorf("the other: %+v", r)
 	}
 	if body := <-bodies; strings.Contains(body, "of the other") || !strings.Contains(body, "of the one") {
@@ -525,11 +525,11 @@
 		t.Errorf("%d calls while the first answer cannot be read", calls)
 	}
 	second.recall(recalled)
-	if r := ending(t, recalled); r.how != port.Unsent {
-		t.Errorf("recalled: ended as %v", r.how)
+	if r := ending(t, recalled); r.outcome != port.Unsent {
+		t.Errorf("recalled: ended as %v", r.outcome)
 	}
-	if r := ending(t, first.sends[0]); r.how != port.Acked {
-		t.Errorf("the first ended as %v", r.how)
+	if r := ending(t, first.sends[0]); r.outcome != port.Acked {
+		t.Errorf("the first ended as %v", r.outcome)
 	}
 }
 
@@ -608,8 +608,8 @@
 	go p.carry(c)
 	time.Sleep(110 * time.Millisecond) // the answer has begun, and stands unread or is being read
 	c.giveUp(port.TimedOut)
-	if r := <-ends; r.how != port.Acked {
-		t.Errorf("ended as %v", r.how)
+	if r := <-ends; r.outcome != port.Acked {
+		t.Errorf("ended as %v", r.outcome)
 	}
 }
 
@@ -620,8 +620,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	conn := (&call{of: p, sends: nil}).connect(ctx, at.Addr().String())
-	conn.expect()
-	if conn.answerBegun() {
+	conn.expectAnswer()
+	if conn.answerStarted() {
 		t.Error("an answer before its call")
 	}
 	io.WriteString(conn, "POST /inbox HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
--- a/node/inspect.go
+++ b/node/inspect.go
@@ -30,7 +30,7 @@
 	Faults  []string // file, offset and reason of what is damaged, missing or foreign
 }
 
-func (v verdict) String() string { return [...]string{"open", "declined", "discarded"}[v] }
+func (v resolution) String() string { return [...]string{"open", "declined", "discarded"}[v] }
 
 // ReadJournal reads what a folder holds, of a node that runs or not, in the form of this version or the one
 // before. Damage is told in the report; the error is for a folder that cannot be read or holds nothing.
@@ -64,7 +64,7 @@
 	}
 	for _, e := range list {
 		r.Owed = append(r.Owed, Owed{ID: e.ID, Kind: e.Kind, Owner: e.Owner, Mark: e.Mark, Dest: e.Dest,
-			Deadline: time.Unix(0, e.Deadline), Sends: len(e.Sends), Verdict: verdict(e.Verdict).String(),
+			Deadline: time.Unix(0, e.Deadline), Sends: len(e.Sends), Verdict: resolution(e.Verdict).String(),
 			Body: len(e.Body), MayHaveRun: e.MayHaveRun()})
 	}
 	return r, nil
--- a/node/journal.go
+++ b/node/journal.go
@@ -14,7 +14,7 @@
 
 // journal is what the delivery node owes, in a store that outlasts the process.
 type journal struct {
-	disk trouble
+	disk failureLog
 
 	store *store.Store
 	day   func() int64
@@ -46,7 +46,7 @@
 	j := &journal{
 		store: s,
 		day:   day,
-		disk:  trouble{part: "journal", what: "writing a record"},
+		disk:  failureLog{part: "journal", operation: "writing a record"},
 		stop:  make(chan struct{}),
 		done:  make(chan struct{}),
 	}
@@ -74,9 +74,9 @@
 		}
 		events = append(
 			events,
-			&event{id: o.ID, came: o.Came, mark: o.Mark, typ: typ, customer: customer, dest: o.Dest,
-				deadline: o.Deadline, body: o.Body, past: o.Sends, sends: len(o.Sends), verdict: verdict(o.Verdict),
-				comeBack: o.ComeBack, steps: make(chan step, maxSteps)},
+			&event{id: o.ID, arrivalSeq: o.Came, idempotencyKey: o.Mark, typ: typ, customer: customer, dest: o.Dest,
+				wallDeadline: o.Deadline, body: o.Body, pastSends: o.Sends, sendCount: len(o.Sends), resolution: resolution(o.Verdict),
+				retryAfter: o.ComeBack, updates: make(chan eventUpdate, updateBuffer)},
 		)
 	}
 	go j.compact()
@@ -116,7 +116,7 @@
 	for {
 		more, err := j.store.Compact(compactBytes)
 		if err != nil {
-			j.disk.note(err)
+			j.disk.record(err)
 		}
 		rest := compactRest
 		if more && err == nil {
@@ -133,38 +133,38 @@
 func (j *journal) close() {
 	close(j.stop)
 	<-j.done
-	j.disk.note(j.store.Close())
+	j.disk.record(j.store.Close())
 }
 
 // take writes that an event was taken on.
 func (j *journal) take(e *event, kind, owner string) (err error) {
-	e.came, err = j.store.Take(store.Event{ID: e.id, Kind: kind, Owner: owner, Mark: e.mark, Dest: e.dest,
-		Deadline: e.deadline, Body: e.body})
+	e.arrivalSeq, err = j.store.Take(store.Event{ID: e.id, Kind: kind, Owner: owner, Mark: e.idempotencyKey, Dest: e.dest,
+		Deadline: e.wallDeadline, Body: e.body})
 	return err
 }
 
 // began writes that a send goes out. Where it fails, nothing may go.
 func (j *journal) began(e *event, number int, at int64, zone string) error {
-	return j.store.RecordAttempt(e.id, e.came, number, at, zone)
+	return j.store.RecordAttempt(e.id, e.arrivalSeq, number, at, zone)
 }
 
 // ended writes how a send ended.
 func (j *journal) ended(e *event, number int, how port.Outcome) *store.Receipt {
-	return j.store.RecordOutcome(e.id, e.came, number, how)
+	return j.store.RecordOutcome(e.id, e.arrivalSeq, number, how)
 }
 
 // decide writes how an event ends whose notice is still owed.
 func (j *journal) decide(e *event) *store.Receipt {
-	return j.store.Resolve(e.id, e.came, store.Verdict(e.verdict), e.comeBack)
+	return j.store.Resolve(e.id, e.arrivalSeq, store.Verdict(e.resolution), e.retryAfter)
 }
 
 // decideBriefly is decide for an event of which nothing but its notice may still be needed.
-func (j *journal) decideBriefly(e *event, v verdict) *store.Receipt {
-	return j.store.ResolveBriefly(e.id, e.came, store.Verdict(v))
+func (j *journal) decideBriefly(e *event, v resolution) *store.Receipt {
+	return j.store.ResolveBriefly(e.id, e.arrivalSeq, store.Verdict(v))
 }
 
 // over writes that nothing more is owed for an event.
-func (j *journal) over(e *event) *store.Receipt { return j.forget(e.id, e.came) }
+func (j *journal) over(e *event) *store.Receipt { return j.forget(e.id, e.arrivalSeq) }
 
 // forget is over for an event that is known by its id and its place in the order of coming. One that comes again under
 // its id is known for a while, also to the next process.
--- a/node/journal_bench_test.go
+++ b/node/journal_bench_test.go
@@ -44,7 +44,7 @@
 	defer j.close()
 	b.ResetTimer()
 	play(b, func(id string) error {
-		e := &event{id: id, mark: "m", dest: 7, deadline: 1 << 60, body: body}
+		e := &event{id: id, idempotencyKey: "m", dest: 7, wallDeadline: 1 << 60, body: body}
 		if err := errors.Join(j.take(e, "alert", "acme"), j.began(e, 0, 5, "zone")); err != nil {
 			return err
 		}
--- a/node/journal_test.go
+++ b/node/journal_test.go
@@ -56,7 +56,7 @@
 func fill(t *testing.T, j *journal) {
 	t.Helper()
 	for i, body := range []string{"over", "a\r\n\x00b", "", strings.Repeat("long", 16<<10)} {
-		e := &event{id: fmt.Sprint("e", i), mark: "m", dest: 7, deadline: 1 << 60, body: []byte(body)}
+		e := &event{id: fmt.Sprint("e", i), idempotencyKey: "m", dest: 7, wallDeadline: 1 << 60, body: []byte(body)}
 		if err := j.take(e, "alert", "acme"); err != nil {
 			t.Fatal(err)
 		}
@@ -72,7 +72,7 @@
 			j.ended(e, 0, port.Declined)
 			j.ended(e, 1, port.Reset)
 		case 2:
-			e.verdict, e.comeBack = declined, 500
+			e.resolution, e.retryAfter = declined, 500
 			j.decide(e)
 		}
 	}
@@ -84,19 +84,19 @@
 		t.Fatalf("%d events owed, want %d", len(owed), want)
 	}
 	for _, e := range owed {
-		if e.mark != "m" || e.dest != 7 || e.deadline != 1<<60 {
+		if e.idempotencyKey != "m" || e.dest != 7 || e.wallDeadline != 1<<60 {
 			t.Errorf("%s came back as %+v", e.id, e)
 		}
 		switch e.id {
 		case "e1":
 			past := []store.Send{{At: 50, Zone: "zone", Ended: true, How: port.Declined},
 				{At: 60, Zone: "zone", Ended: true, How: port.Reset}, {At: 70, Zone: "zone"}}
-			if !slices.Equal(e.past, past) || e.sends != 3 || string(e.body) != "a\r\n\x00b" {
-				t.Errorf("e1: sends %+v, body %q", e.past, e.body)
+			if !slices.Equal(e.pastSends, past) || e.sendCount != 3 || string(e.body) != "a\r\n\x00b" {
+				t.Errorf("e1: sends %+v, body %q", e.pastSends, e.body)
 			}
 		case "e2":
-			if e.verdict != declined || e.comeBack != 500 {
-				t.Errorf("e2: verdict %d, come back %d", e.verdict, e.comeBack)
+			if e.resolution != declined || e.retryAfter != 500 {
+				t.Errorf("e2: verdict %d, come back %d", e.resolution, e.retryAfter)
 			}
 		case "e3":
 			if len(e.body) != 64<<10 {
@@ -136,11 +136,11 @@
 		full := 0
 		for i := range 1500 {
 			e := &event{
-				id:       fmt.Sprintf("%016x", i),
-				mark:     "m",
-				dest:     7,
-				deadline: 1 << 60,
-				body:     make([]byte, size),
+				id:             fmt.Sprintf("%016x", i),
+				idempotencyKey: "m",
+				dest:           7,
+				wallDeadline:   1 << 60,
+				body:           make([]byte, size),
 			}
 			switch err := j.take(e, "alert", "acme"); {
 			case err == nil:
@@ -196,8 +196,8 @@
 		j, owed = reopen(t, folder, 3)
 		want := []store.Send{{At: 50, Zone: "zone", Ended: true, How: port.Unsent},
 			{At: 50, Zone: "zone", Ended: true, How: port.Declined}}
-		if !slices.Equal(owed[0].past, want) {
-			t.Errorf("sends %+v", owed[0].past)
+		if !slices.Equal(owed[0].pastSends, want) {
+			t.Errorf("sends %+v", owed[0].pastSends)
 		}
 	}
 	j.close()
@@ -229,7 +229,7 @@
 	j.close()
 	j, owed := reopen(t, folder, 3)
 	defer j.close()
-	if len(owed) != 1 || len(owed[0].past) != 0 {
+	if len(owed) != 1 || len(owed[0].pastSends) != 0 {
 		t.Errorf("owed %+v", owed)
 	}
 }
@@ -303,8 +303,8 @@
 	j, owed = reopen(t, folder, 3)
 	defer j.close()
 	for _, e := range owed {
-		if e.id == "e1" && len(e.past) != 3 {
-			t.Errorf("e1 came back as %+v", e.past)
+		if e.id == "e1" && len(e.pastSends) != 3 {
+			t.Errorf("e1 came back as %+v", e.pastSends)
 		}
 	}
 	if len(owed) != 2 {
--- a/node/listener.go
+++ b/node/listener.go
@@ -27,7 +27,7 @@
 	// until the first request is whole; from a later one's first byte until it is; between two
 	first, request, between time.Duration
 
-	accepts      trouble
+	accepts      failureLog
 	delayedSince time.Time // when accepting began to fail or to wait for room: what is accepted since may have stood
 	delayedUntil time.Time // there as long, until what had gathered is accepted
 
@@ -42,7 +42,7 @@
 func newListener(l net.Listener, most, keep int) *listener {
 	d := &listener{Listener: l, most: most, keep: keep, first: firstWithin, request: readWithin,
 		between: clientIdle,
-		accepts: trouble{part: "clients", what: "accepting connections"},
+		accepts: failureLog{part: "clients", operation: "accepting connections"},
 		open:    make(map[*clientConn]struct{})}
 	d.freed.L = &d.mu
 	return d
@@ -57,9 +57,9 @@
 		if errclass.Socket(err) == errclass.Closed {
 			return nil, err
 		}
-		d.accepts.note(err)
-		momentaryFailures.With("accept").Add()
-		if errclass.ShortOfDescriptors(err) {
+		d.accepts.record(err)
+		transientFailures.With("accept").Add()
+		if errclass.DescriptorsExhausted(err) {
 			d.mu.Lock()
 			d.makeRoom(time.Now())
 			d.mu.Unlock()
@@ -67,7 +67,7 @@
 		time.Sleep(acceptAgain)
 		c, err = d.Listener.Accept()
 	}
-	d.accepts.note(nil)
+	d.accepts.record(nil)
 	now := time.Now()
 	if now.Sub(d.delayedUntil) > acceptAgain+backlogWithin {
 		d.delayedSince = time.Time{}
@@ -82,7 +82,7 @@
 		d.freed.Wait()
 		look.Stop()
 	}
-	g.delayedSince, g.since = d.delayedSince, time.Now()
+	g.readFailingSince, g.since = d.delayedSince, time.Now()
 	d.open[g] = struct{}{}
 	return g, nil
 }
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -93,8 +93,8 @@
 	}
 	s.Directory.Asked = true
 	module := choice.New(1, s.Types, s.Partners, s.Room, s.Recovery, s.Directory, s.Fleet, s.OrderPause)
-	w.Node, err = Open(Place{Listen: "127.0.0.1:0", Directory: directory.Addr().String(), Folder: w.folder,
-		Known: []byte(list), disk: w.disk, machine: w.machine}, Limits{DiskMB: w.diskMB}, ClientTimes{}, s, module)
+	w.Node, err = Open(Config{Listen: "127.0.0.1:0", Directory: directory.Addr().String(), StateFolder: w.folder,
+		KnownEndpoints: []byte(list), disk: w.disk, machine: w.machine}, Limits{DiskMB: w.diskMB}, ClientTimeouts{}, s, module)
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -105,7 +105,7 @@
 	w.stop, w.done = stop, make(chan error, 1)
 	go func() { w.done <- w.Run(ctx) }()
 	w.t.Cleanup(func() {
-		w.Drain(0, 0, 0)
+		w.SetDrainTimes(0, 0, 0)
 		stop()
 		<-w.done
 	})
@@ -206,7 +206,7 @@
 			t.Errorf("no %q in the call %q", line, head)
 		}
 	}
-	if held := w.held.Load(); held != 0 {
+	if held := w.activeEvents.Load(); held != 0 {
 		t.Errorf("%d still held", held)
 	}
 }
@@ -228,16 +228,16 @@
 		t.Errorf("%d calls", calls)
 	}
 	// Handed in as the former ends, in the round that frees its index, it is another event.
-	d := newDesk(clock{start: time.Now()}, &recorder{}, ms, []int{1})
-	first, second := &event{id: "same", steps: make(chan step, 9)}, &event{id: "same", steps: make(chan step, 9)}
-	d.take(first)
+	d := newDecisionLoop(clock{start: time.Now()}, &recorder{}, ms, []int{1})
+	first, second := &event{id: "same", updates: make(chan eventUpdate, 9)}, &event{id: "same", updates: make(chan eventUpdate, 9)}
+	d.addEvent(first)
 	d.round(0)
-	d.leave(first)
-	d.take(second)
+	d.removeEvent(first)
+	d.addEvent(second)
 	d.round(1)
 	d.Discard(second.index)
-	if len(second.steps) != 2 || len(first.steps) != 1 {
-		t.Errorf("%d and %d steps", len(first.steps), len(second.steps))
+	if len(second.updates) != 2 || len(first.updates) != 1 {
+		t.Errorf("%d and %d steps", len(first.updates), len(second.updates))
 	}
 }
 
@@ -371,29 +371,29 @@
 
 func TestRestoredEventsAreHandedInAsTheyCame(t *testing.T) {
 	r := &recorder{}
-	n := &Node{desk: newDesk(clock{start: time.Now()}, r, ms, []int{1})}
+	n := &Node{decisions: newDecisionLoop(clock{start: time.Now()}, r, ms, []int{1})}
 	want := ""
 	for i := range 50 {
-		n.owed = append(n.owed, &event{id: fmt.Sprint(i), dest: uint32(i), steps: make(chan step, maxSteps)})
+		n.restored = append(n.restored, &event{id: fmt.Sprint(i), dest: uint32(i), updates: make(chan eventUpdate, updateBuffer)})
 		want += fmt.Sprint(" ", i)
 	}
-	n.restore()
-	n.desk.round(0)
+	n.restoreEvents()
+	n.decisions.round(0)
 	if got := r.all(); got != want[1:] {
 		t.Errorf("order %s", got)
 	}
 }
 
 func TestCallsOfSeveralKeepToTheBodyLimit(t *testing.T) {
-	d := newDesk(clock{start: time.Now()}, nil, ms, []int{3})
-	d.partner = []int{0}
+	d := newDecisionLoop(clock{start: time.Now()}, nil, ms, []int{3})
+	d.partnerOf = []int{0}
 	for i, size := range []int{40 << 10, 20 << 10, 20 << 10, 10, 10} {
-		d.evts.Take(&event{id: fmt.Sprint(i), body: make([]byte, size)})
-		d.current = append(d.current, nil)
+		d.eventIndex.Take(&event{id: fmt.Sprint(i), body: make([]byte, size)})
+		d.activeSends = append(d.activeSends, nil)
 		d.Send(int32(i), 0, ms)
 	}
 	got := ""
-	for _, c := range d.calls {
+	for _, c := range d.newCalls {
 		got += fmt.Sprint(len(c.sends), " ")
 		var out bytebufferpool.ByteBuffer
 		if err := writeCall(&out, c.sends, ms); err != nil || out.Len() > mostBody+1000 {
@@ -411,7 +411,7 @@
 	w.endpoint(1, say(answerOf("500 Error", "", "")))
 	w.run()
 	w.dial().hand(request("x", "charge", "1", 8000, ""))
-	w.until("it is decided", func() bool { return w.held.Load() == 0 })
+	w.until("it is decided", func() bool { return w.activeEvents.Load() == 0 })
 	again := newWorld(t)
 	again.folder = killed(t, w.folder)
 	at := again.endpoint(1, say(answerOf("200 OK", "", "")))
@@ -464,16 +464,16 @@
 func TestClientIsAnsweredWhenNothingIsDecidedAnyMore(t *testing.T) {
 	w := newWorld(t)
 	w.run()
-	w.desk.close()
+	w.decisions.close()
 	status, _ := w.dial().hand(request("x", "charge", "1", 8000, ""))
 	if status != statusTaken || w.journal.empty() {
 		t.Errorf("admitted, then the desk closed: %d", status)
 	}
-	w.deskShut.Store(true)
+	w.decisionsClosed.Store(true)
 	if status, _ := w.dial().hand(request("y", "charge", "1", 8000, "")); status != statusDeclined {
 		t.Errorf("after it closed: %d", status)
 	}
-	w.desk.stop = make(chan struct{}) // the drain closes it once more
+	w.decisions.stop = make(chan struct{}) // the drain closes it once more
 }
 
 // short is a listener that is out of descriptors at first.
@@ -499,7 +499,7 @@
 	n := &Node{}
 	n.phase.Store(int32(Serving))
 	n.clients = &clients{node: n, listener: newListener(l, most, most),
-		bad: tally{part: "clients", what: "test"},
+		bad: throttledLog{part: "clients", message: "test"},
 		answer: func(ctx *fasthttp.RequestCtx) {
 			ctx.Conn().(*clientConn).read(true)
 			answer(string(ctx.Path()))
@@ -739,7 +739,7 @@
 			t.Errorf("one of three at once: %d", status)
 		}
 	}
-	w.Drain(2*time.Second, 2*time.Second, 2*time.Second)
+	w.SetDrainTimes(2*time.Second, 2*time.Second, 2*time.Second)
 	w.stop()
 	w.until("it drains", func() bool { return w.Phase() == Draining })
 	c = w.dial()
@@ -835,7 +835,7 @@
 // listen starts a desk with a recorder, and a directory at an address.
 func listen(t *testing.T, address string) (*directory, *recorder) {
 	r := &recorder{}
-	d := newDesk(clock{start: time.Now()}, r, ms, []int{1})
+	d := newDecisionLoop(clock{start: time.Now()}, r, ms, []int{1})
 	d.endpoints = newEndpoints(t, "")
 	d.directory = &directory{address: address, open: make(map[*watch]struct{}),
 		dests: make(map[uint32]struct{}), desk: d, endpoints: d.endpoints, rated: true,
@@ -1005,11 +1005,11 @@
 }
 
 func TestAForgottenEndpointsIndexWaitsForItsCalls(t *testing.T) {
-	d := newDesk(clock{start: time.Now()}, &recorder{}, ms, []int{1})
+	d := newDecisionLoop(clock{start: time.Now()}, &recorder{}, ms, []int{1})
 	d.endpoints = newEndpoints(t, "127.0.0.1:1")
 	take := func(host string, want int32) {
 		t.Helper()
-		if ep, _ := d.listed(host, 0); ep != want {
+		if ep, _ := d.registerEndpoint(host, 0); ep != want {
 			t.Errorf("%s got index %d, want %d", host, ep, want)
 		}
 	}
--- a/node/notices.go
+++ b/node/notices.go
@@ -40,7 +40,7 @@
 // notice tells the platform how an event ended that was taken on and not delivered.
 type notice struct {
 	id      string
-	verdict verdict
+	verdict resolution
 	after   int64  // when to come back, 0 for nothing told
 	told    func() // is called once the platform has surely read it
 }
@@ -117,7 +117,7 @@
 
 // run sends notices for as long as the process lasts.
 func (n *notices) run(stop <-chan struct{}) {
-	telling := trouble{part: "notices", what: "telling the platform"}
+	telling := failureLog{part: "notices", operation: "telling the platform"}
 	look := time.NewTicker(spareEvery)
 	defer look.Stop()
 	go n.renewSpare()
@@ -136,7 +136,7 @@
 				break
 			}
 			err := n.tell(part)
-			telling.note(err)
+			telling.record(err)
 			if err == nil {
 				n.done(part)
 				continue
@@ -305,7 +305,7 @@
 	dial := func(ctx context.Context, address string) (net.Conn, error) {
 		return dialer.DialContext(ctx, "tcp", address)
 	}
-	conn, err := dialAgain(ctx, dial, address)
+	conn, err := dialWithRetry(ctx, dial, address)
 	if err != nil {
 		return nil, err
 	}
--- a/node/peers.go
+++ b/node/peers.go
@@ -17,7 +17,7 @@
 	socket *net.UDPConn
 	all    *net.UDPAddr
 	number map[string]int // of each peer, by its address
-	desk   *desk
+	desk   *decisionLoop
 
 	process uint64 // that this process sends under
 	sent    atomic.Uint32
@@ -36,7 +36,7 @@
 
 var lateNotes = metrics.New("jaspersill_late_peer_datagrams_total", "Datagrams of peers that came again, or behind a later one.")
 
-func openPeers(address, all string, list []string, me int, d *desk, day int64) (*peers, error) {
+func openPeers(address, all string, list []string, me int, d *decisionLoop, day int64) (*peers, error) {
 	p := &peers{number: make(map[string]int), desk: d, process: uint64(day), newest: make(map[int]heardNote)}
 	if address == "" || all == "" {
 		return p, nil // the deployment has no notes
@@ -69,7 +69,7 @@
 			if errclass.Socket(err) == errclass.Closed {
 				return
 			}
-			time.Sleep(callAgainMost) // a peer's port is shut while it restarts; or this machine is short of something
+			time.Sleep(maxRetryPause) // a peer's port is shut while it restarts; or this machine is short of something
 			continue
 		}
 		peer, known := p.number[from.String()]
@@ -81,8 +81,8 @@
 			lateNotes.Add()
 			continue
 		}
-		p.desk.hear(func(to port.Intake) {
-			if ep, listed := p.desk.eps.Find(host); listed {
+		p.desk.enqueue(func(to port.Intake) {
+			if ep, listed := p.desk.endpointIndex.Find(host); listed {
 				to.PeerGood(peer, ep)
 			}
 		})
--- a/node/received.go
+++ b/node/received.go
@@ -30,7 +30,7 @@
 type receivedRequest struct {
 	id       string
 	answered chan struct{}
-	answer   answer
+	answer   clientResponse
 	until    time.Time
 }
 
@@ -51,7 +51,7 @@
 }
 
 // answer notes what the client of a request hears, and forgets requests of long ago.
-func (r *received) answer(request *receivedRequest, a answer) {
+func (r *received) answer(request *receivedRequest, a clientResponse) {
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/node/sends.go
+++ b/node/sends.go
@@ -122,7 +122,7 @@
 func (c *call) connect(ctx context.Context, dial string) *endpointConn {
 	conn, err := c.of.connect(ctx, c.endpoint, dial, &c.local)
 	if err != nil {
-		c.finish(result{how: connectOutcome(err)})
+		c.finish(result{outcome: connectOutcome(err)})
 		return nil
 	}
 	return conn
@@ -141,30 +141,30 @@
 	case err == nil:
 		reason = closeGivenUp
 	case errors.Is(err, errEarlyAnswer): // to no call: an endpoint begins one when its last byte has come
-		reason, wait = closeUnread, conn.in.read(c.sends).results[0].wait
+		reason, wait = closeUnread, conn.in.read(c.sends).results[0].retryAfter
 	}
 	c.of.close(conn, reason)
 	switch {
-	case errclass.Stream(err) == errclass.Momentary: // of this machine, and nothing went out
-		c.finish(result{how: port.Unsent})
+	case errclass.Stream(err) == errclass.Transient: // of this machine, and nothing went out
+		c.finish(result{outcome: port.Unsent})
 	case cut: // the call's last byte was not written: it never ran
-		c.finish(result{how: port.ConnectFailed, wait: wait})
+		c.finish(result{outcome: port.ConnectFailed, retryAfter: wait})
 	default:
-		c.finish(result{how: port.Reset})
+		c.finish(result{outcome: port.Reset})
 	}
 }
 
 // readAnswer reads the answer to a call that is out, and ends the call with it.
 func (c *call) readAnswer(conn *endpointConn) {
 	dest := c.sends[0].event.dest
-	conn.stalls = func(on bool) { c.of.stalls(dest, on) }
+	conn.onStall = func(on bool) { c.of.stalls(dest, on) }
 	answer := conn.in.read(c.sends)
-	again := conn.answers.Refused() && answer.identity.NotRun
+	again := conn.answers.SawNotRun() && answer.identity.NotRun
 	attribution := conn.attribute(answer)
 	switch {
 	case attribution == lifecycle.Unconfirmed:
 		c.followAnswer(conn, answer)
-	case answer.identity.Named:
+	case answer.identity.NamesRequests:
 		c.of.prove(conn)
 	}
 	if again {
@@ -185,9 +185,9 @@
 func (c *call) followAnswer(conn *endpointConn, answer reply) {
 	for i := range answer.results {
 		r := &answer.results[i] // of several sends, an answer that says the same of all has one for each
-		over := r.how == port.Acked || r.over
-		if over || (!r.how.MayHaveRun() && c.sends[i].event.safety != port.Idempotent) {
-			r.confirm = c.of.follow(conn, c.sends[i], r.how)
+		over := r.outcome == port.Acked || r.final
+		if over || (!r.outcome.MayHaveRun() && c.sends[i].event.safety != port.Idempotent) {
+			r.confirmation = c.of.follow(conn, c.sends[i], r.outcome)
 		}
 	}
 }
@@ -211,7 +211,7 @@
 // connectOutcome is how an attempt ended whose connection did not come up. A reason of this machine is not the
 // endpoint's.
 func connectOutcome(err error) port.Outcome {
-	if errclass.Socket(err) == errclass.Momentary {
+	if errclass.Socket(err) == errclass.Transient {
 		return port.Unsent
 	}
 	return port.ConnectFailed
@@ -259,7 +259,7 @@
 		if errors.Is(err, errOver) || !c.awaitsRecord(s) {
 			return false
 		}
-		c.of.journal.disk.note(err)
+		c.of.journal.disk.record(err)
 		time.Sleep(recordAgain)
 	}
 }
@@ -268,14 +268,14 @@
 func (c *call) awaitsRecord(s *send) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.gaveUp && !s.recalled && c.of.clock.now() < s.event.due
+	return !c.gaveUp && !s.recalled && c.of.clock.now() < s.event.monoDeadline
 }
 
 // drop takes an attempt out of a call that has sent nothing; the lock is held.
 func (c *call) drop(s *send) {
 	if i := slices.Index(c.sends, s); i >= 0 {
 		c.sends = slices.Delete(c.sends, i, i+1)
-		c.report(s, result{how: port.Unsent})
+		c.report(s, result{outcome: port.Unsent})
 	}
 	if c.ended = c.ended || len(c.sends) == 0; c.ended && c.abort != nil {
 		c.abort()
@@ -304,7 +304,7 @@
 		return false
 	}
 	c.conn, c.bytes, c.sentAt = conn, some, now
-	conn.expect()
+	conn.expectAnswer()
 	for _, s := range c.sends {
 		c.logAttempt(s, "an attempt goes out", nil)
 	}
@@ -316,17 +316,17 @@
 func (c *call) write(conn *endpointConn, timeout int64) (whole bool, err error) {
 	text := bytebufferpool.Get()
 	defer bytebufferpool.Put(text)
-	for pause := callAgain; ; pause = min(2*pause, callAgainMost) {
+	for pause := minRetryPause; ; pause = min(2*pause, maxRetryPause) {
 		text.Reset()
 		if err := writeCall(text, c.sends, timeout); err != nil {
 			logs.Part("endpoints").WithError(err).Error("a call cannot be written as HTTP")
 			return false, err
 		}
-		size, err := conn.WriteUnlessFailing(text.B)
-		if size > 0 || errclass.Stream(err) != errclass.Momentary {
+		size, err := conn.WriteIfReady(text.B)
+		if size > 0 || errclass.Stream(err) != errclass.Transient {
 			return size == text.Len(), err
 		}
-		momentaryFailures.With("write").Add()
+		transientFailures.With("write").Add()
 		c.local.Store(true)
 		if !c.hold() {
 			return false, err
@@ -347,7 +347,7 @@
 	}
 	c.bytes = recording
 	for _, s := range c.sends {
-		s.event.request.HoldAttempt()
+		s.event.request.RevertSend()
 	}
 	return true
 }
@@ -370,7 +370,7 @@
 	if c.ended || c.gaveUp {
 		return
 	}
-	if how == port.TimedOut && c.bytes == all && !c.extended && c.conn.answerBegun() { // its answer has begun to come
+	if how == port.TimedOut && c.bytes == all && !c.extended && c.conn.answerStarted() { // its answer has begun to come
 		c.extended = true
 		time.AfterFunc(restWithin, func() { c.giveUp(port.TimedOut) })
 		return
@@ -424,7 +424,7 @@
 		how = port.Unsent
 	}
 	for i, s := range c.sends {
-		r := result{how: how}
+		r := result{outcome: how}
 		if !c.gaveUp {
 			r = results[min(i, len(results)-1)]
 		}
@@ -434,15 +434,15 @@
 
 // report tells a send's life how it ended.
 func (c *call) report(s *send, r result) {
-	r.took = c.of.clock.now() - s.began
-	c.logAttempt(s, "an attempt ended", logrus.Fields{"outcome": r.how.String(), "took_ms": r.took / 1e6, "wait_ms": r.wait / 1e6})
-	attemptsEnded.With(r.how.String()).Add()
-	if r.confirm != nil && !r.how.MayHaveRun() && !r.over {
-		s.event.request.FinishRefused()
+	r.duration = c.of.clock.now() - s.began
+	c.logAttempt(s, "an attempt ended", logrus.Fields{"outcome": r.outcome.String(), "took_ms": r.duration / 1e6, "wait_ms": r.retryAfter / 1e6})
+	attemptsEnded.With(r.outcome.String()).Add()
+	if r.confirmation != nil && !r.outcome.MayHaveRun() && !r.final {
+		s.event.request.FinishUnconfirmedRefusal()
 	} else {
-		s.event.request.FinishAttempt(r.how.MayHaveRun() && c.bytes != none && c.bytes != recording)
+		s.event.request.FinishAttempt(r.outcome.MayHaveRun() && c.bytes != none && c.bytes != recording)
 	}
-	s.event.steps <- step{what: stepOutcome, send: s, result: r}
+	s.event.updates <- eventUpdate{kind: updateSendEnded, send: s, result: r}
 }
 
 // logAttempt writes a line about an attempt, with the connection that it goes out on.
--- a/node/sends_test.go
+++ b/node/sends_test.go
@@ -111,8 +111,8 @@
 
 func newSend(t *testing.T, c *call, id string, timeout time.Duration) *send {
 	t.Helper()
-	e := &event{id: id, mark: "mark", body: []byte("a\r\nb"), due: math.MaxInt64, steps: make(chan step, maxSteps)}
-	e.request = lifecycle.RestoredRequest(id, e.due, true, false)
+	e := &event{id: id, idempotencyKey: "mark", body: []byte("a\r\nb"), monoDeadline: math.MaxInt64, updates: make(chan eventUpdate, updateBuffer)}
+	e.request = lifecycle.RestoreRequest(id, e.monoDeadline, true, false)
 	if err := c.of.journal.take(e, "alert", ""); err != nil {
 		t.Fatal(err)
 	}
@@ -136,7 +136,7 @@
 func ending(t *testing.T, s *send) result {
 	t.Helper()
 	select {
-	case st := <-s.event.steps:
+	case st := <-s.event.updates:
 		return st.result
 	case <-time.After(long):
 		t.Fatal("a send never ended")
@@ -155,68 +155,68 @@
 		want result
 	}{
 		{"200", say(answerOf("200 OK", "Srv-Load: x0=0.4,x1=25\r\n", "any")),
-			result{how: port.Acked, over: true, left: 0.4, limit: 25}},
-		{"500", say(answerOf("500 Error", "", "")), result{how: port.Errored}},
+			result{outcome: port.Acked, final: true, rateFree: 0.4, rateLimit: 25}},
+		{"500", say(answerOf("500 Error", "", "")), result{outcome: port.Errored}},
 		{"429", say(answerOf("429 Full", "Retry-After: 1.5\r\nSrv-Load: x0=0,x1=3\r\n", "")),
-			result{how: port.Declined, wait: 1500 * ms, limit: 3}},
-		{"503", say(answerOf("503 Shut", "", "")), result{how: port.Declined}},
-		{"503 without a slot", say(answerOf("503 Shut", "X-No-Slot: 1\r\n", "")), result{how: port.Unsent}},
-		{"504", say(answerOf("504 Used up", "", "")), result{how: port.Unsent}},
-		{"410", say(answerOf("410 Over", "", "")), result{how: port.Unsent, over: true}},
-		{"a status nobody knows", say(answerOf("418 Teapot", "", "")), result{how: port.Errored}},
+			result{outcome: port.Declined, retryAfter: 1500 * ms, rateLimit: 3}},
+		{"503", say(answerOf("503 Shut", "", "")), result{outcome: port.Declined}},
+		{"503 without a slot", say(answerOf("503 Shut", "X-No-Slot: 1\r\n", "")), result{outcome: port.Unsent}},
+		{"504", say(answerOf("504 Used up", "", "")), result{outcome: port.Unsent}},
+		{"410", say(answerOf("410 Over", "", "")), result{outcome: port.Unsent, final: true}},
+		{"a status nobody knows", say(answerOf("418 Teapot", "", "")), result{outcome: port.Errored}},
 		{"no numbers", say(answerOf("429 Full", "Retry-After: soon\r\nSrv-Load: x0=,x1=3\r\n", "")),
-			result{how: port.Declined}},
-		{"noise", say("hello\r\n\r\n"), result{how: port.Spoilt}},
-		{"noise without an end", say("\x00\xff\x17"), result{how: port.Spoilt}},
-		{"a head without an end", say("HTTP/1.1 500 Error\r\nA: b\r\n"), result{how: port.Spoilt}},
+			result{outcome: port.Declined}},
+		{"noise", say("hello\r\n\r\n"), result{outcome: port.Spoilt}},
+		{"noise without an end", say("\x00\xff\x17"), result{outcome: port.Spoilt}},
+		{"a head without an end", say("HTTP/1.1 500 Error\r\nA: b\r\n"), result{outcome: port.Spoilt}},
 		{"a head that goes on", say("HTTP/1.1 500 Error\r\n" + strings.Repeat("A: b\r\n", 9000)),
-			result{how: port.Spoilt}},
-		{"a negative length", say("HTTP/1.1 429 Full\r\nContent-Length: -4\r\n\r\n"), result{how: port.Spoilt}},
+			result{outcome: port.Spoilt}},
+		{"a negative length", say("HTTP/1.1 429 Full\r\nContent-Length: -4\r\n\r\n"), result{outcome: port.Spoilt}},
 		{"a length that does not come", say("HTTP/1.1 503 Shut\r\nContent-Length: 44\r\n\r\nabc"),
-			result{how: port.Spoilt}},
+			result{outcome: port.Spoilt}},
 		{"a length of 3 GB", say("HTTP/1.1 500 Error\r\nContent-Length: 3000000000\r\n\r\n" +
-			strings.Repeat("x", 1<<20)), result{how: port.Spoilt}},
+			strings.Repeat("x", 1<<20)), result{outcome: port.Spoilt}},
 		{"a 200 of 3 GB", say("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" +
-			strings.Repeat("x", 1<<20)), result{how: port.Acked, over: true}},
-		{"a 200 with a head without an end", say("HTTP/1.1 200 OK\r\nA: b\r\n"), result{how: port.Acked, over: true}},
+			strings.Repeat("x", 1<<20)), result{outcome: port.Acked, final: true}},
+		{"a 200 with a head without an end", say("HTTP/1.1 200 OK\r\nA: b\r\n"), result{outcome: port.Acked, final: true}},
 		{"a 200 with a spoilt head behind a 100", say("HTTP/1.1 100 Go on\r\n\r\nHTTP/1.1 200 OK\r\n\x00\r\n\r\n"),
-			result{how: port.Acked, over: true}},
-		{"a 2000", say("HTTP/1.1 2000 OK\r\n\x00\r\n\r\n"), result{how: port.Spoilt}},
+			result{outcome: port.Acked, final: true}},
+		{"a 2000", say("HTTP/1.1 2000 OK\r\n\x00\r\n\r\n"), result{outcome: port.Spoilt}},
 		{"answers that are none, then one", say("HTTP/1.1 103 Hints\r\nA: b\r\n\r\nHTTP/1.1 101 Other\r\n\r\n" +
-			answerOf("429 Full", "Retry-After: 1\r\n", "")), result{how: port.Declined, wait: 1000 * ms}},
+			answerOf("429 Full", "Retry-After: 1\r\n", "")), result{outcome: port.Declined, retryAfter: 1000 * ms}},
 		{"a wait in a head that cannot be read", say("HTTP/1.1 429 Full\r\nretry-after: 0.5\r\n\x00\xff\r\n\r\n"),
-			result{how: port.Spoilt, wait: 500 * ms}},
+			result{outcome: port.Spoilt, retryAfter: 500 * ms}},
 		{"a wait before a body that does not come", say("HTTP/1.1 429 Full\r\nRetry-After: 0.5\r\n" +
-			"Content-Length: 44\r\n\r\nabc"), result{how: port.Spoilt, wait: 500 * ms}},
+			"Content-Length: 44\r\n\r\nabc"), result{outcome: port.Spoilt, retryAfter: 500 * ms}},
 		{"broken behind a wait", breakOff("HTTP/1.1 503 Shut\r\nRetry-After: 0.5\r\nA"),
-			result{how: port.Reset, wait: 500 * ms}},
-		{"broken within a wait", breakOff("HTTP/1.1 503 Shut\r\nRetry-After: 0.5"), result{how: port.Reset}},
-		{"broken before an answer", breakOff(""), result{how: port.Reset}},
-		{"ended before an answer", func(net.Conn, string) bool { return false }, result{how: port.Reset}},
-		{"broken within an answer", breakOff("HTTP/1.1 500 Err"), result{how: port.Reset}},
+			result{outcome: port.Reset, retryAfter: 500 * ms}},
+		{"broken within a wait", breakOff("HTTP/1.1 503 Shut\r\nRetry-After: 0.5"), result{outcome: port.Reset}},
+		{"broken before an answer", breakOff(""), result{outcome: port.Reset}},
+		{"ended before an answer", func(net.Conn, string) bool { return false }, result{outcome: port.Reset}},
+		{"broken within an answer", breakOff("HTTP/1.1 500 Err"), result{outcome: port.Reset}},
 		{"broken behind the first line of a 200", breakOff("HTTP/1.1 200 OK\r\nContent-Le"),
-			result{how: port.Acked, over: true}},
-		{"broken within the first line of a 200", breakOff("HTTP/1.1 200 O"), result{how: port.Reset}},
+			result{outcome: port.Acked, final: true}},
+		{"broken within the first line of a 200", breakOff("HTTP/1.1 200 O"), result{outcome: port.Reset}},
 		{"broken in the body of a 200", breakOff("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc"),
-			result{how: port.Acked, over: true}},
-		{"silent", silent, result{how: port.TimedOut}},
+			result{outcome: port.Acked, final: true}},
+		{"silent", silent, result{outcome: port.TimedOut}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			at := newPeer(t, c.act)
 			p := newEndpoints(t, at.Addr().String())
 			timeout := long
-			if c.want.how == port.TimedOut {
+			if c.want.outcome == port.TimedOut {
 				timeout = 80 * time.Millisecond
 			}
 			ends, _ := deliver(t, p, timeout)
-			if ends[0].took <= 0 {
-				t.Errorf("took %d", ends[0].took)
+			if ends[0].duration <= 0 {
+				t.Errorf("took %d", ends[0].duration)
 			}
-			if ends[0].took = 0; ends[0] != c.want {
+			if ends[0].duration = 0; ends[0] != c.want {
 				t.Errorf("got %+v, want %+v", ends[0], c.want)
 			}
-			if c.want.how == port.TimedOut { // given up by closing the connection
+			if c.want.outcome == port.TimedOut { // given up by closing the connection
 				select {
 				case <-at.ended:
 				case <-time.After(long):
@@ -234,18 +234,18 @@
 	l, _ := net.Listen("tcp", "127.0.0.1:0")
 	nobody := l.Addr().String()
 	l.Close()
-	if ends, _ := deliver(t, newEndpoints(t, nobody), long); ends[0].how != port.ConnectFailed {
+	if ends, _ := deliver(t, newEndpoints(t, nobody), long); ends[0].outcome != port.ConnectFailed {
 		t.Errorf("refused: %+v", ends[0])
 	}
 	at := newPeer(t, say(answerOf("200 OK", "", "")))
 	p := newEndpoints(t, at.Addr().String())
 	c := &call{of: p}
-	e := &event{id: "x", due: math.MaxInt64, steps: make(chan step, maxSteps)}
-	e.request = lifecycle.RestoredRequest(e.id, e.due, true, false)
+	e := &event{id: "x", monoDeadline: math.MaxInt64, updates: make(chan eventUpdate, updateBuffer)}
+	e.request = lifecycle.RestoreRequest(e.id, e.monoDeadline, true, false)
 	s := &send{event: e, timeout: int64(long), began: p.clock.now(), call: c}
 	c.sends = []*send{s}
 	p.carry(c) // nothing is owed for it: it is over
-	if r := ending(t, s); r.how != port.Unsent {
+	if r := ending(t, s); r.outcome != port.Unsent {
 		t.Errorf("a send of an event that is over: %+v", r)
 	}
 	if err := p.journal.take(e, "alert", ""); err != nil {
@@ -255,7 +255,7 @@
 	c.sends = []*send{{event: e, timeout: int64(long), began: p.clock.now(), call: c}}
 	c.giveUp(port.Cancelled)
 	p.carry(c)
-	if r := ending(t, c.sends[0]); r.how != port.Unsent {
+	if r := ending(t, c.sends[0]); r.outcome != port.Unsent {
 		t.Errorf("a send called off before it left: %+v", r)
 	}
 	if calls, _ := at.calls(); calls != 0 {
@@ -287,7 +287,7 @@
 	c.giveUp(port.TimedOut)
 	c.giveUp(port.Cancelled)
 	a, b := ending(t, c.sends[0]), ending(t, c.sends[1])
-	if a.how != port.ConnectFailed || b.how != port.ConnectFailed {
+	if a.outcome != port.ConnectFailed || b.outcome != port.ConnectFailed {
 		t.Errorf("given up while being written: %+v %+v", a, b)
 	}
 }
@@ -319,11 +319,11 @@
 	<-dialing
 	a, b := c.sends[0], c.sends[1]
 	c.recall(a)
-	if r := ending(t, a); r.how != port.Unsent {
+	if r := ending(t, a); r.outcome != port.Unsent {
 		t.Errorf("recalled: %+v", r)
 	}
 	close(up)
-	if r := ending(t, b); r.how != port.Acked {
+	if r := ending(t, b); r.outcome != port.Acked {
 		t.Errorf("the other of its call: %+v", r)
 	}
 	whole := newEndpoints(t, at.Addr().String()) // and a call that is recalled as a whole
@@ -335,7 +335,7 @@
 	<-dialing
 	s := c.sends[0]
 	c.recall(s)
-	if r := ending(t, s); r.how != port.Unsent {
+	if r := ending(t, s); r.outcome != port.Unsent {
 		t.Errorf("recalled: %+v", r)
 	}
 	close(up)
@@ -349,8 +349,8 @@
 		t.Errorf("%d events are owed, want 2", len(owed))
 	}
 	for _, e := range owed {
-		if len(e.past) > 0 != (e.id == "b") {
-			t.Errorf("the journal has %d sends of %s; b's alone went", len(e.past), e.id)
+		if len(e.pastSends) > 0 != (e.id == "b") {
+			t.Errorf("the journal has %d sends of %s; b's alone went", len(e.pastSends), e.id)
 		}
 	}
 }
@@ -369,7 +369,7 @@
 	<-came
 	c.recall(c.sends[0])
 	close(answer)
-	if r := ending(t, c.sends[0]); r.how != port.Acked {
+	if r := ending(t, c.sends[0]); r.outcome != port.Acked {
 		t.Errorf("got %+v", r)
 	}
 }
@@ -407,7 +407,7 @@
 	})
 	p.listed(0, "e0", "zone", shy.Addr().String())
 	for range 3 {
-		if ends, _ := deliver(t, p, long); ends[0].how != port.Acked {
+		if ends, _ := deliver(t, p, long); ends[0].outcome != port.Acked {
 			t.Errorf("got %+v", ends[0])
 		}
 		time.Sleep(20 * time.Millisecond) // for the close to come
@@ -463,24 +463,24 @@
 	if body := <-bodies; strings.Count(body, " mark 4\r\na\r\nb\r\n") != 5 || len(idsOf(body)) != 5 {
 		t.Errorf("body %q", body)
 	}
-	for i, want := range []result{{how: port.Acked, over: true}, {how: port.Errored}, {how: port.Declined},
-		{how: port.Unsent, over: true}, {how: port.Unsent}} {
+	for i, want := range []result{{outcome: port.Acked, final: true}, {outcome: port.Errored}, {outcome: port.Declined},
+		{outcome: port.Unsent, final: true}, {outcome: port.Unsent}} {
 		got := ends[i]
-		if got.how != want.how || got.over != want.over || got.wait != 250*ms || got.left != 0.5 || got.limit != 2 {
+		if got.outcome != want.outcome || got.final != want.final || got.retryAfter != 250*ms || got.rateFree != 0.5 || got.rateLimit != 2 {
 			t.Errorf("event %d: got %+v, want %+v", i, got, want)
 		}
 	}
 	for status, want := range map[string]port.Outcome{"400 Bad": port.Unsent, "413 Long": port.Unsent,
 		"429 Full": port.Declined, "500 Error": port.Errored, "503 Shut": port.Declined} {
 		p := newEndpoints(t, newPeer(t, say(answerOf(status, "", ""))).Addr().String())
-		if ends, _ := deliver(t, p, long, long); ends[0].how != want || ends[1].how != want {
+		if ends, _ := deliver(t, p, long, long); ends[0].outcome != want || ends[1].outcome != want {
 			t.Errorf("%s: %+v", status, ends)
 		}
 	}
 	for name, text := range map[string]string{"short": "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nid0",
 		"noise": answerOf("200 OK", "", "\x00\xff\r\n"), "no head": "HTTP/1.1 200 OK\r\nA"} {
 		p := newEndpoints(t, newPeer(t, say(text)).Addr().String())
-		if ends, _ := deliver(t, p, long, long); ends[0].how != port.Spoilt || ends[1].how != port.Spoilt {
+		if ends, _ := deliver(t, p, long, long); ends[0].outcome != port.Spoilt || ends[1].outcome != port.Spoilt {
 			t.Errorf("%s: %+v", name, ends)
 		}
 	}
@@ -490,13 +490,13 @@
 			return false
 		})
 		ends, _ := deliver(t, newEndpoints(t, at.Addr().String()), long, long)
-		if ends[0].how != port.Spoilt || ends[0].over || ends[1].how != port.Spoilt {
+		if ends[0].outcome != port.Spoilt || ends[0].final || ends[1].outcome != port.Spoilt {
 			t.Errorf("a bulk answer that names one of two: %+v", ends)
 		}
 	}
 	cut := newPeer(t, breakOff("HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nid0"))
 	ends, _ = deliver(t, newEndpoints(t, cut.Addr().String()), long, long)
-	if ends[0].how != port.Reset || ends[1].how != port.Reset {
+	if ends[0].outcome != port.Reset || ends[1].outcome != port.Reset {
 		t.Errorf("a bulk answer cut off: %+v", ends)
 	}
 }
@@ -516,7 +516,7 @@
 	}
 	go p.carry(c)
 	<-came
-	if a, b := ending(t, c.sends[0]), ending(t, c.sends[1]); a.how != port.TimedOut || b.how != port.TimedOut {
+	if a, b := ending(t, c.sends[0]), ending(t, c.sends[1]); a.outcome != port.TimedOut || b.outcome != port.TimedOut {
 		t.Errorf("given up: %+v %+v", a, b)
 	}
 	select {
--- a/node/wire.go
+++ b/node/wire.go
@@ -48,7 +48,7 @@
 )
 
 // bulkSize is what an event takes of the body of a call of several.
-func bulkSize(e *event) int { return len(e.id) + len(e.mark) + len(e.body) + bulkLine }
+func bulkSize(e *event) int { return len(e.id) + len(e.idempotencyKey) + len(e.body) + bulkLine }
 
 // writeCall writes a call of one event, or of several. Id, mark and body go on as they came.
 func writeCall(out *bytebufferpool.ByteBuffer, sends []*send, wait int64) error {
@@ -63,8 +63,8 @@
 		e := sends[0].event
 		req.SetRequestURI("/inbox")
 		req.Header.Set(headID, e.id)
-		if e.mark != "" {
-			req.Header.Set(headMark, e.mark)
+		if e.idempotencyKey != "" {
+			req.Header.Set(headMark, e.idempotencyKey)
 		}
 		req.SetBodyRaw(e.body)
 		_, err := req.WriteTo(out)
@@ -73,7 +73,7 @@
 	body := bytebufferpool.Get()
 	defer bytebufferpool.Put(body)
 	for _, s := range sends {
-		e, mark := s.event, s.event.mark
+		e, mark := s.event, s.event.idempotencyKey
 		if mark == "" {
 			mark = "-"
 		}
@@ -111,7 +111,7 @@
 // how the call fared, an answer was spoilt, or the connection broke before it was whole.
 func (r *replyReader) read(sends []*send) reply {
 	if _, err := r.buf.Peek(1); err != nil {
-		return reply{results: []result{{how: port.Reset}}, close: closeBroken}
+		return reply{results: []result{{outcome: port.Reset}}, close: closeBroken}
 	}
 	// Danger: an answer that never ends would hold its slot, and what it says, for all the send's time.
 	r.conn.SetReadDeadline(time.Now().Add(restWithin))
@@ -131,15 +131,15 @@
 	switch {
 	case err == nil:
 	case delivered: // its first line has delivered a single event, whatever becomes of the rest
-		return reply{results: []result{{how: port.Acked, over: true, wait: r.toldWait(resp)}}, cut: true, close: closeAnswer}
+		return reply{results: []result{{outcome: port.Acked, final: true, retryAfter: r.toldWait(resp)}}, cut: true, close: closeAnswer}
 	case errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET):
-		return reply{results: []result{{how: port.Reset, wait: r.toldWait(resp)}}, close: closeAnswer}
+		return reply{results: []result{{outcome: port.Reset, retryAfter: r.toldWait(resp)}}, close: closeAnswer}
 	default:
-		return reply{results: []result{{how: port.Spoilt, wait: r.toldWait(resp)}}, close: closeAnswer}
+		return reply{results: []result{{outcome: port.Spoilt, retryAfter: r.toldWait(resp)}}, close: closeAnswer}
 	}
 	var all result
-	all.left, all.limit = readLoad(string(resp.Header.Peek(headLoad)))
-	all.wait = readWait(string(resp.Header.Peek(headRetry)))
+	all.rateFree, all.rateLimit = readLoad(string(resp.Header.Peek(headLoad)))
+	all.retryAfter = readWait(string(resp.Header.Peek(headRetry)))
 	out := reply{results: make([]result, len(sends))}
 	out.identity.Digest = digest(resp)
 	if resp.ConnectionClose() {
@@ -151,14 +151,14 @@
 	status := resp.StatusCode()
 	if len(sends) > 1 && status == fasthttp.StatusOK {
 		if readEnds(resp.Body(), sends, all, out.results) {
-			out.identity.Named = true
+			out.identity.NamesRequests = true
 		} else {
 			out.close = closeSurplus // it is another call's, or none
 		}
 		return out
 	}
-	all.how, all.over = readStatus(status, len(resp.Header.Peek(headNoSlot)) > 0, len(sends) > 1)
-	out.identity.NotRun = !all.how.MayHaveRun()
+	all.outcome, all.final = readStatus(status, len(resp.Header.Peek(headNoSlot)) > 0, len(sends) > 1)
+	out.identity.NotRun = !all.outcome.MayHaveRun()
 	for i := range out.results {
 		out.results[i] = all
 	}
@@ -251,7 +251,7 @@
 	count := 0
 	for i := range results {
 		results[i] = all
-		results[i].how = port.Spoilt
+		results[i].outcome = port.Spoilt
 	}
 	for line := range bytes.Lines(body) {
 		id, word, _ := strings.Cut(strings.TrimSpace(string(line)), " ")
@@ -262,15 +262,15 @@
 			count++
 			switch strings.TrimSpace(word) {
 			case "done":
-				results[i].how, results[i].over = port.Acked, true
+				results[i].outcome, results[i].final = port.Acked, true
 			case "failed":
-				results[i].how = port.Errored
+				results[i].outcome = port.Errored
 			case "busy":
-				results[i].how = port.Declined
+				results[i].outcome = port.Declined
 			case "void":
-				results[i].how, results[i].over = port.Unsent, true
+				results[i].outcome, results[i].final = port.Unsent, true
 			case "used_up":
-				results[i].how = port.Unsent
+				results[i].outcome = port.Unsent
 			default:
 				count--
 			}
@@ -281,7 +281,7 @@
 	}
 	for i := range results {
 		results[i] = all // a wait that it told binds all the same
-		results[i].how = port.Spoilt
+		results[i].outcome = port.Spoilt
 	}
 	return false
 }
--- a/store/writer.go
+++ b/store/writer.go
@@ -104,7 +104,7 @@
 		if shut && shutSince.IsZero() {
 			shutSince = time.Now()
 		}
-		if shut && (errclass.File(err) != errclass.Momentary || time.Since(shutSince) > closeWithin) {
+		if shut && (errclass.File(err) != errclass.Transient || time.Since(shutSince) > closeWithin) {
 			s.mu.Lock()
 			s.closeError = err
 			s.mu.Unlock()
@@ -230,7 +230,7 @@
 		if s.roll() == nil {
 			return
 		}
-		if errclass.File(err) != errclass.Momentary || time.Since(began) > settleWithin {
+		if errclass.File(err) != errclass.Transient || time.Since(began) > settleWithin {
 			return
 		}
 	}
