--- a/node/endpointconn.go
+++ b/node/endpointconn.go
@@ -58,7 +58,7 @@
 	dial     string // the address it goes to
 	used     int64  // when its last call ended
 	calls    int
-	answers  lifecycle.AnswerTracker
+	answers  lifecycle.ResponseTracker
 
 	// These belong to endpoints, under its lock.
 	resting  bool            // it is among the idle ones
--- a/node/eventtask.go
+++ b/node/eventtask.go
@@ -83,7 +83,7 @@
 	l.node.activeEvents.Add(-1)
 	switch {
 	case errors.Is(err, errKnown), errors.Is(err, errEnded): // it came before a restart
-		l.answerClient(statusTaken, 0)
+		l.respond(statusTaken, 0)
 		return false
 	case errors.Is(err, errFull):
 		recordRefusal(l.id, refusedJournalFull)
@@ -92,11 +92,11 @@
 		l.node.journal.disk.record(err)
 		logs.Event("clients", l.id).WithError(err).Debug("refused: it cannot be stored")
 	}
-	l.answerClient(statusDeclined, l.node.decisions.fullRetryAfter())
+	l.respond(statusDeclined, l.node.decisions.fullRetryAfter())
 	return false
 }
 
-func (l *eventTask) answerClient(status int, comeBack int64) {
+func (l *eventTask) respond(status int, comeBack int64) {
 	if l.clientWaiting {
 		l.clientWaiting = false
 		l.response <- clientResponse{status: status, retryAfter: comeBack}
@@ -129,7 +129,7 @@
 		case <-shut: // its client must hear, though nothing is decided any more: the journal has it
 			shut = nil
 			if l.pending.written == nil {
-				l.answerClient(statusTaken, 0)
+				l.respond(statusTaken, 0)
 			}
 		}
 	}
@@ -141,7 +141,7 @@
 func (l *eventTask) handle(s eventUpdate) {
 	switch s.kind {
 	case updateKept:
-		l.answerClient(statusTaken, 0)
+		l.respond(statusTaken, 0)
 	case updateSendStarted:
 		l.sendsInFlight++
 	case updateSendEnded:
@@ -201,7 +201,7 @@
 		return
 	}
 	l.release()
-	l.answerClient(statusTaken, 0)
+	l.respond(statusTaken, 0)
 	if !l.request.EndProvisionally() {
 		return
 	}
@@ -217,7 +217,7 @@
 		return
 	}
 	l.release()
-	l.answerClient(statusTaken, 0)
+	l.respond(statusTaken, 0)
 	l.request.DecideEnd()
 	l.node.journal.over(l.event)
 	l.request.ReportEnd(l.node.clock.now(), true) // the endpoint knows
@@ -242,7 +242,7 @@
 	if l.clientWaiting && v == declined {
 		l.pending = pendingEnd{record: l.node.journal.over(l.event), toClient: true, clientTimeout: time.After(refusalRecordTimeout)}
 	} else {
-		l.answerClient(statusTaken, 0)
+		l.respond(statusTaken, 0)
 		l.pending = pendingEnd{record: l.node.journal.decide(l.event)}
 	}
 	l.pending.written = l.pending.record.Written()
@@ -272,7 +272,7 @@
 		return
 	}
 	recordRefusal(l.id, refusedByPolicy)
-	l.answerClient(statusDeclined, l.retryAfter)
+	l.respond(statusDeclined, l.retryAfter)
 	l.endUnreported = false
 	l.node.unreportedEnds.Add(-1)
 }
@@ -280,5 +280,5 @@
 // redirectToPlatform has the platform hear of a refusal whose record takes too long for its client to wait.
 func (l *eventTask) redirectToPlatform() {
 	l.pending.toClient, l.pending.clientTimeout = false, nil
-	l.answerClient(statusTaken, 0)
+	l.respond(statusTaken, 0)
 }
--- a/node/sends.go
+++ b/node/sends.go
@@ -140,7 +140,7 @@
 	switch {
 	case err == nil:
 		reason = closeGivenUp
-	case errors.Is(err, errEarlyAnswer): // to no call: an endpoint begins one when its last byte has come
+	case errors.Is(err, errEarlyResponse): // to no call: an endpoint begins one when its last byte has come
 		reason, wait = closeUnread, conn.in.read(c.sends).results[0].retryAfter
 	}
 	c.of.close(conn, reason)
@@ -304,7 +304,7 @@
 		return false
 	}
 	c.conn, c.bytes, c.sentAt = conn, some, now
-	conn.expectAnswer()
+	conn.expectResponse()
 	for _, s := range c.sends {
 		c.logAttempt(s, "an attempt goes out", nil)
 	}
@@ -370,7 +370,7 @@
 	if c.ended || c.gaveUp {
 		return
 	}
-	if how == port.TimedOut && c.bytes == all && !c.extended && c.conn.answerStarted() { // its answer has begun to come
+	if how == port.TimedOut && c.bytes == all && !c.extended && c.conn.responseStarted() { // its answer has begun to come
 		c.extended = true
 		time.AfterFunc(restWithin, func() { c.giveUp(port.TimedOut) })
 		return
--- a/node/wire.go
+++ b/node/wire.go
@@ -90,7 +90,7 @@
 // reply is an endpoint's answer, taken apart.
 type reply struct {
 	results  []result // of each send
-	identity lifecycle.Answer
+	identity lifecycle.Response
 	cut      bool        // only its beginning came, which says that its one event is delivered
 	close    closeReason // why the connection ends with it, empty if it does not
 }
