--- a/errclass/errclass.go
+++ b/errclass/errclass.go
@@ -1,5 +1,5 @@
-// Package errclass says what an error of a system call means for the caller: whether the same call may be tried
-// again, and to whom the failure is charged. It is the only place that decides this.
+// Package errclass classifies errors of system calls: whether the same call may be retried, and which side the failure is
+// attributed to. It is the only place that decides this.
 package errclass
 
 import (
@@ -10,20 +10,19 @@
 	"syscall"
 )
 
-// Class is what an error means.
+// Class is the meaning of an error for the caller.
 type Class uint8
 
-// The classes.
 const (
-	None             Class = iota // there is no error
-	Transient                     // this machine was short of something or interrupted: the same call may be tried again
-	Remote                        // the other side, or the way to it, failed
-	DeadlineExceeded              // a deadline of our own passed
-	Closed                        // we closed it
-	Permanent                     // the same call would fail again
+	None             Class = iota // no error
+	Transient                     // a resource of this machine was short, or the call was interrupted: it may be retried
+	Remote                        // the remote side, or the network path to it, failed
+	DeadlineExceeded              // a local deadline passed
+	Closed                        // closed by this process
+	Permanent                     // retrying the same call would fail again
 )
 
-// transientErrnos are the errors that say nothing of the object of the call. Linux documents them for calls on files and
+// transientErrnos do not depend on the file or socket that the call is made on. Linux documents them for calls on files and
 // on sockets alike.
 var transientErrnos = map[syscall.Errno]bool{
 	syscall.EINTR:  true,
@@ -33,7 +32,7 @@
 	syscall.ENFILE: true,
 }
 
-// transientFileErrnos are those that a disk has for a while.
+// transientFileErrnos are further errors from which a disk can recover.
 var transientFileErrnos = map[syscall.Errno]bool{
 	syscall.EIO:       true,
 	syscall.ENOSPC:    true,
@@ -44,8 +43,8 @@
 	syscall.ETIMEDOUT: true,
 }
 
-// transientSocketErrnos are those that the local side of the network has for a while: buffers, ports, addresses, rules
-// of its packet filter.
+// transientSocketErrnos are further errors of the local network stack that can pass: no buffers, ports or addresses left,
+// or a rule of the local packet filter.
 var transientSocketErrnos = map[syscall.Errno]bool{
 	syscall.ENOBUFS:       true,
 	syscall.EADDRINUSE:    true,
@@ -55,9 +54,9 @@
 	syscall.EIO:           true,
 }
 
-// transientStreamErrnos are those that a read or write of an established connection may meet and outlast: the system
-// tells of trouble on the way while it still tries, or once, before the end of a connection that has really gone. The
-// same call tells then.
+// transientStreamErrnos are further errors that a read or write on an established connection can survive. The kernel
+// reports a problem on the path while it is still retransmitting, or once before it ends a connection that is really
+// lost. Retrying the call shows which of the two it is.
 var transientStreamErrnos = map[syscall.Errno]bool{
 	syscall.ETIMEDOUT:    true,
 	syscall.EHOSTUNREACH: true,
@@ -108,5 +107,5 @@
 	return Permanent
 }
 
-// DescriptorsExhausted tells whether this process has no descriptor left, so that closing one of its own helps.
+// DescriptorsExhausted reports whether this process has no file descriptor left, so that closing one of its own helps.
 func DescriptorsExhausted(err error) bool { return errors.Is(err, syscall.EMFILE) }
--- a/errclass/errclass_test.go
+++ b/errclass/errclass_test.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// Guards against an error that is taken for another's failure, or is tried again for ever.
+// Guards against a local error being attributed to the remote side, and against a permanent error being retried forever.
 func TestErrorsAreClassified(t *testing.T) {
 	wrapped := func(errno syscall.Errno) error {
-		return fmt.Errorf("around it: %w", &net.OpError{Op: "x", Err: os.NewSyscallError("x", errno)})
+		return fmt.Errorf("outer error: %w", &net.OpError{Op: "x", Err: os.NewSyscallError("x", errno)})
 	}
 	for _, c := range []struct {
 		err                  error
@@ -35,10 +35,10 @@
 		{os.ErrDeadlineExceeded, Permanent, DeadlineExceeded, DeadlineExceeded},
 		{net.ErrClosed, Permanent, Closed, Closed},
 		{os.ErrClosed, Closed, Permanent, Permanent},
-		{errors.New("something else"), Permanent, Permanent, Permanent},
+		{errors.New("unknown error"), Permanent, Permanent, Permanent},
 	} {
 		if f, so, st := File(c.err), Socket(c.err), Stream(c.err); f != c.file || so != c.socket || st != c.stream {
-			t.Errorf("%v: %d, %d, %d, want %d, %d, %d", c.err, f, so, st, c.file, c.socket, c.stream)
+			t.Errorf("%v: got file %d, socket %d, stream %d, want %d, %d, %d", c.err, f, so, st, c.file, c.socket, c.stream)
 		}
 	}
 	calls := 0
@@ -49,6 +49,6 @@
 		return syscall.ENOENT
 	})
 	if calls != 4 || !errors.Is(err, syscall.ENOENT) {
-		t.Errorf("%d calls, %v", calls, err)
+		t.Errorf("got %d calls and error %v, want 4 calls and ENOENT", calls, err)
 	}
 }
--- a/errclass/retry.go
+++ b/errclass/retry.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// Retry repeats a call for as long as it fails for a moment, going by classify, and so long has not passed.
-func Retry(classify func(error) Class, within, pause time.Duration, call func() error) error {
-	for began := time.Now(); ; time.Sleep(pause) {
+// Retry repeats call while classify reports its error as Transient and timeout has not elapsed since the start. It returns
+// the error of the last call.
+func Retry(classify func(error) Class, timeout, interval time.Duration, call func() error) error {
+	for start := time.Now(); ; time.Sleep(interval) {
 		err := call()
-		if classify(err) != Transient || time.Since(began) > within {
+		if classify(err) != Transient || time.Since(start) > timeout {
 			return err
 		}
 	}
@@ -17,11 +18,11 @@
 	readRetryInterval = 20 * time.Millisecond
 )
 
-// ReadFile reads a whole file by a function such as os.ReadFile, and tries again while that fails for a moment.
-func ReadFile(read func(name string) ([]byte, error), name string) (text []byte, err error) {
+// ReadFile reads a file with a function such as os.ReadFile, and retries while it fails with a transient error.
+func ReadFile(read func(name string) ([]byte, error), name string) (data []byte, err error) {
 	err = Retry(File, readRetryTimeout, readRetryInterval, func() error {
-		text, err = read(name)
+		data, err = read(name)
 		return err
 	})
-	return text, err
+	return data, err
 }
--- a/lifecycle/connection.go
+++ b/lifecycle/connection.go
@@ -2,33 +2,33 @@
 
 import "sync"
 
-// Connection is the state of a client's connection: whether a request has been read from it and not been answered.
-// It may be used by any goroutine.
+// Connection is the state of a client connection: whether a request was read from it that has no response yet.
+// It is safe for concurrent use.
 type Connection struct {
 	mu               sync.Mutex
 	awaitingResponse bool
 }
 
-// MarkRequestRead notes that a request has been read whole. From now on its client is owed an answer.
+// MarkRequestRead records that a request was read in full. From then on the client is owed a response.
 func (c *Connection) MarkRequestRead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.awaitingResponse = true
 }
 
-// MarkAnswered notes that an answer was written, or that the client has gone, so that nobody can hear it.
+// MarkAnswered records that the response was written, or that the client has disconnected and cannot receive one.
 func (c *Connection) MarkAnswered() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.awaitingResponse = false
 }
 
-// CheckClose checks that the connection may be closed: no request that was read is without its answer.
+// CheckClose returns a violation if the connection is about to be closed while a request on it has no response.
 func (c *Connection) CheckClose(client string) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.awaitingResponse {
-		return violation(transitionClose, client, "a request was read and not answered")
+		return violation(transitionClose, client, "a request was read but not answered")
 	}
 	return nil
 }
--- a/lifecycle/lifecycle.go
+++ b/lifecycle/lifecycle.go
@@ -1,10 +1,11 @@
-// Package lifecycle is the one place that decides what may be done with a request and with a client's connection:
-// started, sent, repeated, ended, told and closed. Each transition is a method that checks the state it starts from.
-// What was asked for and not allowed is counted; where the program itself is at fault it is a violation.
+// Package lifecycle is the only place that decides which state transitions of a request and of a client connection are
+// allowed: starting, sending and repeating attempts, ending a request, reporting its end, and closing a connection. Each
+// transition is a method that checks the current state. Transitions that are not allowed are counted. Those caused by a
+// bug in the program are violations.
 //
-// The invariant of a request: its end is told, or acted on, only once every crash from then on recovers to a state in
-// which nothing more is sent for it. That is so when the record of the end is written, when its deadline has passed,
-// or when it was never stored.
+// Invariant of a request: its end is reported, or acted on, only once recovery from a crash at any later time would send
+// nothing more for it. That holds when the record of the end is durable, when the deadline has passed, or when the
+// request was never stored.
 package lifecycle
 
 import (
@@ -18,18 +19,17 @@
 	"jaspersill/metrics"
 )
 
-// Denial is why something may not be done with a request, though nobody is at fault: two things crossed.
+// Denial is the reason why a transition is not allowed although there is no bug: two concurrent operations raced.
 type Denial struct{ Reason string }
 
 func (d *Denial) Error() string { return "lifecycle: " + d.Reason }
 
-// The denials.
 var (
-	ErrDeadlinePassed = &Denial{"its deadline has passed"}
-	ErrEndDecided     = &Denial{"its end is decided"}
+	ErrDeadlinePassed = &Denial{"deadline has passed"}
+	ErrEndDecided     = &Denial{"end of the request is already decided"}
 )
 
-// ErrViolation tells that the program asked for what its own state forbids.
+// ErrViolation means that the program requested a transition which its own state forbids.
 var ErrViolation = errors.New("lifecycle: violation")
 
 const (
@@ -56,83 +56,85 @@
 	denialLabels = map[*Denial]string{ErrDeadlinePassed: denialDeadline, ErrEndDecided: denialEnded}
 )
 
-// Violations is how many there were in this process.
+// Violations returns the number of violations in this process.
 func Violations() int64 { return violations.Total() }
 
-// violation counts a violation and logs it with what it concerns.
+// violation counts and logs a violation and returns it as an error. id is the request, or the client of a connection.
 func violation(transition, id, reason string) error {
 	violations.With(transition).Add()
-	logs.Event(logPart, id).WithFields(logrus.Fields{"transition": transition, "reason": reason}).Error("violation")
+	logs.Event(logPart, id).WithFields(logrus.Fields{"transition": transition, "reason": reason}).
+		Error("lifecycle violation: forbidden state transition")
 	return fmt.Errorf("%w: %s: %s", ErrViolation, transition, reason)
 }
 
+// denied counts a denial and returns it.
 func denied(d *Denial) error {
 	denials.With(denialLabels[d]).Add()
 	return d
 }
 
-// State is how far a request has come.
+// State is the progress of a request.
 type State uint8
 
-// The states of a request.
 const (
 	Received    State = iota // read from its client
-	Pending                  // stored: it is owed its end, and no attempt is out
-	Recording                // an attempt is chosen, and its record is being written
-	InFlight                 // bytes of an attempt may have gone out
-	Provisional              // an answer ended it that may be another call's
-	Ending                   // its end is decided
-	Ended                    // its end is told
+	Pending                  // stored and unfinished, with no attempt in flight
+	Recording                // an attempt was chosen and its record is being written
+	InFlight                 // bytes of an attempt may have been sent
+	Provisional              // ended by a response that may belong to another call
+	Ending                   // its end is decided but not reported
+	Ended                    // its end was reported, or nothing is left to report
 )
 
 func (s State) String() string {
 	return [...]string{"received", "pending", "recording", "in flight", "provisional", "ending", "ended"}[s]
 }
 
-// Request is the state of one request. It may be used by any goroutine.
+// Request is the state machine of one request. It is safe for concurrent use.
 type Request struct {
 	mu                  sync.Mutex
 	id                  string
-	deadline            int64 // on the clock of those who call
+	deadline            int64 // on the caller's clock
 	repeatable          bool
 	state               State
-	attemptState        State // Pending, Recording or InFlight: how far the newest attempt is, whatever became of the request
+	attemptState        State // Pending, Recording or InFlight: progress of the latest attempt, independent of state
 	mayHaveRun          bool
 	stored              bool
-	unconfirmedRefusals int // attempts that are said not to have run, by answers that may be another call's
+	unconfirmedRefusals int // attempts reported as not run by responses that may belong to another call
 }
 
-// NewRequest is a request that was read. It may be repeated after an attempt that may have run if repeatable.
+// NewRequest returns the state of a request that was just read. If repeatable, it may be sent again after an attempt that
+// may have run.
 func NewRequest(id string, deadline int64, repeatable bool) *Request {
 	return &Request{id: id, deadline: deadline, repeatable: repeatable, attemptState: Pending}
 }
 
-// RestoreRequest is one that a restart found pending.
+// RestoreRequest returns the state of a request that was found pending in the store after a restart.
 func RestoreRequest(id string, deadline int64, repeatable, mayHaveRun bool) *Request {
 	r := NewRequest(id, deadline, repeatable)
 	r.state, r.stored, r.mayHaveRun = Pending, true, mayHaveRun
 	return r
 }
 
-// State is how far the request has come.
+// State returns the progress of the request.
 func (r *Request) State() State {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state
 }
 
-// MarkStored notes that the request stands in the log.
+// MarkStored records that the request is in the store.
 func (r *Request) MarkStored() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.state != Received {
-		return violation(transitionStore, r.id, "it is "+r.state.String())
+		return violation(transitionStore, r.id, "request is "+r.state.String())
 	}
 	r.state, r.stored = Pending, true
 	return nil
 }
 
-// StartAttempt allows an attempt's record to be written.
+// StartAttempt permits writing the record of an attempt.
 func (r *Request) StartAttempt(now int64) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -142,23 +144,23 @@
 	case now >= r.deadline:
 		return denied(ErrDeadlinePassed)
 	case !r.stored:
-		return violation(transitionAttempt, r.id, "it is not stored")
+		return violation(transitionAttempt, r.id, "request is not stored")
 	case r.attemptState != Pending:
-		return violation(transitionAttempt, r.id, "another one is "+r.attemptState.String())
+		return violation(transitionAttempt, r.id, "another attempt is "+r.attemptState.String())
 	case (r.mayHaveRun || r.unconfirmedRefusals > 0) && !r.repeatable:
-		return violation(transitionAttempt, r.id, "it may have run and may not be repeated")
+		return violation(transitionAttempt, r.id, "request may have run and is not repeatable")
 	}
 	r.state, r.attemptState = Recording, Recording
 	return nil
 }
 
-// SendAttempt allows the first byte of an attempt whose record is written.
+// SendAttempt permits sending the first byte of an attempt whose record is written.
 func (r *Request) SendAttempt(now int64) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
 	case r.attemptState != Recording:
-		return violation(transitionSend, r.id, "its attempt is "+r.attemptState.String())
+		return violation(transitionSend, r.id, "attempt is "+r.attemptState.String())
 	case r.endDecided():
 		return denied(ErrEndDecided)
 	case now >= r.deadline:
@@ -168,7 +170,7 @@
 	return nil
 }
 
-// RevertSend notes that no byte of an attempt went out after all. SendAttempt is asked again before the next try.
+// RevertSend records that no byte of an attempt was sent after all. SendAttempt must be called again before the next try.
 func (r *Request) RevertSend() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -180,12 +182,13 @@
 	}
 }
 
-// FinishAttempt notes that an attempt is over, or was not sent after all. One that never started has nothing to note.
+// FinishAttempt records that an attempt has finished or was not sent after all. It has no effect on the state if none was
+// started.
 func (r *Request) FinishAttempt(mayHaveRun bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if mayHaveRun && r.attemptState != InFlight {
-		violation(transitionOutcome, r.id, "it may have run though it is "+r.attemptState.String())
+		violation(transitionOutcome, r.id, "attempt may have run but is "+r.attemptState.String())
 	}
 	r.mayHaveRun = r.mayHaveRun || mayHaveRun
 	r.attemptState = Pending
@@ -194,12 +197,13 @@
 	}
 }
 
-// endDecided tells whether no attempt may follow; the lock is held.
+// endDecided reports whether no further attempt may follow. The caller holds the lock.
 func (r *Request) endDecided() bool {
 	return r.state == Provisional || r.state == Ending || r.state == Ended
 }
 
-// FinishUnconfirmedRefusal notes that an attempt is over by an answer which says that it never ran, and which may be another call's.
+// FinishUnconfirmedRefusal records that an attempt was finished by a response which states that it was not executed, and
+// which may belong to another call.
 func (r *Request) FinishUnconfirmedRefusal() {
 	r.FinishAttempt(false)
 	r.mu.Lock()
@@ -207,26 +211,26 @@
 	r.unconfirmedRefusals++
 }
 
-// ConfirmRefusal notes that such an answer was the attempt's own.
+// ConfirmRefusal records that a response passed to FinishUnconfirmedRefusal did belong to its attempt.
 func (r *Request) ConfirmRefusal() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.unconfirmedRefusals == 0 {
-		return violation(transitionConfirm, r.id, "no refusal is unconfirmed")
+		return violation(transitionConfirm, r.id, "no refusal awaits confirmation")
 	}
 	r.unconfirmedRefusals--
 	return nil
 }
 
-// MayHaveRun tells whether an attempt may have taken effect, for all that is surely known.
+// MayHaveRun reports whether an attempt may have taken effect. Unconfirmed refusals count as may have run.
 func (r *Request) MayHaveRun() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.mayHaveRun || r.unconfirmedRefusals > 0
 }
 
-// EndProvisionally notes that an answer ended the request which may be another call's. No attempt follows. It tells false
-// where its end was decided before.
+// EndProvisionally records that the request was ended by a response that may belong to another call. No attempt follows.
+// It returns false if the end was already decided.
 func (r *Request) EndProvisionally() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -237,30 +241,31 @@
 	return true
 }
 
-// ConfirmEnd notes that the answer was the request's own: nothing more is owed for it.
+// ConfirmEnd records that the response which ended the request provisionally did belong to it: nothing is left to do.
 func (r *Request) ConfirmEnd() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.state != Provisional {
-		return violation(transitionConfirm, r.id, "it is "+r.state.String())
+		return violation(transitionConfirm, r.id, "request is "+r.state.String())
 	}
 	r.state = Ended
 	return nil
 }
 
-// FailConfirmation notes that the answer may have been another call's: the end is still to be told.
+// FailConfirmation records that the response which ended the request provisionally could not be confirmed: the end still
+// has to be reported.
 func (r *Request) FailConfirmation() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.state != Provisional {
-		return violation(transitionConfirm, r.id, "it is "+r.state.String())
+		return violation(transitionConfirm, r.id, "request is "+r.state.String())
 	}
 	r.state = Ending
 	return nil
 }
 
-// DecideEnd notes how the request ends: delivered, or by a notice or a refusal that is still to be told. It tells false
-// where that was decided before.
+// DecideEnd records that the end of the request is decided: it was delivered, or a notice or a refusal is still to be
+// reported. It returns false if the end was already decided.
 func (r *Request) DecideEnd() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -271,7 +276,8 @@
 	return true
 }
 
-// MayReportEnd tells whether the end may be told now: no restart would send anything for the request any more.
+// MayReportEnd reports whether the end may be reported now, which is so once no restart would send anything more for the
+// request. written tells whether the record of the end is durable.
 func (r *Request) MayReportEnd(now int64, written bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -282,15 +288,15 @@
 	return written || now >= r.deadline || !r.stored
 }
 
-// ReportEnd notes that the end is told now, to the client or to the platform.
+// ReportEnd records that the end is being reported, to the client or to the platform.
 func (r *Request) ReportEnd(now int64, written bool) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
 	case r.state != Ending:
-		return violation(transitionReport, r.id, "it is "+r.state.String())
+		return violation(transitionReport, r.id, "request is "+r.state.String())
 	case !r.mayReportEnd(now, written):
-		return violation(transitionReport, r.id, "a restart would still send it")
+		return violation(transitionReport, r.id, "a restart would still send the request")
 	}
 	r.state = Ended
 	return nil
--- a/lifecycle/lifecycle_test.go
+++ b/lifecycle/lifecycle_test.go
@@ -10,48 +10,48 @@
 	deadline = int64(100)
 )
 
-// Guards against transitions that are allowed from a state in which they do harm, or denied where they are owed.
-func TestTransitionsAreAllowedOnlyFromTheirStates(t *testing.T) {
+// Guards against a transition that is allowed in a state where it does harm, or denied in a state where it is needed.
+func TestTransitionsDependOnState(t *testing.T) {
 	attempt := func(r *Request) error { return errors.Join(r.StartAttempt(early), r.SendAttempt(early)) }
 	for _, c := range []struct {
 		name string
-		play func(r *Request) error
+		run  func(r *Request) error
 		want error
 	}{
-		{"an attempt before it is stored", func(r *Request) error { return r.StartAttempt(early) }, ErrViolation},
+		{"attempt before the request is stored", func(r *Request) error { return r.StartAttempt(early) }, ErrViolation},
 		{"stored twice", func(r *Request) error { return errors.Join(r.MarkStored(), r.MarkStored()) }, ErrViolation},
-		{"an attempt", func(r *Request) error { return errors.Join(r.MarkStored(), attempt(r)) }, nil},
-		{"two attempts at once", func(r *Request) error { r.MarkStored(); return errors.Join(attempt(r), attempt(r)) }, ErrViolation},
+		{"single attempt", func(r *Request) error { return errors.Join(r.MarkStored(), attempt(r)) }, nil},
+		{"two concurrent attempts", func(r *Request) error { r.MarkStored(); return errors.Join(attempt(r), attempt(r)) }, ErrViolation},
 		{"sent without a record", func(r *Request) error { r.MarkStored(); return r.SendAttempt(early) }, ErrViolation},
 		{"started after the deadline", func(r *Request) error { r.MarkStored(); return r.StartAttempt(deadline) }, ErrDeadlinePassed},
 		{"sent after the deadline", func(r *Request) error {
 			r.MarkStored()
 			return errors.Join(r.StartAttempt(early), r.SendAttempt(deadline))
 		}, ErrDeadlinePassed},
-		{"sent after the end", func(r *Request) error {
+		{"sent after the end is decided", func(r *Request) error {
 			r.MarkStored()
 			r.StartAttempt(early)
 			r.DecideEnd()
 			return r.SendAttempt(early)
 		}, ErrEndDecided},
-		{"repeated though it may have run", func(r *Request) error {
+		{"repeated although it may have run", func(r *Request) error {
 			r.MarkStored()
 			attempt(r)
 			r.FinishAttempt(true)
 			return attempt(r)
 		}, ErrViolation},
-		{"repeated after it never ran", func(r *Request) error {
+		{"repeated after an attempt that did not run", func(r *Request) error {
 			r.MarkStored()
 			attempt(r)
 			r.FinishAttempt(false)
 			return attempt(r)
 		}, nil},
-		{"told before its end", func(r *Request) error { r.MarkStored(); return r.ReportEnd(early, true) }, ErrViolation},
-		{"told before its record", func(r *Request) error { r.MarkStored(); r.DecideEnd(); return r.ReportEnd(early, false) }, ErrViolation},
-		{"told with its record", func(r *Request) error { r.MarkStored(); r.DecideEnd(); return r.ReportEnd(early, true) }, nil},
-		{"told after the deadline", func(r *Request) error { r.MarkStored(); r.DecideEnd(); return r.ReportEnd(deadline, false) }, nil},
-		{"told, never stored", func(r *Request) error { r.DecideEnd(); return r.ReportEnd(early, false) }, nil},
-		{"told twice", func(r *Request) error {
+		{"reported before the end is decided", func(r *Request) error { r.MarkStored(); return r.ReportEnd(early, true) }, ErrViolation},
+		{"reported before the record is written", func(r *Request) error { r.MarkStored(); r.DecideEnd(); return r.ReportEnd(early, false) }, ErrViolation},
+		{"reported after the record is written", func(r *Request) error { r.MarkStored(); r.DecideEnd(); return r.ReportEnd(early, true) }, nil},
+		{"reported after the deadline", func(r *Request) error { r.MarkStored(); r.DecideEnd(); return r.ReportEnd(deadline, false) }, nil},
+		{"reported without being stored", func(r *Request) error { r.DecideEnd(); return r.ReportEnd(early, false) }, nil},
+		{"reported twice", func(r *Request) error {
 			r.DecideEnd()
 			return errors.Join(r.ReportEnd(early, true), r.ReportEnd(early, true))
 		}, ErrViolation},
@@ -61,7 +61,7 @@
 			r.EndProvisionally()
 			return r.SendAttempt(early)
 		}, ErrEndDecided},
-		{"repeated though a refusal is unconfirmed", func(r *Request) error {
+		{"repeated although a refusal is unconfirmed", func(r *Request) error {
 			r.MarkStored()
 			attempt(r)
 			r.FinishUnconfirmedRefusal()
@@ -73,84 +73,84 @@
 			r.FinishUnconfirmedRefusal()
 			return errors.Join(r.ConfirmRefusal(), attempt(r))
 		}, nil},
-		{"a refusal confirmed that was none", func(r *Request) error { return r.ConfirmRefusal() }, ErrViolation},
-		{"told while provisional", func(r *Request) error { r.MarkStored(); r.EndProvisionally(); return r.ReportEnd(early, true) }, ErrViolation},
-		{"told after a doubt", func(r *Request) error {
+		{"confirmation without a refusal", func(r *Request) error { return r.ConfirmRefusal() }, ErrViolation},
+		{"reported while provisional", func(r *Request) error { r.MarkStored(); r.EndProvisionally(); return r.ReportEnd(early, true) }, ErrViolation},
+		{"reported after a failed confirmation", func(r *Request) error {
 			r.MarkStored()
 			r.EndProvisionally()
 			return errors.Join(r.FailConfirmation(), r.ReportEnd(early, true))
 		}, nil},
-		{"confirmed twice", func(r *Request) error {
+		{"end confirmed twice", func(r *Request) error {
 			r.EndProvisionally()
 			return errors.Join(r.ConfirmEnd(), r.ConfirmEnd())
 		}, ErrViolation},
-		{"doubted after it was confirmed", func(r *Request) error {
+		{"confirmation failed after the end was confirmed", func(r *Request) error {
 			r.EndProvisionally()
 			return errors.Join(r.ConfirmEnd(), r.FailConfirmation())
 		}, ErrViolation},
 	} {
 		before := Violations()
-		err := c.play(NewRequest("x", deadline, false))
+		err := c.run(NewRequest("x", deadline, false))
 		if (c.want == nil && err != nil) || (c.want != nil && !errors.Is(err, c.want)) {
 			t.Errorf("%s: %v, want %v", c.name, err, c.want)
 		}
 		if counted := Violations() > before; counted != errors.Is(err, ErrViolation) {
-			t.Errorf("%s: counted as a violation: %v", c.name, counted)
+			t.Errorf("%s: counted as a violation: got %v", c.name, counted)
 		}
 	}
 	var c Connection
 	c.MarkRequestRead()
 	if err := c.CheckClose("x"); !errors.Is(err, ErrViolation) {
-		t.Errorf("closed with a request unanswered: %v", err)
+		t.Errorf("closed with an unanswered request: got %v, want a violation", err)
 	}
 	c.MarkAnswered()
 	if err := c.CheckClose("x"); err != nil {
-		t.Errorf("closed after its answer: %v", err)
+		t.Errorf("closed after the response: %v", err)
 	}
 }
 
-// Guards against an answer that is believed to be a call's though it may be a copy of an earlier one.
-func TestAnAnswerIsCertainOnlyWhereItCanBeNoCopy(t *testing.T) {
-	const prove = "prove"
+// Guards against a response being attributed to a call although it may be a duplicate of an earlier response.
+func TestResponseIsCertainOnlyIfItCannotBeDuplicate(t *testing.T) {
+	const markInSync = "mark in sync"
 	ok, full, named := Response{Digest: 1}, Response{Digest: 2, NotRun: true}, Response{Digest: 3, NamesRequests: true}
 	for _, c := range []struct {
-		name string
-		play []any
-		want Attribution // of the last
+		name  string
+		steps []any
+		want  Attribution // of the last response
 	}{
-		{"the first", []any{ok}, Certain},
-		{"another after it", []any{ok, full}, Certain},
-		{"the same after it", []any{ok, ok}, Unconfirmed},
-		{"the same after a rest", []any{ok, prove, ok}, Unconfirmed},
-		{"another behind one that may be a copy", []any{ok, ok, full}, Unconfirmed},
-		{"another behind it, after a rest", []any{ok, ok, prove, full}, Certain},
-		{"one that names its requests", []any{ok, ok, named}, Certain},
-		{"another behind one that names its requests", []any{ok, ok, named, full}, Certain},
-		{"one that names them for the second time", []any{named, named}, Unconfirmed},
+		{"first response", []any{ok}, Certain},
+		{"different response after it", []any{ok, full}, Certain},
+		{"same response after it", []any{ok, ok}, Unconfirmed},
+		{"same response after an idle period", []any{ok, markInSync, ok}, Unconfirmed},
+		{"different response after a possible duplicate", []any{ok, ok, full}, Unconfirmed},
+		{"different response after a possible duplicate and an idle period", []any{ok, ok, markInSync, full}, Certain},
+		{"response that names its requests", []any{ok, ok, named}, Certain},
+		{"different response after one that names its requests", []any{ok, ok, named, full}, Certain},
+		{"duplicate of a response that names its requests", []any{named, named}, Unconfirmed},
 	} {
-		var s ResponseTracker
+		var tracker ResponseTracker
 		got := Certain
-		for _, step := range c.play {
-			if answer, read := step.(Response); read {
-				got = s.Observe(answer)
+		for _, step := range c.steps {
+			if response, isResponse := step.(Response); isResponse {
+				got = tracker.Observe(response)
 			} else {
-				s.MarkInSync()
+				tracker.MarkInSync()
 			}
 		}
 		if got != c.want {
 			t.Errorf("%s: %d, want %d", c.name, got, c.want)
 		}
 	}
-	var s ResponseTracker
+	var tracker ResponseTracker
 	for i := range uint64(2 * maxSeenResponses) {
-		s.Observe(Response{Digest: 10 + i})
-		s.MarkInSync()
+		tracker.Observe(Response{Digest: 10 + i})
+		tracker.MarkInSync()
 	}
-	var cut ResponseTracker
-	if cut.ObserveTruncated() != Certain || s.ObserveTruncated() != Unconfirmed {
-		t.Error("half an answer is certain only where it is the first")
+	var fresh ResponseTracker
+	if fresh.ObserveTruncated() != Certain || tracker.ObserveTruncated() != Unconfirmed {
+		t.Error("truncated response: want certain if it is the first on its connection, else unconfirmed")
 	}
-	if s.Observe(full) != Unconfirmed || !s.SawNotRun() || len(s.seen) > maxSeenResponses {
-		t.Error("a connection with too many answers to know them all takes one for new")
+	if tracker.Observe(full) != Unconfirmed || !tracker.SawNotRun() || len(tracker.seen) > maxSeenResponses {
+		t.Error("response after maxSeenResponses distinct ones: want unconfirmed, remembered responses bounded")
 	}
 }
--- a/lifecycle/responses.go
+++ b/lifecycle/responses.go
@@ -1,73 +1,75 @@
 package lifecycle
 
-// Attribution is how sure it is that an answer belongs to the call for which it was read.
+// Attribution tells how certain it is that a response belongs to the call for which it was read.
 type Attribution uint8
 
-// The attributions.
 const (
-	Certain     Attribution = iota // only this call can have had it
-	Unconfirmed                    // it may be a copy of an earlier answer, or the answer to an earlier call
+	Certain     Attribution = iota // only this call can have received it
+	Unconfirmed                    // it may duplicate an earlier response, or answer an earlier call
 )
 
-// maxSeenResponses bounds the answers of a connection that are told apart. Those beyond count as seen before.
+// maxSeenResponses bounds the distinct responses remembered per connection. Once the bound is reached, every further
+// response counts as seen before.
 const maxSeenResponses = 64
 
-// ResponseTracker decides to which call an answer belongs on a connection that carries calls one after another, whose
-// answers name no call. The connection is in step while each call has had exactly one answer. The first answer of a
-// connection can only be the first call's; on one in step, so can an answer that is unlike all before it. All others may
-// be copies, and after one that was a copy each call gets the answer of the one before it.
+// ResponseTracker decides which call a response belongs to, on a connection that carries calls one after another and
+// whose responses do not identify their call. The connection is in sync while each call has received exactly one
+// response. The first response on a connection can only belong to the first call. On a connection in sync, a response
+// that differs from all earlier ones belongs to the current call. Any other response may be a duplicate, and after a
+// duplicate each call reads the response to the call before it.
 //
-// The zero value is a new connection. It is for one goroutine at a time.
+// The zero value describes a new connection. It is not safe for concurrent use.
 type ResponseTracker struct {
 	seen      map[uint64]struct{}
-	outOfSync bool // it is not known to be in step
+	outOfSync bool // not known to be in sync
 	sawNotRun bool
 }
 
-// Response is what decides whose an answer is.
+// Response holds what attribution depends on.
 type Response struct {
-	Digest        uint64 // of all that it means; equal for copies
-	NamesRequests bool   // it names the requests of its call, and only these
-	NotRun        bool   // it says that its call never ran
+	Digest        uint64 // hash of the whole meaning; equal for duplicates
+	NamesRequests bool   // it names the requests of its call, and no others
+	NotRun        bool   // it states that its call was not executed
 }
 
-// Observe notes the next answer, and tells how sure it is whose.
-func (s *ResponseTracker) Observe(a Response) Attribution {
-	_, seen := s.seen[a.Digest]
-	seen = seen || len(s.seen) >= maxSeenResponses
-	if s.seen == nil {
-		s.seen = map[uint64]struct{}{}
+// Observe records the next response and returns its attribution.
+func (t *ResponseTracker) Observe(r Response) Attribution {
+	_, seen := t.seen[r.Digest]
+	seen = seen || len(t.seen) >= maxSeenResponses
+	if t.seen == nil {
+		t.seen = map[uint64]struct{}{}
 	}
 	if !seen {
-		s.seen[a.Digest] = struct{}{}
+		t.seen[r.Digest] = struct{}{}
 	}
-	s.sawNotRun = s.sawNotRun || a.NotRun
+	t.sawNotRun = t.sawNotRun || r.NotRun
 	switch {
-	case a.NamesRequests && !seen:
-		s.outOfSync = false
+	case r.NamesRequests && !seen:
+		t.outOfSync = false
 		return Certain
-	case s.outOfSync || seen:
-		s.outOfSync = true
+	case t.outOfSync || seen:
+		t.outOfSync = true
 		return Unconfirmed
 	}
 	return Certain
 }
 
-// ObserveTruncated notes an answer of which only the beginning came, and tells how sure it is whose.
-func (s *ResponseTracker) ObserveTruncated() Attribution {
-	if len(s.seen) == 0 {
+// ObserveTruncated records a response of which only the beginning arrived, and returns its attribution.
+func (t *ResponseTracker) ObserveTruncated() Attribution {
+	if len(t.seen) == 0 {
 		return Certain
 	}
-	s.outOfSync = true
+	t.outOfSync = true
 	return Unconfirmed
 }
 
-// MarkInSync notes that the connection is in step: it has rested, with no byte unread, for longer than an answer takes.
-func (s *ResponseTracker) MarkInSync() { s.outOfSync = false }
+// MarkInSync records that the connection is in sync: it was idle, with no unread byte, for longer than a response takes
+// to arrive.
+func (t *ResponseTracker) MarkInSync() { t.outOfSync = false }
 
-// InSync tells whether the connection is known to be in step.
-func (s *ResponseTracker) InSync() bool { return !s.outOfSync }
+// InSync reports whether the connection is known to be in sync.
+func (t *ResponseTracker) InSync() bool { return !t.outOfSync }
 
-// SawNotRun tells whether an answer on the connection said that its call never ran. A copy of it could say so of a call
-// that did.
-func (s *ResponseTracker) SawNotRun() bool { return s.sawNotRun }
+// SawNotRun reports whether any response on the connection stated that its call was not executed. A duplicate of such a
+// response could state the same of a call that was executed.
+func (t *ResponseTracker) SawNotRun() bool { return t.sawNotRun }
