--- a/node/event.go
+++ b/node/event.go
@@ -8,39 +8,39 @@
 	"jaspersill/store"
 )
 
-// event is one event that the delivery node has in hand. Its life owns it; the desk keeps its index. What may be done
-// with it is asked of its request.
+// event is one event that the node is processing. Its eventTask owns it; the decision loop assigns its index. Its request
+// decides which state transitions are allowed.
 type event struct {
-	id, idempotencyKey string // mark: what repeats are known by, where its stream type has one
+	id, idempotencyKey string // idempotencyKey: how duplicates are detected, for stream types that have one
 	typ, customer      int
 	safety             port.Safety
 	dest               uint32
-	monoDeadline       int64 // on the module's clock
-	wallDeadline       int64 // the same as time of day, which outlasts the process
+	monoDeadline       int64 // on the monotonic clock that the decision module uses
+	wallDeadline       int64 // the same deadline as time of day, which stays valid after a restart
 	body               []byte
-	updates            chan eventUpdate    // what its life waits for
-	response           chan clientResponse // what its client hears, nil for one restored
-	index              int32               // the desk's
+	updates            chan eventUpdate    // read by its eventTask
+	response           chan clientResponse // read by its client's handler; nil for an event restored after a restart
+	index              int32               // owned by the decision loop
 	pastSends          []store.Send        // sends before a restart, in order
-	arrivalSeq         uint64              // by which the journal tells it from another of its id
-	sendCount          int                 // how many in all; the desk's
+	arrivalSeq         uint64              // distinguishes it in the journal from other events with the same id
+	sendCount          int                 // sends so far; owned by the decision loop
 	request            *lifecycle.Request
-	resolution         resolution // an end that was decided before a restart
+	resolution         resolution // set if its end was decided before a restart
 	retryAfter         int64
 }
 
-// mayHaveRun tells whether an attempt before a restart may have taken effect.
+// mayHaveRun reports whether an attempt before a restart may have taken effect.
 func (e *event) mayHaveRun() bool {
 	return slices.ContainsFunc(e.pastSends, func(s store.Send) bool { return s.MayHaveRun() })
 }
 
-// clientResponse is what a client hears: a status, and when to come back, 0 for nothing told.
+// clientResponse is what a client receives: a status, and the time after which to retry, 0 for none.
 type clientResponse struct {
 	status     int
 	retryAfter int64
 }
 
-// resolution is how an event ends that is not delivered.
+// resolution tells how an event that is not delivered ends.
 type resolution uint8
 
 const (
@@ -49,35 +49,35 @@
 	discarded
 )
 
-// eventUpdate is one thing that happens to an event.
+// eventUpdate is sent to the eventTask of an event when something happens to the event.
 type eventUpdate struct {
 	kind       updateKind
-	send       *send  // begun, outcome
-	result     result // outcome
-	retryAfter int64  // decline
+	send       *send  // for updateSendStarted, updateSendEnded and updateRefusalConfirmed
+	result     result // for updateSendEnded and updateRefusalConfirmed
+	retryAfter int64  // for updateDecline
 }
 
 type updateKind uint8
 
 const (
-	updateKept        updateKind = iota // the module keeps the event, for now
-	updateSendStarted                   // it chose an endpoint
-	updateSendEnded                     // a send ended
+	updateKept        updateKind = iota // the decision module keeps the event for now
+	updateSendStarted                   // the decision module chose an endpoint
+	updateSendEnded
 	updateDecline
 	updateDiscard
-	updateNoticeAcknowledged // the platform has the notice
+	updateNoticeAcknowledged // the platform has received the notice
 	updateRefusalConfirmed
 )
 
-// updateBuffer bounds the steps that wait for a life: each send has two and there are few sends.
+// updateBuffer is the capacity of an event's updates channel: each send produces two updates, and an event has few sends.
 const updateBuffer = 64
 
-// result is how a send ended.
+// result describes how a send ended.
 type result struct {
 	outcome              port.Outcome
 	retryAfter, duration int64
-	final                bool    // the endpoint's side says that the event is over
-	rateFree, rateLimit  float64 // what the answer told of the limit
+	final                bool    // the endpoint states that the event needs no further send
+	rateFree, rateLimit  float64 // rate limit in the response: calls per second, and the free share of it
 
-	confirmation *confirmation // where the answer may be another call's and acting on it would do harm
+	confirmation *confirmation // set if the response may belong to another call and acting on it would then do harm
 }
--- a/node/failurelog.go
+++ b/node/failurelog.go
@@ -10,42 +10,42 @@
 	"jaspersill/logs"
 )
 
-// failureLog logs that something fails when it begins to and when it is over. Danger: while a disk or the
-// directory fails, a line for each event would drown all others.
+// failureLog logs when an operation starts to fail and when it recovers. While a disk or the directory fails, a line for
+// each event would drown all others.
 type failureLog struct {
 	part, operation string
 	failing         atomic.Bool
 }
 
-// record takes how the last try went.
-func (t *failureLog) record(err error) {
+// record takes the result of the latest try.
+func (l *failureLog) record(err error) {
 	switch {
-	case err != nil && !t.failing.Swap(true):
-		logs.Part(t.part).WithError(err).Error(t.operation + " fails")
-	case err == nil && t.failing.Swap(false):
-		logs.Part(t.part).Info(t.operation + " works again")
+	case err != nil && !l.failing.Swap(true):
+		logs.Part(l.part).WithError(err).Error(l.operation + " failed")
+	case err == nil && l.failing.Swap(false):
+		logs.Part(l.part).Info(l.operation + " recovered")
 	}
 }
 
-// throttledLog logs how often something happened that others can make happen at will, with the last case. Danger: as
-// many lines would fill the disk and take the CPU; none would hide it.
+// throttledLog logs occurrences that others can cause at will: their number, and details of the latest one. A line for
+// each would fill the disk and take CPU time; no line at all would hide them.
 type throttledLog struct {
 	part, message string
 
 	mu         sync.Mutex
-	count      int
-	lastLogged time.Time // of the last line
+	count      int // since the last line
+	lastLogged time.Time
 }
 
 const throttleInterval = 10 * time.Second
 
-// record takes one more case; the first is logged at once.
-func (t *throttledLog) record(last string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.count++
-	if now := time.Now(); now.Sub(t.lastLogged) >= throttleInterval {
-		logs.Part(t.part).WithFields(logrus.Fields{"times": t.count, "last": last}).Warn(t.message)
-		t.count, t.lastLogged = 0, now
+// record counts one occurrence; the first one is logged at once.
+func (l *throttledLog) record(details string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.count++
+	if now := time.Now(); now.Sub(l.lastLogged) >= throttleInterval {
+		logs.Part(l.part).WithFields(logrus.Fields{"times": l.count, "last": details}).Warn(l.message)
+		l.count, l.lastLogged = 0, now
 	}
 }
--- a/node/node.go
+++ b/node/node.go
@@ -1,5 +1,6 @@
-// Package node is the delivery node on sockets: it carries out what the decision module decides. Each file
-// has one job: an event's life, the desk that owns the module, the journal, and one for each peer spoken to.
+// Package node implements the delivery node over network sockets: it executes the decisions of the decision module. Each
+// file has one responsibility: the task that runs for each event, the loop that owns the decision module, the journal, and
+// one for each kind of remote party.
 package node
 
 import (
@@ -14,53 +15,53 @@
 	"jaspersill/store"
 )
 
-// Config is where a delivery node stands: its addresses and its folder.
+// Config holds the addresses of a node and its state folder.
 type Config struct {
 	Listen, Directory, StateFolder string
 	PeerListen, PeersAll           string
 	Peers                          []string
-	KnownEndpoints                 []byte // the list of endpoints as it was last had
+	KnownEndpoints                 []byte // the last known list of endpoints, as JSON in the directory's format
 
-	disk    store.Folder // tests put one that fails in place of Folder
-	machine *machine     // and one whose wall clock steps in place of this one
+	disk    store.Folder // replaces StateFolder in tests, to inject failures
+	machine *machine     // replaces the clocks of this machine in tests, to make the wall clock step
 }
 
-// ClientTimeouts is how long clients' connections may take; 0 for the usual time.
+// ClientTimeouts bounds the stages of a client connection; 0 selects the default.
 type ClientTimeouts struct {
-	FirstRequest time.Duration // from connecting until the first request is whole
-	Request      time.Duration // from the first byte of each later request
+	FirstRequest time.Duration // from connecting until the first request is complete
+	Request      time.Duration // from the first byte of each later request until it is complete
 	Idle         time.Duration // between two requests
 }
 
-// Limits is what a delivery node may take up.
+// Limits bounds the resources of a node.
 type Limits struct {
 	DiskMB  float64
 	Sockets int
 }
 
 const (
-	reservedSockets     = 48 // descriptors for the runtime, the listener, the directory, notices, peers and the journal
-	endpointIdleDivisor = 4  // idle connections to endpoints take up to this part of the rest
-	clientIdleDivisor   = 4  // clients' connections between requests, of all: clients hold a third, and need room in it
+	reservedSockets     = 48 // file descriptors for the runtime, listener, directory, notices, peers and journal
+	endpointIdleDivisor = 4  // idle connections to endpoints take at most 1/4 of the remaining sockets
+	clientIdleDivisor   = 4  // idle client connections take at most 1/4 of all sockets: clients hold up to 1/3 and need room for new ones in it
 	minSockets          = 64
 	minClients          = 16
-	defaultSockets      = 1024 // where no limit is told
+	defaultSockets      = 1024 // if no limit is configured
 )
 
-// Node is one delivery node.
+// Node is one delivery node of the relay.
 type Node struct {
 	clock           clock
 	phase           atomic.Int32
-	activeEvents    atomic.Int64 // events taken on and not ended
-	unreportedEnds  atomic.Int64 // ends that are decided and not told
-	decisionsClosed atomic.Bool  // nothing more is decided
-	maxEvents       int64        // events held at most
+	activeEvents    atomic.Int64 // events accepted and not ended
+	unreportedEnds  atomic.Int64 // ends that are decided but not reported
+	decisionsClosed atomic.Bool  // no more decisions are made
+	maxEvents       int64        // upper bound of activeEvents
 	typeNames       []string
 	customerNames   []string
 	types           []port.StreamType
 
 	drainTimes atomic.Pointer[drainTimes]
-	restored   []*event // from before a restart
+	restored   []*event // unfinished events from before the restart
 	journal    *journal
 	decisions  *decisionLoop
 	endpoints  *endpoints
@@ -70,56 +71,56 @@
 	clients    *clients
 }
 
-// Open opens the journal and the sockets of a delivery node; Run starts it.
-func Open(at Config, most Limits, times ClientTimeouts, s start.Start, module port.Decider) (*Node, error) {
-	if at.machine == nil {
+// Open opens the journal and the sockets of a node. Run starts it.
+func Open(config Config, limits Limits, timeouts ClientTimeouts, s start.Start, module port.Decider) (*Node, error) {
+	if config.machine == nil {
 		m := thisMachine()
-		at.machine = &m
+		config.machine = &m
 	}
-	c := startClock(at.StateFolder, *at.machine)
+	c := startClock(config.StateFolder, *config.machine)
 	n := &Node{clock: c, maxEvents: int64(s.Room.Events), types: s.Types, typeNames: s.TypeNames,
 		customerNames: s.CustomerNames}
 	n.SetDrainTimes(drainCloseIdle, drainStopDeciding, drainExit)
 	n.setPhase(Starting)
 	var err error
-	if at.disk == nil {
-		at.disk = store.Dir(at.StateFolder)
+	if config.disk == nil {
+		config.disk = store.Dir(config.StateFolder)
 	}
-	if n.journal, n.restored, err = openJournal(at.StateFolder, at.disk, c.day, most.DiskMB, s.Room.Sends, n.resolveNames); err != nil {
+	if n.journal, n.restored, err = openJournal(config.StateFolder, config.disk, c.day, limits.DiskMB, s.Room.Sends, n.resolveNames); err != nil {
 		return nil, err
 	}
-	sockets := most.Sockets
+	sockets := limits.Sockets
 	if sockets <= 0 {
 		sockets = defaultSockets
 	}
-	keep := sockets / clientIdleDivisor
+	idleClients := sockets / clientIdleDivisor
 	sockets = max(minSockets, sockets-reservedSockets)
-	idle := sockets / endpointIdleDivisor
-	var perCall []int
+	idleEndpoints := sockets / endpointIdleDivisor
+	var eventsPerCall []int
 	for _, p := range s.Partners {
-		perCall = append(perCall, p.PerCall)
+		eventsPerCall = append(eventsPerCall, p.PerCall)
 	}
-	n.decisions = newDecisionLoop(c, module, s.Tick, append(perCall, 1))
+	n.decisions = newDecisionLoop(c, module, s.Tick, append(eventsPerCall, 1))
 	n.endpoints = &endpoints{clock: c, journal: n.journal, dial: dialer(s.ConnectWithin),
-		idleFor: s.IdleFor, mostIdle: idle}
-	n.directory = &directory{address: at.Directory, open: make(map[*watch]struct{}),
+		idleFor: s.IdleFor, mostIdle: idleEndpoints}
+	n.directory = &directory{address: config.Directory, open: make(map[*watch]struct{}),
 		dests: make(map[uint32]struct{}), desk: n.decisions, endpoints: n.endpoints,
 		partners: s.PartnerNames, zones: s.ZoneNames, rated: s.Rated,
-		answers: failureLog{part: "directory", operation: "watching the list"}}
-	n.notices = openNotices(at.Directory)
-	if n.peers, err = openPeers(at.PeerListen, at.PeersAll, at.Peers, s.Fleet.Me, n.decisions, c.day()); err != nil {
+		answers: failureLog{part: "directory", operation: "watching the directory"}}
+	n.notices = openNotices(config.Directory)
+	if n.peers, err = openPeers(config.PeerListen, config.PeersAll, config.Peers, s.Fleet.Me, n.decisions, c.day()); err != nil {
 		n.journal.close()
 		return nil, err
 	}
 	n.SetDirectorySilence(silentAfter)
 	n.decisions.endpoints, n.decisions.directory, n.decisions.peers = n.endpoints, n.directory, n.peers
-	if len(at.KnownEndpoints) > 0 {
-		if err = n.directory.list(nil, at.KnownEndpoints); err != nil {
+	if len(config.KnownEndpoints) > 0 {
+		if err = n.directory.list(nil, config.KnownEndpoints); err != nil {
 			err = fmt.Errorf("known: %w", err)
 		}
 	}
 	if err == nil {
-		n.clients, err = openClients(n, at.Listen, times, max(minClients, sockets-idle-s.Room.Slots), keep)
+		n.clients, err = openClients(n, config.Listen, timeouts, max(minClients, sockets-idleEndpoints-s.Room.Slots), idleClients)
 	}
 	if err != nil {
 		n.peers.close()
@@ -129,26 +130,27 @@
 	return n, nil
 }
 
-// SetDrainTimes sets how long after SIGTERM connections between requests are closed, nothing more is decided, and the
-// node exits. It holds for a drain that begins later, and may be called at any time, as may Silence and
-// Notices.
-func (n *Node) SetDrainTimes(rest, choose, end time.Duration) {
-	n.drainTimes.Store(&drainTimes{rest, choose, end})
+// SetDrainTimes sets how long after SIGTERM idle client connections are closed, no more decisions are made, and the node
+// exits. It applies to drains that start later. It may be called at any time, as may SetDirectorySilence and
+// SetNoticeTimes.
+func (n *Node) SetDrainTimes(closeIdle, stopDeciding, exit time.Duration) {
+	n.drainTimes.Store(&drainTimes{closeIdle, stopDeciding, exit})
 }
 
-// SetDirectorySilence sets for how long a call to the directory may show no sign of life.
-func (n *Node) SetDirectorySilence(most time.Duration) { n.directory.silence.Store(int64(most)) }
+// SetDirectorySilence sets how long a call to the directory may go without receiving data.
+func (n *Node) SetDirectorySilence(timeout time.Duration) { n.directory.silence.Store(int64(timeout)) }
 
-// SetNoticeTimes sets how long the platform has to answer a notice, and when one that failed is told again.
-func (n *Node) SetNoticeTimes(within, again time.Duration) { n.notices.times(within, again) }
+// SetNoticeTimes sets the time limit for the platform to answer a notice, and the pause before a failed notice is posted
+// again.
+func (n *Node) SetNoticeTimes(timeout, retryInterval time.Duration) { n.notices.times(timeout, retryInterval) }
 
-// SetDirectoryAddress tells that the directory, which takes the notices too, is at another address from now on.
-func (n *Node) SetDirectoryAddress(directory string) {
-	n.directory.move(directory)
-	n.notices.move(directory)
+// SetDirectoryAddress sets the address of the directory, which also receives the notices.
+func (n *Node) SetDirectoryAddress(address string) {
+	n.directory.move(address)
+	n.notices.move(address)
 }
 
-// restoreEvents hands in what is owed from before the restart.
+// restoreEvents starts the events that were unfinished before the restart.
 func (n *Node) restoreEvents() {
 	n.activeEvents.Add(int64(len(n.restored)))
 	for _, e := range n.restored {
@@ -163,8 +165,8 @@
 	n.restored = nil
 }
 
-// refusalReason tells why an event is refused before it is taken on, empty where it has a place. A destination may be listed
-// later.
+// refusalReason returns why an event is refused before it is accepted, or an empty string if a place was reserved for it. A
+// destination that is unknown now may be listed later.
 func (n *Node) refusalReason(e *event) (reason string) {
 	switch {
 	case !n.directory.knows(e.dest):
@@ -175,7 +177,7 @@
 	return ""
 }
 
-// admit takes a place for one more event, if there is one.
+// admit reserves a place for one more event, and reports whether there was one.
 func (n *Node) admit() bool {
 	if n.activeEvents.Add(1) > n.maxEvents || n.decisionsClosed.Load() {
 		n.activeEvents.Add(-1)
@@ -193,6 +195,7 @@
 	return max(typ, 0), max(customer, 0), typ >= 0 && customer >= 0
 }
 
+// customerName returns the name of a customer, or an empty string if none is configured under the index.
 func (n *Node) customerName(customer int) string {
 	if customer < len(n.customerNames) {
 		return n.customerNames[customer]
@@ -200,7 +203,8 @@
 	return ""
 }
 
-// safetyOf is what repeating an event of a stream type may do. Of a type that is not known any more, nothing was forbidden.
+// safetyOf returns what may happen if an event of a stream type is repeated. A type that is no longer configured counts as
+// idempotent, since nothing forbids repeating its events.
 func (n *Node) safetyOf(typ int) port.Safety {
 	if typ >= len(n.types) {
 		return port.Idempotent
@@ -208,10 +212,10 @@
 	return n.types[typ].Safety
 }
 
-// repeatable tells whether an event of a stream type may be sent again after an attempt that may have run.
+// repeatable reports whether an event of a stream type may be sent again after an attempt that may have run.
 func (n *Node) repeatable(typ int) bool {
 	return n.safetyOf(typ) != port.NonIdempotent
 }
 
-// requiresIdempotencyKey tells whether events of a stream type carry a mark.
+// requiresIdempotencyKey reports whether events of a stream type must carry an idempotency key.
 func (n *Node) requiresIdempotencyKey(typ int) bool { return n.types[typ].Safety == port.Deduplicated }
--- a/node/phases.go
+++ b/node/phases.go
@@ -9,14 +9,14 @@
 	"jaspersill/logs"
 )
 
-// Phase is where a delivery node stands between its start and its exit.
+// Phase is a stage of the node's life between its start and its exit.
 type Phase int32
 
 const (
 	Starting  Phase = iota // opening its journal and its sockets
-	Restoring              // handing the module what is owed from before
+	Restoring              // handing unfinished events of the previous process to the decision module
 	Serving
-	Draining // no longer wanted: ending what it can, answering what still comes
+	Draining // shutting down: finishing what it can, and still responding to requests
 	Stopped
 )
 
@@ -24,30 +24,30 @@
 	return [...]string{"starting", "restoring", "serving", "draining", "stopped"}[p]
 }
 
-// The platform kills 3.7 s after it said to stop, and for the first 0.4 s sends new connections.
+// The platform kills the process 3.7 s after SIGTERM, and routes new connections to it during the first 0.4 s.
 const (
-	drainCloseIdle    = 600 * time.Millisecond  // then waiting connections are closed: their clients go elsewhere
-	drainStopDeciding = 2000 * time.Millisecond // then nothing new is decided or taken on: sends out have time to end
-	drainExit         = 3400 * time.Millisecond // then it exits, whatever is still out
-	drainWriteGrace   = 150 * time.Millisecond  // and so much later with answers unwritten: they take no time to write
+	drainCloseIdle    = 600 * time.Millisecond  // when to close idle connections, so that their clients reconnect elsewhere
+	drainStopDeciding = 2000 * time.Millisecond // when to stop deciding and accepting events: sends in flight have time to end
+	drainExit         = 3400 * time.Millisecond // when to exit, even with work in flight
+	drainWriteGrace   = 150 * time.Millisecond  // extra time while responses are unwritten: writing one takes almost no time
 	drainPollInterval = 10 * time.Millisecond
 
-	// drainNoticeReserve is the part of the time before the exit in which ends are told that are still in doubt.
+	// drainNoticeReserve is the time before the exit that is reserved for reporting ends that are still unconfirmed.
 	drainNoticeReserve = 400 * time.Millisecond
 )
 
-// drainTimes are counted from the beginning of the drain.
+// drainTimes are measured from the start of the drain.
 type drainTimes struct{ closeIdle, stopDeciding, exit time.Duration }
 
-// Phase tells the present phase.
+// Phase returns the current phase.
 func (n *Node) Phase() Phase { return Phase(n.phase.Load()) }
 
 func (n *Node) setPhase(p Phase) {
 	n.phase.Store(int32(p))
-	logs.Part("node").WithFields(logrus.Fields{"phase": p.String(), "held": n.activeEvents.Load()}).Info("phase")
+	logs.Part("node").WithFields(logrus.Fields{"phase": p.String(), "held": n.activeEvents.Load()}).Info("phase changed")
 }
 
-// Run takes the delivery node through its phases. It drains when ctx ends.
+// Run runs the node through its phases until it has stopped. It drains when ctx is cancelled.
 func (n *Node) Run(ctx context.Context) error {
 	stop := make(chan struct{})
 	defer close(stop)
@@ -62,54 +62,54 @@
 	defer n.peers.close()
 
 	n.setPhase(Serving)
-	broken := make(chan error, 1)
-	go func() { broken <- n.clients.serve() }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- n.clients.serve() }()
 	select {
-	case err := <-broken:
+	case err := <-serveErr:
 		return err
 	case <-ctx.Done():
 	}
 
 	n.setPhase(Draining)
-	begin, drain := time.Now(), n.drainTimes.Load()
-	n.waitUntil(begin.Add(drain.closeIdle), nil)
+	start, drain := time.Now(), n.drainTimes.Load()
+	n.waitUntil(start.Add(drain.closeIdle), nil)
 	n.clients.listener.dismiss()
-	n.waitUntil(begin.Add(drain.stopDeciding), n.nothingOwed)
+	n.waitUntil(start.Add(drain.stopDeciding), n.noUnfinishedEvents)
 	n.decisionsClosed.Store(true)
 	n.clients.listener.dismiss()
-	n.waitUntil(begin.Add(drain.stopDeciding), n.nothingOwed) // what was admitted just before
+	n.waitUntil(start.Add(drain.stopDeciding), n.noUnfinishedEvents) // for events admitted just before
 	n.decisions.close()
-	n.waitUntil(begin.Add(drain.exit-drainNoticeReserve), n.confirmationsSettled)
+	n.waitUntil(start.Add(drain.exit-drainNoticeReserve), n.confirmationsSettled)
 	n.endpoints.settleRested(true)
-	n.waitUntil(begin.Add(drain.exit), n.quiesced)
+	n.waitUntil(start.Add(drain.exit), n.quiesced)
 	n.clients.listener.Close()
 	n.clients.listener.dismiss()
-	n.waitUntil(begin.Add(drain.exit+drainWriteGrace), n.clients.listener.empty)
+	n.waitUntil(start.Add(drain.exit+drainWriteGrace), n.clients.listener.empty)
 	n.directory.close()
 	n.setPhase(Stopped)
 	return nil
 }
 
-// waitUntil waits until a time, or until there is nothing left to wait for.
+// waitUntil waits until a point in time, or until done returns true. A nil done is never true.
 func (n *Node) waitUntil(until time.Time, done func() bool) {
 	for time.Now().Before(until) && (done == nil || !done()) {
 		time.Sleep(drainPollInterval)
 	}
 }
 
-// nothingOwed tells whether nothing is owed, nor about to be, but for ends that wait to be confirmed.
-func (n *Node) nothingOwed() bool {
+// noUnfinishedEvents reports whether no event is unfinished or about to be, except those whose end awaits confirmation.
+func (n *Node) noUnfinishedEvents() bool {
 	return n.activeEvents.Load() == 0 && n.journal.owed() <= n.endpoints.unsettled() && n.journal.settled()
 }
 
-// confirmationsSettled tells whether no end waits to be confirmed, and none can come that would have to.
+// confirmationsSettled reports whether no end awaits confirmation and none can occur any more that would need it.
 func (n *Node) confirmationsSettled() bool {
 	n.endpoints.settleRested(false)
-	return n.endpoints.unsettled() == 0 && (n.endpoints.out.Load() == 0 || n.nothingOwed())
+	return n.endpoints.unsettled() == 0 && (n.endpoints.out.Load() == 0 || n.noUnfinishedEvents())
 }
 
-// quiesced tells whether nothing is left that ends by itself: no attempt is out, every end that is decided is told and
-// written. What is owed beyond that waits for the next start.
+// quiesced reports whether nothing is left that would finish on its own: no attempt is in flight, and every decided end is
+// reported and written. Events that are still unfinished wait for the next start.
 func (n *Node) quiesced() bool {
-	return n.nothingOwed() || (n.endpoints.out.Load() == 0 && n.unreportedEnds.Load() == 0 && n.journal.settled())
+	return n.noUnfinishedEvents() || (n.endpoints.out.Load() == 0 && n.unreportedEnds.Load() == 0 && n.journal.settled())
 }
