--- a/node/decisionloop.go
+++ b/node/decisionloop.go
@@ -10,46 +10,46 @@
 	"jaspersill/port"
 )
 
-// decisionLoop is the only owner of the module: one goroutine gathers news, calls Round and hands the decisions to
-// those who wait for them. Its indices and the events behind them belong to that goroutine.
+// decisionLoop is the only owner of the decision module: one goroutine collects input, calls Round, and passes the
+// decisions on to the tasks that wait for them. The index tables and what they refer to belong to that goroutine.
 type decisionLoop struct {
 	clock         clock
 	module        port.Decider
-	minInterval   int64 // least time between rounds
-	eventsPerCall []int // events in one call, by partner
+	minInterval   int64 // minimum time between rounds
+	eventsPerCall []int // maximum number of events in one call, by partner
 	endpoints     *endpoints
 	directory     *directory
 	peers         *peers
 
 	mu           sync.Mutex
-	pendingInput []func(port.Intake) // what came in since the last round
+	pendingInput []func(port.Intake) // received since the last round
 	inputReady   chan struct{}
 	stop         chan struct{}
 	done         chan struct{}
 
 	eventIndex    door.Table[*event]
-	activeSends   []*send // the send that is out, by event
+	activeSends   []*send // the send in flight, by event index; nil for none
 	destIndex     door.Table[uint32]
 	endpointIndex door.Table[string]
-	partnerOf     []int   // by endpoint
-	forgotten     []int32 // endpoints that the module forgot and calls may still know
+	partnerOf     []int   // by endpoint index
+	forgotten     []int32 // endpoints that the module has removed but calls may still use
 
-	wakeAt    int64 // 0 for not asked for
+	wakeAt    int64 // 0 if the module did not ask to be woken
 	newEvents []int32
-	ended     []bool  // by event: decided in this round or before
-	removed   []int32 // events whose index is free after this round
-	newCalls  []*call // opened in this round
+	ended     []bool  // by event index: the end was decided, in this round or earlier
+	removed   []int32 // events whose index is released after this round
+	newCalls  []*call // created in this round
 }
 
-func newDecisionLoop(c clock, module port.Decider, tick int64, perCall []int) *decisionLoop {
-	return &decisionLoop{clock: c, module: module, minInterval: max(tick, 1), eventsPerCall: perCall, inputReady: make(chan struct{}, 1),
-		stop: make(chan struct{}), done: make(chan struct{})}
+func newDecisionLoop(c clock, module port.Decider, minInterval int64, eventsPerCall []int) *decisionLoop {
+	return &decisionLoop{clock: c, module: module, minInterval: max(minInterval, 1), eventsPerCall: eventsPerCall,
+		inputReady: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
 }
 
-// enqueue takes a piece of news, which is handed to the module in the next round.
-func (d *decisionLoop) enqueue(news func(port.Intake)) {
+// enqueue queues an input, which is handed to the decision module in the next round.
+func (d *decisionLoop) enqueue(input func(port.Intake)) {
 	d.mu.Lock()
-	d.pendingInput = append(d.pendingInput, news)
+	d.pendingInput = append(d.pendingInput, input)
 	d.mu.Unlock()
 	select {
 	case d.inputReady <- struct{}{}:
@@ -57,7 +57,8 @@
 	}
 }
 
-// run calls the module until close: when there is news, but a tick apart, and when it asked to be woken.
+// run calls the decision module until close: when there is input, but no more often than minInterval allows, and when the
+// module asked to be woken.
 func (d *decisionLoop) run() {
 	defer close(d.done)
 	timer := time.NewTimer(0)
@@ -71,11 +72,11 @@
 		case <-timer.C:
 		}
 		now := d.clock.now()
-		if early := last + d.minInterval - now; early > 0 {
+		if wait := last + d.minInterval - now; wait > 0 {
 			select {
 			case <-d.stop:
 				return
-			case <-time.After(time.Duration(early)):
+			case <-time.After(time.Duration(wait)):
 			}
 			now = d.clock.now()
 		}
@@ -87,12 +88,13 @@
 	}
 }
 
-// close ends the rounds: no decision is made from then on.
+// close stops the loop and waits until it has stopped: no decision is made from then on.
 func (d *decisionLoop) close() {
 	close(d.stop)
 	<-d.done
 }
 
+// round runs one round of the decision module and carries out its decisions.
 func (d *decisionLoop) round(now int64) {
 	d.module.Round(now, d, d)
 	for _, e := range d.newEvents {
@@ -124,19 +126,19 @@
 // Deliver implements port.Feed.
 func (d *decisionLoop) Deliver(to port.Intake) {
 	d.mu.Lock()
-	news := d.pendingInput
+	inputs := d.pendingInput
 	d.pendingInput = nil
 	d.mu.Unlock()
 	if d.wakeAt > 0 && d.clock.now() >= d.wakeAt {
 		d.wakeAt = 0
 		to.Woken()
 	}
-	for _, n := range news {
-		n(to)
+	for _, input := range inputs {
+		input(to)
 	}
 }
 
-// addEvent hands an event in. One that was out before a restart comes with its sends so far.
+// addEvent hands an event to the decision module, together with its sends before a restart, if any.
 func (d *decisionLoop) addEvent(e *event) {
 	d.enqueue(func(to port.Intake) {
 		if e.index, _ = d.eventIndex.Take(e); int(e.index) == len(d.ended) {
@@ -152,7 +154,7 @@
 	})
 }
 
-// reportPastSends tells of the sends before a restart. Danger: one that was out when the process ended may have run.
+// reportPastSends reports the sends before a restart. One that was in flight when the process ended may have run.
 func (d *decisionLoop) reportPastSends(e *event, to port.Intake) {
 	ranAgo, zone, mayRun := int64(0), 0, false
 	for _, s := range e.pastSends {
@@ -163,63 +165,64 @@
 	to.Resumed(e.index, len(e.pastSends), mayRun, ranAgo, zone)
 }
 
-// reportOutcome hands in how a send ended.
+// reportOutcome reports to the decision module how a send ended.
 func (d *decisionLoop) reportOutcome(e *event, s *send, r result) {
-	over := r.outcome == port.Acked || r.final
+	ended := r.outcome == port.Acked || r.final
 	d.enqueue(func(to port.Intake) {
 		d.activeSends[e.index] = nil
-		d.ended[e.index] = d.ended[e.index] || over
-		if r.confirmation != nil && !over {
+		d.ended[e.index] = d.ended[e.index] || ended
+		if r.confirmation != nil && !ended {
 			to.Unconfirmed(e.index, s.number)
 		}
-		to.Outcome(e.index, s.number, s.endpoint, r.outcome, r.retryAfter, r.duration, over, r.rateFree, r.rateLimit)
+		to.Outcome(e.index, s.number, s.endpoint, r.outcome, r.retryAfter, r.duration, ended, r.rateFree, r.rateLimit)
 	})
 }
 
-// reportConfirmed tells that the answer to a send, which might have been another call's, was its own.
+// reportConfirmed reports to the decision module that an unconfirmed response to a send did belong to it.
 func (d *decisionLoop) reportConfirmed(e *event, s *send) {
 	d.enqueue(func(to port.Intake) { to.Confirmed(e.index, s.number) })
 }
 
-// fullRetryAfter asks when one may come back that there is no room for; nothing is told once the desk is closed.
+// fullRetryAfter returns the time after which a client may retry whose event was refused for lack of space. It returns 0
+// once the loop is closed.
 func (d *decisionLoop) fullRetryAfter() int64 {
 	reply := make(chan int64, 1)
 	d.enqueue(func(port.Intake) { reply <- d.module.Full() })
 	select {
-	case comeBack := <-reply:
-		return comeBack
+	case retryAfter := <-reply:
+		return retryAfter
 	case <-d.done:
 		return 0
 	}
 }
 
-// registerEndpoint gives out an endpoint's index; fresh tells that nothing is known of it. Danger: one that is registerEndpoint
-// again just after it was forgotten must keep the index.
+// registerEndpoint returns the index of an endpoint; fresh means that it was newly assigned. An endpoint that is listed again
+// just after the module removed it must keep its index, so its release is cancelled.
 func (d *decisionLoop) registerEndpoint(host string, partner int) (ep int32, fresh bool) {
 	ep, fresh = d.endpointIndex.Take(host)
 	if int(ep) == len(d.partnerOf) {
 		d.partnerOf = append(d.partnerOf, 0)
 	}
 	d.partnerOf[ep] = partner
-	d.forgotten = slices.DeleteFunc(d.forgotten, func(left int32) bool { return left == ep })
+	d.forgotten = slices.DeleteFunc(d.forgotten, func(removed int32) bool { return removed == ep })
 	return ep, fresh
 }
 
-// removeEvent frees the event's index.
+// removeEvent releases the event's index after the next round.
 func (d *decisionLoop) removeEvent(e *event) {
 	d.enqueue(func(port.Intake) { d.removed = append(d.removed, e.index) })
 }
 
-// Send implements port.Writer, as do the methods below. Sends of a round to one endpoint share a call, while
-// their bodies fit into one.
+// Send implements port.Writer, as do the methods below. Sends of one round to the same endpoint share a call as long as
+// their bodies fit into it.
 func (d *decisionLoop) Send(evt, ep int32, timeout int64) {
 	e := d.eventIndex.ID(evt)
 	s := &send{event: e, number: e.sendCount, endpoint: ep, timeout: timeout, began: d.clock.now()}
 	e.sendCount++
 	d.activeSends[evt] = s
-	most := d.eventsPerCall[min(d.partnerOf[ep], len(d.eventsPerCall)-1)]
+	maxSends := d.eventsPerCall[min(d.partnerOf[ep], len(d.eventsPerCall)-1)]
 	for _, c := range d.newCalls {
-		if c.endpoint == ep && len(c.sends) < most && c.size+bulkSize(e) <= mostBody {
+		if c.endpoint == ep && len(c.sends) < maxSends && c.size+bulkSize(e) <= mostBody {
 			s.call, c.sends, c.size = c, append(c.sends, s), c.size+bulkSize(e)
 			return
 		}
@@ -228,16 +231,17 @@
 	d.newCalls = append(d.newCalls, s.call)
 }
 
-func (d *decisionLoop) Decline(evt int32, comeBack int64) {
-	d.endEvent(evt, eventUpdate{kind: updateDecline, retryAfter: comeBack})
+func (d *decisionLoop) Decline(evt int32, retryAfter int64) {
+	d.endEvent(evt, eventUpdate{kind: updateDecline, retryAfter: retryAfter})
 }
 
 func (d *decisionLoop) Discard(evt int32) { d.endEvent(evt, eventUpdate{kind: updateDiscard}) }
 
-func (d *decisionLoop) endEvent(evt int32, s eventUpdate) {
+// endEvent passes the decision that an event ends to its task, unless its end was decided before.
+func (d *decisionLoop) endEvent(evt int32, update eventUpdate) {
 	if !d.ended[evt] {
 		d.ended[evt] = true
-		d.eventIndex.ID(evt).updates <- s
+		d.eventIndex.ID(evt).updates <- update
 	}
 }
 
@@ -259,9 +263,10 @@
 func (d *decisionLoop) Forget(ep int32)    { d.forgotten = append(d.forgotten, ep) }
 func (d *decisionLoop) TellGood(ep int32)  { d.peers.tellGood(d.endpointIndex.ID(ep)) }
 
-// Probe is never asked for: the module sends none, and the protocol has no call for it.
+// Probe only logs: the decision module never requests a probe, and the protocol has no call for one.
 func (d *decisionLoop) Probe(ep int32) {
-	logs.Part("node").WithField("endpoint", d.endpointIndex.ID(ep)).Warn("a probe was asked for: the protocol has none")
+	logs.Part("node").WithField("endpoint", d.endpointIndex.ID(ep)).
+		Warn("probe requested, but the protocol does not support probes")
 }
 
 func (d *decisionLoop) Log(text string, ep int32) {
--- a/node/eventtask.go
+++ b/node/eventtask.go
@@ -11,8 +11,9 @@
 	"jaspersill/store"
 )
 
-// refusalRecordTimeout is how long a client may wait for the record of its refusal. It waits 400 ms in all; after this it
-// hears that its request is taken on, which is true, and the refusal goes to the platform.
+// refusalRecordTimeout bounds how long a client waits until the record of its refusal is written. Clients give up after
+// 400 ms. After refusalRecordTimeout the client is told that its request was accepted, which is true, and the platform is
+// notified of the refusal instead.
 const refusalRecordTimeout = 200 * time.Millisecond
 
 var refusedRequests = metrics.NewFamily("jaspersill_refused_requests_total",
@@ -20,265 +21,269 @@
 	refusedAtCapacity, refusedUnlisted)
 
 const (
-	refusedJournalFull = "full"     // the log has no room for it
-	refusedWriteFailed = "disk"     // it cannot be written down
-	refusedByPolicy    = "policy"   // the decision module gave it up
-	refusedAtCapacity  = "no_room"  // as many are held as may be
-	refusedUnlisted    = "unlisted" // its destination was never listed
+	refusedJournalFull = "full"     // the journal has no space for it
+	refusedWriteFailed = "disk"     // writing it to the journal failed
+	refusedByPolicy    = "policy"   // the decision module declined it
+	refusedAtCapacity  = "no_room"  // the node has its maximum number of events
+	refusedUnlisted    = "unlisted" // the directory has never listed its destination
 )
 
-// recordRefusal notes that a client hears that its request is refused.
+// recordRefusal counts and logs that a client is told of the refusal of its request.
 func recordRefusal(id, reason string) {
 	refusedRequests.With(reason).Add()
 	if logs.Debugging() {
-		logs.Event("clients", id).WithField("reason", reason).Debug("a request is refused")
+		logs.Event("clients", id).WithField("reason", reason).Debug("request refused")
 	}
 }
 
-// eventTask carries one event from its coming to its end. Every choice is the module's, asked through the desk; what may
-// be done when is asked of the event's request.
+// eventTask processes one event from its arrival to its end. The decision module makes every choice, through the decision
+// loop; the event's lifecycle.Request decides which state transitions are allowed.
 type eventTask struct {
 	node *Node
 	*event
-	clientWaiting bool // still waits for its answer
-	sendsInFlight int  // attempts that did not end yet
-	released      bool // nothing more is decided for it
+	clientWaiting bool // the client still waits for its response
+	sendsInFlight int  // attempts that have not ended
+	released      bool // its place was given back, and no further decision is made for it
 	pending       pendingEnd
 	deadlineTimer *time.Timer
-	endUnreported bool // the end is decided and not told
+	endUnreported bool // the end is decided but not reported
 }
 
-// pendingEnd is an end that is decided and may not be told yet.
+// pendingEnd is an end that is decided but may not be reported yet.
 type pendingEnd struct {
 	record        *store.Receipt
-	written       <-chan struct{} // nil once it is told
-	toClient      bool            // by a refusal, while its client waits
+	written       <-chan struct{} // closed when the record is durable; nil once the end is reported
+	toClient      bool            // report it as a refusal to the client, which still waits
 	clientTimeout <-chan time.Time
 }
 
-// runEvent runs an event's runEvent.
+// runEvent processes an event until its end.
 func (n *Node) runEvent(e *event) {
-	l := &eventTask{node: n, event: e, clientWaiting: e.response != nil}
-	if l.clientWaiting && !l.accept() {
+	t := &eventTask{node: n, event: e, clientWaiting: e.response != nil}
+	if t.clientWaiting && !t.accept() {
 		return
 	}
-	if e.resolution != unresolved { // decided before a restart: only the notice is owed
-		l.reportRestoredEnd()
+	if e.resolution != unresolved { // decided before a restart: only its notice remains to be sent
+		t.reportRestoredEnd()
 		return
 	}
-	if l.clientWaiting { // one restored was handed in before, in the order of their coming
+	if t.clientWaiting { // restored events were already added, in the order of their arrival
 		n.decisions.addEvent(e)
 	}
-	l.run()
+	t.run()
 	n.decisions.removeEvent(e)
 }
 
-// accept stores the event. It tells false where its client was refused, or handed in what is owed already.
-func (l *eventTask) accept() bool {
-	err := l.node.journal.take(l.event, l.node.typeNames[l.typ], l.node.customerName(l.customer))
+// accept stores the event. It returns false if the event was refused, or if it duplicates one that is already in the
+// journal.
+func (t *eventTask) accept() bool {
+	err := t.node.journal.take(t.event, t.node.typeNames[t.typ], t.node.customerName(t.customer))
 	if err == nil {
-		l.request.MarkStored()
+		t.request.MarkStored()
 		return true
 	}
-	l.node.activeEvents.Add(-1)
+	t.node.activeEvents.Add(-1)
 	switch {
-	case errors.Is(err, errKnown), errors.Is(err, errEnded): // it came before a restart
-		l.respond(statusTaken, 0)
+	case errors.Is(err, errKnown), errors.Is(err, errEnded): // it was already accepted before a restart
+		t.respond(statusTaken, 0)
 		return false
 	case errors.Is(err, errFull):
-		recordRefusal(l.id, refusedJournalFull)
+		recordRefusal(t.id, refusedJournalFull)
 	default:
-		recordRefusal(l.id, refusedWriteFailed)
-		l.node.journal.disk.record(err)
-		logs.Event("clients", l.id).WithError(err).Debug("refused: it cannot be stored")
+		recordRefusal(t.id, refusedWriteFailed)
+		t.node.journal.disk.record(err)
+		logs.Event("clients", t.id).WithError(err).Debug("request refused: storing the event failed")
 	}
-	l.respond(statusDeclined, l.node.decisions.fullRetryAfter())
+	t.respond(statusDeclined, t.node.decisions.fullRetryAfter())
 	return false
 }
 
-func (l *eventTask) respond(status int, comeBack int64) {
-	if l.clientWaiting {
-		l.clientWaiting = false
-		l.response <- clientResponse{status: status, retryAfter: comeBack}
+// respond sends the response to the client, unless that was done before.
+func (t *eventTask) respond(status int, retryAfter int64) {
+	if t.clientWaiting {
+		t.clientWaiting = false
+		t.response <- clientResponse{status: status, retryAfter: retryAfter}
 	}
 }
 
-// reportRestoredEnd tells the platform of an end that a former process decided and recorded.
-func (l *eventTask) reportRestoredEnd() {
-	l.release()
-	l.request.DecideEnd()
-	l.request.ReportEnd(l.node.clock.now(), true)
-	l.node.notices.post(l.newNotice())
-	<-l.updates
-	l.node.journal.over(l.event)
+// reportRestoredEnd notifies the platform of an end that an earlier process decided and recorded.
+func (t *eventTask) reportRestoredEnd() {
+	t.release()
+	t.request.DecideEnd()
+	t.request.ReportEnd(t.node.clock.now(), true)
+	t.node.notices.post(t.newNotice())
+	<-t.updates
+	t.node.journal.over(t.event)
 }
 
-// run takes one step after another until nothing more is owed and no attempt is out.
-func (l *eventTask) run() {
-	shut := l.node.decisions.done
-	for !l.released || l.endUnreported || l.sendsInFlight > 0 {
+// run handles updates until the end is decided and reported and no attempt is in flight.
+func (t *eventTask) run() {
+	decisionsDone := t.node.decisions.done
+	for !t.released || t.endUnreported || t.sendsInFlight > 0 {
 		select {
-		case s := <-l.updates:
-			l.handle(s)
-		case <-l.pending.written:
-			l.reportEnd(true)
-		case <-l.deadlineReached():
-			l.reportEnd(false)
-		case <-l.pending.clientTimeout:
-			l.redirectToPlatform()
-		case <-shut: // its client must hear, though nothing is decided any more: the journal has it
-			shut = nil
-			if l.pending.written == nil {
-				l.respond(statusTaken, 0)
+		case u := <-t.updates:
+			t.handle(u)
+		case <-t.pending.written:
+			t.reportEnd(true)
+		case <-t.deadlineReached():
+			t.reportEnd(false)
+		case <-t.pending.clientTimeout:
+			t.redirectToPlatform()
+		case <-decisionsDone: // the client still needs a response: the event is in the journal, so it counts as accepted
+			decisionsDone = nil
+			if t.pending.written == nil {
+				t.respond(statusTaken, 0)
 			}
 		}
 	}
-	if l.deadlineTimer != nil {
-		l.deadlineTimer.Stop()
+	if t.deadlineTimer != nil {
+		t.deadlineTimer.Stop()
 	}
 }
 
-func (l *eventTask) handle(s eventUpdate) {
-	switch s.kind {
+func (t *eventTask) handle(u eventUpdate) {
+	switch u.kind {
 	case updateKept:
-		l.respond(statusTaken, 0)
+		t.respond(statusTaken, 0)
 	case updateSendStarted:
-		l.sendsInFlight++
+		t.sendsInFlight++
 	case updateSendEnded:
-		l.sendsInFlight--
-		l.handleOutcome(s.send, s.result)
-		l.node.decisions.reportOutcome(l.event, s.send, s.result)
+		t.sendsInFlight--
+		t.handleOutcome(u.send, u.result)
+		t.node.decisions.reportOutcome(t.event, u.send, u.result)
 	case updateRefusalConfirmed:
-		l.request.ConfirmRefusal()
-		l.node.journal.ended(l.event, s.send.number, s.result.outcome)
-		l.node.decisions.reportConfirmed(l.event, s.send)
+		t.request.ConfirmRefusal()
+		t.node.journal.ended(t.event, u.send.number, u.result.outcome)
+		t.node.decisions.reportConfirmed(t.event, u.send)
 	case updateDecline:
-		l.endUndelivered(declined, s.retryAfter)
+		t.endUndelivered(declined, u.retryAfter)
 	case updateDiscard:
-		l.endUndelivered(discarded, 0)
+		t.endUndelivered(discarded, 0)
 	case updateNoticeAcknowledged:
-		l.endUnreported = false
-		l.node.unreportedEnds.Add(-1)
-		l.node.journal.over(l.event)
+		t.endUnreported = false
+		t.node.unreportedEnds.Add(-1)
+		t.node.journal.over(t.event)
 	}
 }
 
-// release gives back the event's place.
-func (l *eventTask) release() {
-	if !l.released {
-		l.released = true
-		l.node.activeEvents.Add(-1)
+// release gives back the place that admit reserved for the event.
+func (t *eventTask) release() {
+	if !t.released {
+		t.released = true
+		t.node.activeEvents.Add(-1)
 	}
 }
 
-// handleOutcome takes in how an attempt ended. Where its answer may be another call's, only what is safe both ways is done:
-// no attempt follows a delivery, and its notice is held back; a refusal is not recorded, so that a restart, too, takes the
-// attempt for one that may have run.
-func (l *eventTask) handleOutcome(s *send, r result) {
-	over := r.outcome == port.Acked || r.final
+// handleOutcome handles the end of an attempt. If its response may belong to another call, it does only what is safe either
+// way: after a delivery no attempt follows, and the notice that the event may need is held back until the response is
+// confirmed or not; a refusal is not recorded, so that after a restart, too, the attempt counts as one that may have run.
+func (t *eventTask) handleOutcome(s *send, r result) {
+	ended := r.outcome == port.Acked || r.final
 	switch {
-	case over && r.confirmation != nil:
-		l.completeProvisionally(r.confirmation)
-	case over:
-		l.node.journal.ended(l.event, s.number, r.outcome)
-		l.complete()
+	case ended && r.confirmation != nil:
+		t.completeProvisionally(r.confirmation)
+	case ended:
+		t.node.journal.ended(t.event, s.number, r.outcome)
+		t.complete()
 	case r.confirmation != nil:
-		event := l.event
+		event := t.event
 		r.confirmation.whenSettled(func(confirmed bool) {
 			if confirmed {
 				event.updates <- eventUpdate{kind: updateRefusalConfirmed, send: s, result: result{outcome: r.outcome}}
 			}
 		})
 	default:
-		l.node.journal.ended(l.event, s.number, r.outcome)
+		t.node.journal.ended(t.event, s.number, r.outcome)
 	}
 }
 
-// completeProvisionally ends an event by an answer that may be another call's. What is kept of it until that is known is
-// what its notice needs.
-func (l *eventTask) completeProvisionally(c *confirmation) {
-	if l.released {
+// completeProvisionally ends an event after a response that may belong to another call. Until that is settled, only the
+// data that its notice would need is kept.
+func (t *eventTask) completeProvisionally(c *confirmation) {
+	if t.released {
 		return
 	}
-	l.release()
-	l.respond(statusTaken, 0)
-	if !l.request.EndProvisionally() {
+	t.release()
+	t.respond(statusTaken, 0)
+	if !t.request.EndProvisionally() {
 		return
 	}
-	end := &provisionalEnd{node: l.node, id: l.id, came: l.arrivalSeq, due: l.monoDeadline, request: l.request,
-		record: l.node.journal.decideBriefly(l.event, discarded)}
+	end := &provisionalEnd{node: t.node, id: t.id, came: t.arrivalSeq, due: t.monoDeadline, request: t.request,
+		record: t.node.journal.decideBriefly(t.event, discarded)}
 	c.whenSettled(end.settle)
 }
 
-// complete ends an event of which the endpoint's side says that it is over. What an attempt brings after another end
-// changes nothing.
-func (l *eventTask) complete() {
-	if l.released {
+// complete ends an event that the endpoint has delivered or declared final. The outcome of an attempt that arrives after
+// the end of the event has no effect.
+func (t *eventTask) complete() {
+	if t.released {
 		return
 	}
-	l.release()
-	l.respond(statusTaken, 0)
-	l.request.DecideEnd()
-	l.node.journal.over(l.event)
-	l.request.ReportEnd(l.node.clock.now(), true) // the endpoint knows
+	t.release()
+	t.respond(statusTaken, 0)
+	t.request.DecideEnd()
+	t.node.journal.over(t.event)
+	t.request.ReportEnd(t.node.clock.now(), true) // the endpoint already knows the end
 }
 
-// newNotice is the newNotice of the event's end; its life hears when the platform has it.
-func (l *eventTask) newNotice() notice {
-	e := l.event
-	return notice{id: e.id, verdict: e.resolution, after: e.retryAfter, told: func() { e.updates <- eventUpdate{kind: updateNoticeAcknowledged} }}
+// newNotice returns the notice of the event's end. The event's task is informed once the platform has received it.
+func (t *eventTask) newNotice() notice {
+	e := t.event
+	return notice{id: e.id, verdict: e.resolution, after: e.retryAfter,
+		told: func() { e.updates <- eventUpdate{kind: updateNoticeAcknowledged} }}
 }
 
-// endUndelivered ends an event that is not delivered. Where its client still waits, a refusal is all it needs to hear; else
-// the platform hears of it. Both only once a restart would respect it.
-func (l *eventTask) endUndelivered(v resolution, comeBack int64) {
-	l.release()
-	if !l.request.DecideEnd() {
+// endUndelivered ends an event that is not delivered. A refusal is reported to the client if it still waits, any other end
+// to the platform. Either is reported only once a restart would no longer send the event.
+func (t *eventTask) endUndelivered(r resolution, retryAfter int64) {
+	t.release()
+	if !t.request.DecideEnd() {
 		return
 	}
-	l.resolution, l.retryAfter = v, comeBack
-	l.endUnreported = true
-	l.node.unreportedEnds.Add(1)
-	if l.clientWaiting && v == declined {
-		l.pending = pendingEnd{record: l.node.journal.over(l.event), toClient: true, clientTimeout: time.After(refusalRecordTimeout)}
+	t.resolution, t.retryAfter = r, retryAfter
+	t.endUnreported = true
+	t.node.unreportedEnds.Add(1)
+	if t.clientWaiting && r == declined {
+		t.pending = pendingEnd{record: t.node.journal.over(t.event), toClient: true, clientTimeout: time.After(refusalRecordTimeout)}
 	} else {
-		l.respond(statusTaken, 0)
-		l.pending = pendingEnd{record: l.node.journal.decide(l.event)}
+		t.respond(statusTaken, 0)
+		t.pending = pendingEnd{record: t.node.journal.decide(t.event)}
 	}
-	l.pending.written = l.pending.record.Written()
-	if l.request.MayReportEnd(l.node.clock.now(), false) {
-		l.reportEnd(false)
+	t.pending.written = t.pending.record.Written()
+	if t.request.MayReportEnd(t.node.clock.now(), false) {
+		t.reportEnd(false)
 		return
 	}
-	l.deadlineTimer = time.NewTimer(time.Duration(l.monoDeadline - l.node.clock.now()))
+	t.deadlineTimer = time.NewTimer(time.Duration(t.monoDeadline - t.node.clock.now()))
 }
 
-// deadlineReached tells when the event's deadline makes its end safe to tell; nil for an end that is told.
-func (l *eventTask) deadlineReached() <-chan time.Time {
-	if l.pending.written == nil || l.deadlineTimer == nil {
+// deadlineReached returns a channel that fires when the deadline makes it safe to report the end. It is nil if no end is
+// pending.
+func (t *eventTask) deadlineReached() <-chan time.Time {
+	if t.pending.written == nil || t.deadlineTimer == nil {
 		return nil
 	}
-	return l.deadlineTimer.C
+	return t.deadlineTimer.C
 }
 
-// reportEnd tells the end that is pending, to the client or to the platform.
-func (l *eventTask) reportEnd(written bool) {
-	if err := l.request.ReportEnd(l.node.clock.now(), written); errors.Is(err, lifecycle.ErrViolation) {
+// reportEnd reports the pending end to the client or to the platform.
+func (t *eventTask) reportEnd(written bool) {
+	if err := t.request.ReportEnd(t.node.clock.now(), written); errors.Is(err, lifecycle.ErrViolation) {
 		return
 	}
-	l.pending.written, l.pending.clientTimeout = nil, nil
-	if !l.pending.toClient {
-		l.node.notices.post(l.newNotice())
+	t.pending.written, t.pending.clientTimeout = nil, nil
+	if !t.pending.toClient {
+		t.node.notices.post(t.newNotice())
 		return
 	}
-	recordRefusal(l.id, refusedByPolicy)
-	l.respond(statusDeclined, l.retryAfter)
-	l.endUnreported = false
-	l.node.unreportedEnds.Add(-1)
+	recordRefusal(t.id, refusedByPolicy)
+	t.respond(statusDeclined, t.retryAfter)
+	t.endUnreported = false
+	t.node.unreportedEnds.Add(-1)
 }
 
-// redirectToPlatform has the platform hear of a refusal whose record takes too long for its client to wait.
-func (l *eventTask) redirectToPlatform() {
-	l.pending.toClient, l.pending.clientTimeout = false, nil
-	l.respond(statusTaken, 0)
+// redirectToPlatform lets the platform receive a refusal whose record takes longer to write than its client can wait.
+func (t *eventTask) redirectToPlatform() {
+	t.pending.toClient, t.pending.clientTimeout = false, nil
+	t.respond(statusTaken, 0)
 }
--- a/node/node.go
+++ b/node/node.go
@@ -40,12 +40,17 @@
 }
 
 const (
-	reservedSockets     = 48 // file descriptors for the runtime, listener, directory, notices, peers and journal
-	endpointIdleDivisor = 4  // idle connections to endpoints take at most 1/4 of the remaining sockets
-	clientIdleDivisor   = 4  // idle client connections take at most 1/4 of all sockets: clients hold up to 1/3 and need room for new ones in it
-	minSockets          = 64
-	minClients          = 16
-	defaultSockets      = 1024 // if no limit is configured
+	// reservedSockets is the number of descriptors for the runtime, the listener, the directory, notices, peers and the
+	// journal.
+	reservedSockets = 48
+	// endpointIdleDivisor limits idle connections to endpoints to 1/4 of the sockets that are not reserved.
+	endpointIdleDivisor = 4
+	// clientIdleDivisor limits idle client connections to 1/4 of all sockets. Clients hold up to 1/3, and new connections
+	// need room in that third.
+	clientIdleDivisor = 4
+	minSockets        = 64
+	minClients        = 16
+	defaultSockets    = 1024 // if no limit is configured
 )
 
 // Node is one delivery node of the relay.
@@ -86,7 +91,8 @@
 	if config.disk == nil {
 		config.disk = store.Dir(config.StateFolder)
 	}
-	if n.journal, n.restored, err = openJournal(config.StateFolder, config.disk, c.day, limits.DiskMB, s.Room.Sends, n.resolveNames); err != nil {
+	if n.journal, n.restored, err = openJournal(config.StateFolder, config.disk, c.day, limits.DiskMB, s.Room.Sends,
+		n.resolveNames); err != nil {
 		return nil, err
 	}
 	sockets := limits.Sockets
@@ -142,7 +148,9 @@
 
 // SetNoticeTimes sets the time limit for the platform to answer a notice, and the pause before a failed notice is posted
 // again.
-func (n *Node) SetNoticeTimes(timeout, retryInterval time.Duration) { n.notices.times(timeout, retryInterval) }
+func (n *Node) SetNoticeTimes(timeout, retryInterval time.Duration) {
+	n.notices.times(timeout, retryInterval)
+}
 
 // SetDirectoryAddress sets the address of the directory, which also receives the notices.
 func (n *Node) SetDirectoryAddress(address string) {
--- a/node/phases.go
+++ b/node/phases.go
@@ -44,7 +44,7 @@
 
 func (n *Node) setPhase(p Phase) {
 	n.phase.Store(int32(p))
-	logs.Part("node").WithFields(logrus.Fields{"phase": p.String(), "held": n.activeEvents.Load()}).Info("phase changed")
+	logs.Part("node").WithFields(logrus.Fields{"phase": p.String(), "active_events": n.activeEvents.Load()}).Info("phase changed")
 }
 
 // Run runs the node through its phases until it has stopped. It drains when ctx is cancelled.
--- a/node/retryconn.go
+++ b/node/retryconn.go
@@ -15,22 +15,25 @@
 )
 
 const (
-	minRetryPause = time.Millisecond // before a call is tried again that failed for a moment, doubling
+	minRetryPause = time.Millisecond // before the first retry of a call that failed with a transient error; doubles each time
 	maxRetryPause = 20 * time.Millisecond
 )
 
 var transientFailures = metrics.NewFamily("jaspersill_momentary_failures_total",
 	"Calls on sockets that failed for a reason of this machine and were tried again.", "call", "read", "write", "connect", "accept")
 
-// retryConn is a connection whose reads and writes are tried again when they fail for a moment: nothing is lost on
-// it then. Its deadlines, and closing it, end the trying. One goroutine reads at a time.
+// retryConn is a connection that retries reads and writes after transient errors, which lose no data. Its deadlines, and
+// closing it, end the retries. Only one goroutine may read at a time.
 type retryConn struct {
 	net.Conn
-	readFailingSince time.Time  // when a read first failed so; what was read since may have come then
-	onStall          func(bool) // hears when reads begin to fail so, and when they work again; nil for nobody
-
-	mu       sync.Mutex // held while bytes are taken off the connection, so that they are seen on one side or the other
-	received bool       // bytes were taken off it since it was last told to expect some
+	// readFailingSince is when a read first failed with a transient error. Data read since then may have arrived that early.
+	readFailingSince time.Time
+	// onStall is called with true when reads start to fail with transient errors, and with false when the read ends. It may
+	// be nil.
+	onStall func(bool)
+
+	mu       sync.Mutex // held during a read, so that responseStarted sees the data either as received or as unread
+	received bool       // data was read since the last expectResponse
 }
 
 // Read implements net.Conn.
@@ -58,7 +61,7 @@
 	}
 }
 
-// Write implements net.Conn. What went out in part is gone on with.
+// Write implements net.Conn. After a partial write it continues with the rest.
 func (c *retryConn) Write(b []byte) (written int, err error) {
 	for pause := minRetryPause; ; pause = min(2*pause, maxRetryPause) {
 		n, err := c.writeOnce(b[written:])
@@ -73,9 +76,9 @@
 	}
 }
 
-// WriteIfReady writes all or, where its first write fails for a moment, nothing: then the error says so, and
-// the caller decides whether what it wanted to write is still wanted. It stops where an answer comes before the last byte
-// is written.
+// WriteIfReady writes all of b, or nothing if the first write fails with a transient error. It then returns that error, and
+// the caller decides whether the data should still be written. It stops if a response arrives before the last byte is
+// written.
 func (c *retryConn) WriteIfReady(b []byte) (written int, err error) {
 	written, err = c.writeOnce(b)
 	if written == 0 || written == len(b) || (err != nil && errclass.Stream(err) != errclass.Transient) {
@@ -97,11 +100,11 @@
 	}
 }
 
-// errEarlyResponse tells that bytes came before the last byte of what they might be an answer to was written.
-var errEarlyResponse = errors.New("an answer came before its call was written")
+// errEarlyResponse means that data arrived before the last byte of the call that it might answer was written.
+var errEarlyResponse = errors.New("response received before the call was written completely")
 
-// readOnce makes one read that does not wait in vain: the standard library hides that a call was interrupted, and
-// with it how long the bytes may have stood there.
+// readOnce makes a single read call and returns its transient errors. The standard library hides that a call was
+// interrupted, and with it how long the data may have been waiting.
 func (c *retryConn) readOnce(b []byte) (n int, err error) {
 	raw := c.raw()
 	if raw == nil || len(b) == 0 {
@@ -128,7 +131,7 @@
 	return n, nil
 }
 
-// writeOnce makes one write, of a part if there is no room for all.
+// writeOnce makes a single write call, which is partial if the socket buffer has no space for all of b.
 func (c *retryConn) writeOnce(b []byte) (n int, err error) {
 	raw := c.raw()
 	if raw == nil || len(b) == 0 {
@@ -148,7 +151,7 @@
 	return n, nil
 }
 
-// raw is the descriptor of a TCP connection, nil for another kind.
+// raw returns the raw connection of a TCP connection, or nil for any other kind.
 func (c *retryConn) raw() syscall.RawConn {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		if raw, err := tcp.SyscallConn(); err == nil {
@@ -164,38 +167,38 @@
 	c.received = c.received || n > 0
 }
 
-// expectResponse begins to watch for an answer.
+// expectResponse starts to watch for a response.
 func (c *retryConn) expectResponse() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.received = false
 }
 
-// responseStarted tells whether bytes came since expect, whether or not they were read.
+// responseStarted reports whether data has arrived since expectResponse, whether or not it was read.
 func (c *retryConn) responseStarted() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.received || c.hasUnread()
 }
 
-// hasUnread tells whether bytes can be read, without waiting and whatever the deadline is.
+// hasUnread reports whether unread data is available. It does not block, and ignores the read deadline.
 func (c *retryConn) hasUnread() (unread bool) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return false
 	}
 	raw.Control(func(descriptor uintptr) {
-		var one [1]byte
-		n, _, _ := syscall.Recvfrom(int(descriptor), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		var peeked [1]byte
+		n, _, _ := syscall.Recvfrom(int(descriptor), peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		unread = n > 0
 	})
 	return unread
 }
 
-// CloseWrite closes the sending side.
+// CloseWrite closes the write side.
 func (c *retryConn) CloseWrite() error {
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		return half.CloseWrite()
+	if writeCloser, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return writeCloser.CloseWrite()
 	}
 	return errors.ErrUnsupported
 }
@@ -208,10 +211,10 @@
 	return nil, errors.ErrUnsupported
 }
 
-// dialFunc connects to an address, for as long as its context lasts.
+// dialFunc connects to an address; ctx bounds the attempt.
 type dialFunc func(ctx context.Context, address string) (net.Conn, error)
 
-// dialWithRetry connects, and tries again while connecting fails for a reason of this machine.
+// dialWithRetry connects, and retries while connecting fails because of a transient error of this machine.
 func dialWithRetry(ctx context.Context, dial dialFunc, address string) (*retryConn, error) {
 	for pause := minRetryPause; ; pause = min(2*pause, maxRetryPause) {
 		conn, err := dial(ctx, address)
@@ -231,11 +234,11 @@
 }
 
 const (
-	openSocketTimeout  = 5 * time.Second // for sockets that cannot be opened at the start
+	openSocketTimeout  = 5 * time.Second // for sockets that cannot be opened at startup
 	openSocketInterval = 20 * time.Millisecond
 )
 
-// openSocket opens a socket of the start, and tries again while that fails for a reason of this machine.
+// openSocket opens a socket at startup, and retries while that fails because of a transient error of this machine.
 func openSocket[S any](open func() (S, error)) (socket S, err error) {
 	err = errclass.Retry(errclass.Socket, openSocketTimeout, openSocketInterval, func() error {
 		socket, err = open()
