--- a/cmd/jaspersill/serve.go
+++ b/cmd/jaspersill/serve.go
@@ -13,10 +13,10 @@
 
 	"github.com/sirupsen/logrus"
 
-	"jaspersill/choice"
 	"jaspersill/house"
 	"jaspersill/logs"
 	"jaspersill/node"
+	"jaspersill/scheduler"
 )
 
 // serve runs the delivery node.
@@ -44,7 +44,7 @@
 	if err != nil {
 		return err
 	}
-	module := choice.New(seed, s.Types, s.Partners, s.Room, s.Recovery, s.Directory, s.Fleet, s.OrderPause)
+	module := scheduler.New(seed, s.Types, s.Partners, s.Room, s.Recovery, s.Directory, s.Fleet, s.OrderPause)
 	n, err := node.Open(
 		node.Config{
 			Listen:         b.Text("node.listen"),
--- a/lab/loopback/node_bench_test.go
+++ b/lab/loopback/node_bench_test.go
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
-	"jaspersill/choice"
 	"jaspersill/lab/load"
 	"jaspersill/lab/scenarios"
 	"jaspersill/node"
+	"jaspersill/scheduler"
 	"jaspersill/start"
 )
 
@@ -35,12 +35,12 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	told.Directory.Asked = true
+	told.Directory.RequiresWatch = true
 	listen, err := free("tcp")
 	if err != nil {
 		b.Fatal(err)
 	}
-	module := choice.New(
+	module := scheduler.New(
 		1,
 		told.Types,
 		told.Partners,
--- a/node/decisionloop.go
+++ b/node/decisionloop.go
@@ -5,30 +5,30 @@
 	"sync"
 	"time"
 
+	"jaspersill/delivery"
 	"jaspersill/door"
 	"jaspersill/logs"
-	"jaspersill/port"
 )
 
 // decisionLoop is the only owner of the decision module: one goroutine collects input, calls Round, and passes the
 // decisions on to the tasks that wait for them. The index tables and what they refer to belong to that goroutine.
 type decisionLoop struct {
 	clock         clock
-	module        port.Decider
+	module        delivery.Scheduler
 	minInterval   int64 // minimum time between rounds
 	eventsPerCall []int // maximum number of events in one call, by partner
-	endpoints     *endpoints
+	endpoints     *endpointPool
 	directory     *directory
-	peers         *peers
+	peers         *peerMessenger
 
 	mu           sync.Mutex
-	pendingInput []func(port.Intake) // received since the last round
+	pendingInput []func(delivery.Handler) // received since the last round
 	inputReady   chan struct{}
 	stop         chan struct{}
 	done         chan struct{}
 
 	eventIndex    door.Table[*event]
-	activeSends   []*send // the send in flight, by event index; nil for none
+	activeSends   []*attempt // the send in flight, by event index; nil for none
 	destIndex     door.Table[uint32]
 	endpointIndex door.Table[string]
 	partnerOf     []int   // by endpoint index
@@ -41,13 +41,13 @@
 	newCalls  []*call // created in this round
 }
 
-func newDecisionLoop(c clock, module port.Decider, minInterval int64, eventsPerCall []int) *decisionLoop {
+func newDecisionLoop(c clock, module delivery.Scheduler, minInterval int64, eventsPerCall []int) *decisionLoop {
 	return &decisionLoop{clock: c, module: module, minInterval: max(minInterval, 1), eventsPerCall: eventsPerCall,
 		inputReady: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
 }
 
 // enqueue queues an input, which is handed to the decision module in the next round.
-func (d *decisionLoop) enqueue(input func(port.Intake)) {
+func (d *decisionLoop) enqueue(input func(delivery.Handler)) {
 	d.mu.Lock()
 	d.pendingInput = append(d.pendingInput, input)
 	d.mu.Unlock()
@@ -103,14 +103,14 @@
 		}
 	}
 	for _, c := range d.newCalls {
-		for _, s := range c.sends {
+		for _, s := range c.attempts {
 			s.event.updates <- eventUpdate{kind: updateSendStarted, send: s}
 		}
-		d.endpoints.callBegins(c.endpoint)
-		go d.endpoints.carry(c)
+		d.endpoints.callStarted(c.endpoint)
+		go d.endpoints.execute(c)
 	}
 	d.forgotten = slices.DeleteFunc(d.forgotten, func(ep int32) bool {
-		free := d.endpoints.free(ep)
+		free := d.endpoints.release(ep)
 		if free {
 			d.endpointIndex.Release(ep)
 		}
@@ -124,7 +124,7 @@
 }
 
 // Deliver implements port.Feed.
-func (d *decisionLoop) Deliver(to port.Intake) {
+func (d *decisionLoop) Deliver(to delivery.Handler) {
 	d.mu.Lock()
 	inputs := d.pendingInput
 	d.pendingInput = nil
@@ -140,7 +140,7 @@
 
 // addEvent hands an event to the decision module, together with its sends before a restart, if any.
 func (d *decisionLoop) addEvent(e *event) {
-	d.enqueue(func(to port.Intake) {
+	d.enqueue(func(to delivery.Handler) {
 		if e.index, _ = d.eventIndex.Take(e); int(e.index) == len(d.ended) {
 			d.activeSends, d.ended = append(d.activeSends, nil), append(d.ended, false)
 		}
@@ -155,20 +155,20 @@
 }
 
 // reportPastSends reports the sends before a restart. One that was in flight when the process ended may have run.
-func (d *decisionLoop) reportPastSends(e *event, to port.Intake) {
+func (d *decisionLoop) reportPastSends(e *event, to delivery.Handler) {
 	ranAgo, zone, mayRun := int64(0), 0, false
 	for _, s := range e.pastSends {
 		if !mayRun && s.MayHaveRun() {
-			mayRun, ranAgo, zone = true, max(0, d.clock.day()-s.At), d.directory.zone(s.Zone)
+			mayRun, ranAgo, zone = true, max(0, d.clock.timeOfDay()-s.StartedAt), d.directory.zoneIndex(s.Zone)
 		}
 	}
 	to.Resumed(e.index, len(e.pastSends), mayRun, ranAgo, zone)
 }
 
 // reportOutcome reports to the decision module how a send ended.
-func (d *decisionLoop) reportOutcome(e *event, s *send, r result) {
-	ended := r.outcome == port.Acked || r.final
-	d.enqueue(func(to port.Intake) {
+func (d *decisionLoop) reportOutcome(e *event, s *attempt, r result) {
+	ended := r.outcome == delivery.Acked || r.final
+	d.enqueue(func(to delivery.Handler) {
 		d.activeSends[e.index] = nil
 		d.ended[e.index] = d.ended[e.index] || ended
 		if r.confirmation != nil && !ended {
@@ -179,15 +179,15 @@
 }
 
 // reportConfirmed reports to the decision module that an unconfirmed response to a send did belong to it.
-func (d *decisionLoop) reportConfirmed(e *event, s *send) {
-	d.enqueue(func(to port.Intake) { to.Confirmed(e.index, s.number) })
+func (d *decisionLoop) reportConfirmed(e *event, s *attempt) {
+	d.enqueue(func(to delivery.Handler) { to.Confirmed(e.index, s.number) })
 }
 
 // fullRetryAfter returns the time after which a client may retry whose event was refused for lack of space. It returns 0
 // once the loop is closed.
 func (d *decisionLoop) fullRetryAfter() int64 {
 	reply := make(chan int64, 1)
-	d.enqueue(func(port.Intake) { reply <- d.module.Full() })
+	d.enqueue(func(delivery.Handler) { reply <- d.module.RetryAfter() })
 	select {
 	case retryAfter := <-reply:
 		return retryAfter
@@ -210,24 +210,24 @@
 
 // removeEvent releases the event's index after the next round.
 func (d *decisionLoop) removeEvent(e *event) {
-	d.enqueue(func(port.Intake) { d.removed = append(d.removed, e.index) })
+	d.enqueue(func(delivery.Handler) { d.removed = append(d.removed, e.index) })
 }
 
 // Send implements port.Writer, as do the methods below. Sends of one round to the same endpoint share a call as long as
 // their bodies fit into it.
 func (d *decisionLoop) Send(evt, ep int32, timeout int64) {
 	e := d.eventIndex.ID(evt)
-	s := &send{event: e, number: e.sendCount, endpoint: ep, timeout: timeout, began: d.clock.now()}
+	s := &attempt{event: e, number: e.sendCount, endpoint: ep, timeout: timeout, startedAt: d.clock.now()}
 	e.sendCount++
 	d.activeSends[evt] = s
 	maxSends := d.eventsPerCall[min(d.partnerOf[ep], len(d.eventsPerCall)-1)]
 	for _, c := range d.newCalls {
-		if c.endpoint == ep && len(c.sends) < maxSends && c.size+bulkSize(e) <= mostBody {
-			s.call, c.sends, c.size = c, append(c.sends, s), c.size+bulkSize(e)
+		if c.endpoint == ep && len(c.attempts) < maxSends && c.bodySize+bulkSize(e) <= maxBodyBytes {
+			s.call, c.attempts, c.bodySize = c, append(c.attempts, s), c.bodySize+bulkSize(e)
 			return
 		}
 	}
-	s.call = &call{of: d.endpoints, endpoint: ep, sends: []*send{s}, size: bulkSize(e)}
+	s.call = &call{pool: d.endpoints, endpoint: ep, attempts: []*attempt{s}, bodySize: bulkSize(e)}
 	d.newCalls = append(d.newCalls, s.call)
 }
 
@@ -247,21 +247,21 @@
 
 func (d *decisionLoop) Cancel(evt int32, number int) {
 	if s := d.activeSends[evt]; s != nil && s.number == number {
-		s.call.giveUp(port.Cancelled)
+		s.call.abandon(delivery.Cancelled)
 	}
 }
 
-func (d *decisionLoop) Recall(evt int32, number int) {
+func (d *decisionLoop) CancelUnsent(evt int32, number int) {
 	if s := d.activeSends[evt]; s != nil && s.number == number {
 		s.call.recall(s)
 	}
 }
 
-func (d *decisionLoop) Wake(after int64)   { d.wakeAt = d.clock.now() + max(after, 1) }
-func (d *decisionLoop) Watch(on bool)      { d.directory.watch(on) }
-func (d *decisionLoop) CloseIdle(ep int32) { d.endpoints.closeIdle(ep) }
-func (d *decisionLoop) Forget(ep int32)    { d.forgotten = append(d.forgotten, ep) }
-func (d *decisionLoop) TellGood(ep int32)  { d.peers.tellGood(d.endpointIndex.ID(ep)) }
+func (d *decisionLoop) Wake(after int64)         { d.wakeAt = d.clock.now() + max(after, 1) }
+func (d *decisionLoop) Watch(on bool)            { d.directory.setWatching(on) }
+func (d *decisionLoop) CloseIdle(ep int32)       { d.endpoints.closeIdle(ep) }
+func (d *decisionLoop) Forget(ep int32)          { d.forgotten = append(d.forgotten, ep) }
+func (d *decisionLoop) AnnounceHealthy(ep int32) { d.peers.sendGood(d.endpointIndex.ID(ep)) }
 
 // Probe only logs: the decision module never requests a probe, and the protocol has no call for one.
 func (d *decisionLoop) Probe(ep int32) {
--- a/node/event.go
+++ b/node/event.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
+	"jaspersill/delivery"
 	"jaspersill/lifecycle"
-	"jaspersill/port"
 	"jaspersill/store"
 )
 
@@ -13,7 +13,7 @@
 type event struct {
 	id, idempotencyKey string // idempotencyKey: how duplicates are detected, for stream types that have one
 	typ, customer      int
-	safety             port.Safety
+	safety             delivery.Safety
 	dest               uint32
 	monoDeadline       int64 // on the monotonic clock that the decision module uses
 	wallDeadline       int64 // the same deadline as time of day, which stays valid after a restart
@@ -21,7 +21,7 @@
 	updates            chan eventUpdate    // read by its eventTask
 	response           chan clientResponse // read by its client's handler; nil for an event restored after a restart
 	index              int32               // owned by the decision loop
-	pastSends          []store.Send        // sends before a restart, in order
+	pastSends          []store.Attempt     // sends before a restart, in order
 	arrivalSeq         uint64              // distinguishes it in the journal from other events with the same id
 	sendCount          int                 // sends so far; owned by the decision loop
 	request            *lifecycle.Request
@@ -31,7 +31,7 @@
 
 // mayHaveRun reports whether an attempt before a restart may have taken effect.
 func (e *event) mayHaveRun() bool {
-	return slices.ContainsFunc(e.pastSends, func(s store.Send) bool { return s.MayHaveRun() })
+	return slices.ContainsFunc(e.pastSends, func(s store.Attempt) bool { return s.MayHaveRun() })
 }
 
 // clientResponse is what a client receives: a status, and the time after which to retry, 0 for none.
@@ -52,9 +52,9 @@
 // eventUpdate is sent to the eventTask of an event when something happens to the event.
 type eventUpdate struct {
 	kind       updateKind
-	send       *send  // for updateSendStarted, updateSendEnded and updateRefusalConfirmed
-	result     result // for updateSendEnded and updateRefusalConfirmed
-	retryAfter int64  // for updateDecline
+	send       *attempt // for updateSendStarted, updateSendEnded and updateRefusalConfirmed
+	result     result   // for updateSendEnded and updateRefusalConfirmed
+	retryAfter int64    // for updateDecline
 }
 
 type updateKind uint8
@@ -74,7 +74,7 @@
 
 // result describes how a send ended.
 type result struct {
-	outcome              port.Outcome
+	outcome              delivery.Outcome
 	retryAfter, duration int64
 	final                bool    // the endpoint states that the event needs no further send
 	rateFree, rateLimit  float64 // rate limit in the response: calls per second, and the free share of it
--- a/node/eventtask.go
+++ b/node/eventtask.go
@@ -4,10 +4,10 @@
 	"errors"
 	"time"
 
+	"jaspersill/delivery"
 	"jaspersill/lifecycle"
 	"jaspersill/logs"
 	"jaspersill/metrics"
-	"jaspersill/port"
 	"jaspersill/store"
 )
 
@@ -51,7 +51,7 @@
 
 // pendingEnd is an end that is decided but may not be reported yet.
 type pendingEnd struct {
-	record        *store.Receipt
+	record        *store.PendingWrite
 	written       <-chan struct{} // closed when the record is durable; nil once the end is reported
 	toClient      bool            // report it as a refusal to the client, which still waits
 	clientTimeout <-chan time.Time
@@ -77,21 +77,21 @@
 // accept stores the event. It returns false if the event was refused, or if it duplicates one that is already in the
 // journal.
 func (t *eventTask) accept() bool {
-	err := t.node.journal.take(t.event, t.node.typeNames[t.typ], t.node.customerName(t.customer))
+	err := t.node.journal.accept(t.event, t.node.typeNames[t.typ], t.node.customerName(t.customer))
 	if err == nil {
 		t.request.MarkStored()
 		return true
 	}
 	t.node.activeEvents.Add(-1)
 	switch {
-	case errors.Is(err, errKnown), errors.Is(err, errEnded): // it was already accepted before a restart
-		t.respond(statusTaken, 0)
+	case errors.Is(err, errAlreadyPending), errors.Is(err, errAlreadyCompleted): // it was already accepted before a restart
+		t.respond(statusAccepted, 0)
 		return false
 	case errors.Is(err, errFull):
 		recordRefusal(t.id, refusedJournalFull)
 	default:
 		recordRefusal(t.id, refusedWriteFailed)
-		t.node.journal.disk.record(err)
+		t.node.journal.writeFailures.record(err)
 		logs.Event("clients", t.id).WithError(err).Debug("request refused: storing the event failed")
 	}
 	t.respond(statusDeclined, t.node.decisions.fullRetryAfter())
@@ -111,9 +111,9 @@
 	t.release()
 	t.request.DecideEnd()
 	t.request.ReportEnd(t.node.clock.now(), true)
-	t.node.notices.post(t.newNotice())
+	t.node.notices.enqueue(t.newNotice())
 	<-t.updates
-	t.node.journal.over(t.event)
+	t.node.journal.complete(t.event)
 }
 
 // run handles updates until the end is decided and reported and no attempt is in flight.
@@ -132,7 +132,7 @@
 		case <-decisionsDone: // the client still needs a response: the event is in the journal, so it counts as accepted
 			decisionsDone = nil
 			if t.pending.written == nil {
-				t.respond(statusTaken, 0)
+				t.respond(statusAccepted, 0)
 			}
 		}
 	}
@@ -144,7 +144,7 @@
 func (t *eventTask) handle(u eventUpdate) {
 	switch u.kind {
 	case updateKept:
-		t.respond(statusTaken, 0)
+		t.respond(statusAccepted, 0)
 	case updateSendStarted:
 		t.sendsInFlight++
 	case updateSendEnded:
@@ -153,7 +153,7 @@
 		t.node.decisions.reportOutcome(t.event, u.send, u.result)
 	case updateRefusalConfirmed:
 		t.request.ConfirmRefusal()
-		t.node.journal.ended(t.event, u.send.number, u.result.outcome)
+		t.node.journal.recordOutcome(t.event, u.send.number, u.result.outcome)
 		t.node.decisions.reportConfirmed(t.event, u.send)
 	case updateDecline:
 		t.endUndelivered(declined, u.retryAfter)
@@ -162,7 +162,7 @@
 	case updateNoticeAcknowledged:
 		t.endUnreported = false
 		t.node.unreportedEnds.Add(-1)
-		t.node.journal.over(t.event)
+		t.node.journal.complete(t.event)
 	}
 }
 
@@ -177,13 +177,13 @@
 // handleOutcome handles the end of an attempt. If its response may belong to another call, it does only what is safe either
 // way: after a delivery no attempt follows, and the notice that the event may need is held back until the response is
 // confirmed or not; a refusal is not recorded, so that after a restart, too, the attempt counts as one that may have run.
-func (t *eventTask) handleOutcome(s *send, r result) {
-	ended := r.outcome == port.Acked || r.final
+func (t *eventTask) handleOutcome(s *attempt, r result) {
+	ended := r.outcome == delivery.Acked || r.final
 	switch {
 	case ended && r.confirmation != nil:
 		t.completeProvisionally(r.confirmation)
 	case ended:
-		t.node.journal.ended(t.event, s.number, r.outcome)
+		t.node.journal.recordOutcome(t.event, s.number, r.outcome)
 		t.complete()
 	case r.confirmation != nil:
 		event := t.event
@@ -193,7 +193,7 @@
 			}
 		})
 	default:
-		t.node.journal.ended(t.event, s.number, r.outcome)
+		t.node.journal.recordOutcome(t.event, s.number, r.outcome)
 	}
 }
 
@@ -204,12 +204,12 @@
 		return
 	}
 	t.release()
-	t.respond(statusTaken, 0)
+	t.respond(statusAccepted, 0)
 	if !t.request.EndProvisionally() {
 		return
 	}
-	end := &provisionalEnd{node: t.node, id: t.id, came: t.arrivalSeq, due: t.monoDeadline, request: t.request,
-		record: t.node.journal.decideBriefly(t.event, discarded)}
+	end := &provisionalCompletion{node: t.node, id: t.id, came: t.arrivalSeq, due: t.monoDeadline, request: t.request,
+		record: t.node.journal.recordVerdictAndTrim(t.event, discarded)}
 	c.whenSettled(end.settle)
 }
 
@@ -220,17 +220,17 @@
 		return
 	}
 	t.release()
-	t.respond(statusTaken, 0)
+	t.respond(statusAccepted, 0)
 	t.request.DecideEnd()
-	t.node.journal.over(t.event)
+	t.node.journal.complete(t.event)
 	t.request.ReportEnd(t.node.clock.now(), true) // the endpoint already knows the end
 }
 
 // newNotice returns the notice of the event's end. The event's task is informed once the platform has received it.
 func (t *eventTask) newNotice() notice {
 	e := t.event
-	return notice{id: e.id, verdict: e.resolution, after: e.retryAfter,
-		told: func() { e.updates <- eventUpdate{kind: updateNoticeAcknowledged} }}
+	return notice{id: e.id, verdict: e.resolution, retryAfter: e.retryAfter,
+		onAcknowledged: func() { e.updates <- eventUpdate{kind: updateNoticeAcknowledged} }}
 }
 
 // endUndelivered ends an event that is not delivered. A refusal is reported to the client if it still waits, any other end
@@ -244,10 +244,10 @@
 	t.endUnreported = true
 	t.node.unreportedEnds.Add(1)
 	if t.clientWaiting && r == declined {
-		t.pending = pendingEnd{record: t.node.journal.over(t.event), toClient: true, clientTimeout: time.After(refusalRecordTimeout)}
+		t.pending = pendingEnd{record: t.node.journal.complete(t.event), toClient: true, clientTimeout: time.After(refusalRecordTimeout)}
 	} else {
-		t.respond(statusTaken, 0)
-		t.pending = pendingEnd{record: t.node.journal.decide(t.event)}
+		t.respond(statusAccepted, 0)
+		t.pending = pendingEnd{record: t.node.journal.recordVerdict(t.event)}
 	}
 	t.pending.written = t.pending.record.Written()
 	if t.request.MayReportEnd(t.node.clock.now(), false) {
@@ -273,7 +273,7 @@
 	}
 	t.pending.written, t.pending.clientTimeout = nil, nil
 	if !t.pending.toClient {
-		t.node.notices.post(t.newNotice())
+		t.node.notices.enqueue(t.newNotice())
 		return
 	}
 	recordRefusal(t.id, refusedByPolicy)
@@ -285,5 +285,5 @@
 // redirectToPlatform lets the platform receive a refusal whose record takes longer to write than its client can wait.
 func (t *eventTask) redirectToPlatform() {
 	t.pending.toClient, t.pending.clientTimeout = false, nil
-	t.respond(statusTaken, 0)
+	t.respond(statusAccepted, 0)
 }
--- a/node/node.go
+++ b/node/node.go
@@ -9,8 +9,8 @@
 	"sync/atomic"
 	"time"
 
+	"jaspersill/delivery"
 	"jaspersill/lifecycle"
-	"jaspersill/port"
 	"jaspersill/start"
 	"jaspersill/store"
 )
@@ -22,8 +22,8 @@
 	Peers                          []string
 	KnownEndpoints                 []byte // the last known list of endpoints, as JSON in the directory's format
 
-	disk    store.Folder // replaces StateFolder in tests, to inject failures
-	machine *machine     // replaces the clocks of this machine in tests, to make the wall clock step
+	disk    store.FS    // replaces StateFolder in tests, to inject failures
+	machine *timeSource // replaces the clocks of this machine in tests, to make the wall clock step
 }
 
 // ClientTimeouts bounds the stages of a client connection; 0 selects the default.
@@ -63,27 +63,27 @@
 	maxEvents       int64        // upper bound of activeEvents
 	typeNames       []string
 	customerNames   []string
-	types           []port.StreamType
+	types           []delivery.StreamType
 
 	drainTimes atomic.Pointer[drainTimes]
 	restored   []*event // unfinished events from before the restart
 	journal    *journal
 	decisions  *decisionLoop
-	endpoints  *endpoints
+	endpoints  *endpointPool
 	directory  *directory
-	notices    *notices
-	peers      *peers
-	clients    *clients
+	notices    *noticeSender
+	peers      *peerMessenger
+	clients    *clientServer
 }
 
 // Open opens the journal and the sockets of a node. Run starts it.
-func Open(config Config, limits Limits, timeouts ClientTimeouts, s start.Start, module port.Decider) (*Node, error) {
+func Open(config Config, limits Limits, timeouts ClientTimeouts, s start.Start, module delivery.Scheduler) (*Node, error) {
 	if config.machine == nil {
-		m := thisMachine()
+		m := systemTimeSource()
 		config.machine = &m
 	}
-	c := startClock(config.StateFolder, *config.machine)
-	n := &Node{clock: c, maxEvents: int64(s.Room.Events), types: s.Types, typeNames: s.TypeNames,
+	c := newClock(config.StateFolder, *config.machine)
+	n := &Node{clock: c, maxEvents: int64(s.Room.MaxEvents), types: s.Types, typeNames: s.TypeNames,
 		customerNames: s.CustomerNames}
 	n.SetDrainTimes(drainCloseIdle, drainStopDeciding, drainExit)
 	n.setPhase(Starting)
@@ -91,7 +91,7 @@
 	if config.disk == nil {
 		config.disk = store.Dir(config.StateFolder)
 	}
-	if n.journal, n.restored, err = openJournal(config.StateFolder, config.disk, c.day, limits.DiskMB, s.Room.Sends,
+	if n.journal, n.restored, err = openJournal(config.StateFolder, config.disk, c.timeOfDay, limits.DiskMB, s.Room.MaxAttempts,
 		n.resolveNames); err != nil {
 		return nil, err
 	}
@@ -104,29 +104,29 @@
 	idleEndpoints := sockets / endpointIdleDivisor
 	var eventsPerCall []int
 	for _, p := range s.Partners {
-		eventsPerCall = append(eventsPerCall, p.PerCall)
+		eventsPerCall = append(eventsPerCall, p.MaxEventsPerCall)
 	}
 	n.decisions = newDecisionLoop(c, module, s.Tick, append(eventsPerCall, 1))
-	n.endpoints = &endpoints{clock: c, journal: n.journal, dial: dialer(s.ConnectWithin),
-		idleFor: s.IdleFor, mostIdle: idleEndpoints}
-	n.directory = &directory{address: config.Directory, open: make(map[*watch]struct{}),
-		dests: make(map[uint32]struct{}), desk: n.decisions, endpoints: n.endpoints,
-		partners: s.PartnerNames, zones: s.ZoneNames, rated: s.Rated,
-		answers: failureLog{part: "directory", operation: "watching the directory"}}
-	n.notices = openNotices(config.Directory)
-	if n.peers, err = openPeers(config.PeerListen, config.PeersAll, config.Peers, s.Fleet.Me, n.decisions, c.day()); err != nil {
+	n.endpoints = &endpointPool{clock: c, journal: n.journal, dial: newDialer(s.ConnectWithin),
+		idleTimeout: s.IdleFor, maxIdle: idleEndpoints}
+	n.directory = &directory{address: config.Directory, openWatches: make(map[*watch]struct{}),
+		knownDests: make(map[uint32]struct{}), desk: n.decisions, endpoints: n.endpoints,
+		partnerNames: s.PartnerNames, zoneNames: s.ZoneNames, useRates: s.Rated,
+		watchErrors: failureLog{part: "directory", operation: "watching the directory"}}
+	n.notices = newNoticeSender(config.Directory)
+	if n.peers, err = newPeerMessenger(config.PeerListen, config.PeersAll, config.Peers, s.Fleet.Self, n.decisions, c.timeOfDay()); err != nil {
 		n.journal.close()
 		return nil, err
 	}
-	n.SetDirectorySilence(silentAfter)
+	n.SetDirectorySilence(defaultWatchSilence)
 	n.decisions.endpoints, n.decisions.directory, n.decisions.peers = n.endpoints, n.directory, n.peers
 	if len(config.KnownEndpoints) > 0 {
-		if err = n.directory.list(nil, config.KnownEndpoints); err != nil {
+		if err = n.directory.applyList(nil, config.KnownEndpoints); err != nil {
 			err = fmt.Errorf("known: %w", err)
 		}
 	}
 	if err == nil {
-		n.clients, err = openClients(n, config.Listen, timeouts, max(minClients, sockets-idleEndpoints-s.Room.Slots), idleClients)
+		n.clients, err = newClientServer(n, config.Listen, timeouts, max(minClients, sockets-idleEndpoints-s.Room.MaxConcurrentCalls), idleClients)
 	}
 	if err != nil {
 		n.peers.close()
@@ -144,25 +144,27 @@
 }
 
 // SetDirectorySilence sets how long a call to the directory may go without receiving data.
-func (n *Node) SetDirectorySilence(timeout time.Duration) { n.directory.silence.Store(int64(timeout)) }
+func (n *Node) SetDirectorySilence(timeout time.Duration) {
+	n.directory.silenceTimeout.Store(int64(timeout))
+}
 
 // SetNoticeTimes sets the time limit for the platform to answer a notice, and the pause before a failed notice is posted
 // again.
 func (n *Node) SetNoticeTimes(timeout, retryInterval time.Duration) {
-	n.notices.times(timeout, retryInterval)
+	n.notices.setTimeouts(timeout, retryInterval)
 }
 
 // SetDirectoryAddress sets the address of the directory, which also receives the notices.
 func (n *Node) SetDirectoryAddress(address string) {
-	n.directory.move(address)
-	n.notices.move(address)
+	n.directory.setAddress(address)
+	n.notices.setAddress(address)
 }
 
 // restoreEvents starts the events that were unfinished before the restart.
 func (n *Node) restoreEvents() {
 	n.activeEvents.Add(int64(len(n.restored)))
 	for _, e := range n.restored {
-		e.monoDeadline = n.clock.now() + e.wallDeadline - n.clock.day()
+		e.monoDeadline = n.clock.now() + e.wallDeadline - n.clock.timeOfDay()
 		e.safety = n.safetyOf(e.typ)
 		e.request = lifecycle.RestoreRequest(e.id, e.monoDeadline, n.repeatable(e.typ), e.mayHaveRun())
 		if e.resolution == unresolved {
@@ -177,7 +179,7 @@
 // destination that is unknown now may be listed later.
 func (n *Node) refusalReason(e *event) (reason string) {
 	switch {
-	case !n.directory.knows(e.dest):
+	case !n.directory.isKnownDest(e.dest):
 		return refusedUnlisted
 	case !n.admit():
 		return refusedAtCapacity
@@ -213,17 +215,19 @@
 
 // safetyOf returns what may happen if an event of a stream type is repeated. A type that is no longer configured counts as
 // idempotent, since nothing forbids repeating its events.
-func (n *Node) safetyOf(typ int) port.Safety {
+func (n *Node) safetyOf(typ int) delivery.Safety {
 	if typ >= len(n.types) {
-		return port.Idempotent
+		return delivery.Idempotent
 	}
 	return n.types[typ].Safety
 }
 
 // repeatable reports whether an event of a stream type may be sent again after an attempt that may have run.
 func (n *Node) repeatable(typ int) bool {
-	return n.safetyOf(typ) != port.NonIdempotent
+	return n.safetyOf(typ) != delivery.NonIdempotent
 }
 
 // requiresIdempotencyKey reports whether events of a stream type must carry an idempotency key.
-func (n *Node) requiresIdempotencyKey(typ int) bool { return n.types[typ].Safety == port.Deduplicated }
+func (n *Node) requiresIdempotencyKey(typ int) bool {
+	return n.types[typ].Safety == delivery.Deduplicated
+}
--- a/node/phases.go
+++ b/node/phases.go
@@ -53,9 +53,9 @@
 	defer close(stop)
 
 	n.setPhase(Restoring)
-	go n.peers.hear()
+	go n.peers.receive()
 	go n.notices.run(stop)
-	go n.endpoints.sweep(stop)
+	go n.endpoints.sweepIdle(stop)
 	n.restoreEvents()
 	go n.decisions.run()
 	defer n.journal.close()
@@ -73,18 +73,18 @@
 	n.setPhase(Draining)
 	start, drain := time.Now(), n.drainTimes.Load()
 	n.waitUntil(start.Add(drain.closeIdle), nil)
-	n.clients.listener.dismiss()
+	n.clients.listener.closeAllIdle()
 	n.waitUntil(start.Add(drain.stopDeciding), n.noUnfinishedEvents)
 	n.decisionsClosed.Store(true)
-	n.clients.listener.dismiss()
+	n.clients.listener.closeAllIdle()
 	n.waitUntil(start.Add(drain.stopDeciding), n.noUnfinishedEvents) // for events admitted just before
 	n.decisions.close()
 	n.waitUntil(start.Add(drain.exit-drainNoticeReserve), n.confirmationsSettled)
-	n.endpoints.settleRested(true)
+	n.endpoints.settleIdle(true)
 	n.waitUntil(start.Add(drain.exit), n.quiesced)
 	n.clients.listener.Close()
-	n.clients.listener.dismiss()
-	n.waitUntil(start.Add(drain.exit+drainWriteGrace), n.clients.listener.empty)
+	n.clients.listener.closeAllIdle()
+	n.waitUntil(start.Add(drain.exit+drainWriteGrace), n.clients.listener.isEmpty)
 	n.directory.close()
 	n.setPhase(Stopped)
 	return nil
@@ -99,17 +99,17 @@
 
 // noUnfinishedEvents reports whether no event is unfinished or about to be, except those whose end awaits confirmation.
 func (n *Node) noUnfinishedEvents() bool {
-	return n.activeEvents.Load() == 0 && n.journal.owed() <= n.endpoints.unsettled() && n.journal.settled()
+	return n.activeEvents.Load() == 0 && n.journal.pendingCount() <= n.endpoints.unconfirmedCount() && n.journal.allWritten()
 }
 
 // confirmationsSettled reports whether no end awaits confirmation and none can occur any more that would need it.
 func (n *Node) confirmationsSettled() bool {
-	n.endpoints.settleRested(false)
-	return n.endpoints.unsettled() == 0 && (n.endpoints.out.Load() == 0 || n.noUnfinishedEvents())
+	n.endpoints.settleIdle(false)
+	return n.endpoints.unconfirmedCount() == 0 && (n.endpoints.activeCalls.Load() == 0 || n.noUnfinishedEvents())
 }
 
 // quiesced reports whether nothing is left that would finish on its own: no attempt is in flight, and every decided end is
 // reported and written. Events that are still unfinished wait for the next start.
 func (n *Node) quiesced() bool {
-	return n.noUnfinishedEvents() || (n.endpoints.out.Load() == 0 && n.unreportedEnds.Load() == 0 && n.journal.settled())
+	return n.noUnfinishedEvents() || (n.endpoints.activeCalls.Load() == 0 && n.unreportedEnds.Load() == 0 && n.journal.allWritten())
 }
