--- a/node/call.go
+++ b/node/call.go
@@ -442,7 +442,7 @@
 	} else {
 		s.event.request.FinishAttempt(r.outcome.MayHaveRun() && c.progress != progressNone && c.progress != progressRecording)
 	}
-	s.event.updates <- eventUpdate{kind: updateSendEnded, send: s, result: r}
+	s.event.updates <- eventUpdate{kind: updateAttemptEnded, attempt: s, result: r}
 }
 
 // logAttempt writes a line about an attempt, with the connection that it goes out on.
--- a/node/event.go
+++ b/node/event.go
@@ -21,17 +21,17 @@
 	updates            chan eventUpdate    // read by its eventTask
 	response           chan clientResponse // read by its client's handler; nil for an event restored after a restart
 	index              int32               // owned by the decision loop
-	pastSends          []store.Attempt     // sends before a restart, in order
+	pastAttempts       []store.Attempt     // sends before a restart, in order
 	arrivalSeq         uint64              // distinguishes it in the journal from other events with the same id
-	sendCount          int                 // sends so far; owned by the decision loop
+	attemptCount       int                 // sends so far; owned by the decision loop
 	request            *lifecycle.Request
-	resolution         resolution // set if its end was decided before a restart
+	verdict            verdict // set if its end was decided before a restart
 	retryAfter         int64
 }
 
 // mayHaveRun reports whether an attempt before a restart may have taken effect.
 func (e *event) mayHaveRun() bool {
-	return slices.ContainsFunc(e.pastSends, func(s store.Attempt) bool { return s.MayHaveRun() })
+	return slices.ContainsFunc(e.pastAttempts, func(s store.Attempt) bool { return s.MayHaveRun() })
 }
 
 // clientResponse is what a client receives: a status, and the time after which to retry, 0 for none.
@@ -40,11 +40,11 @@
 	retryAfter int64
 }
 
-// resolution tells how an event that is not delivered ends.
-type resolution uint8
+// verdict tells how an event that is not delivered ends.
+type verdict uint8
 
 const (
-	unresolved resolution = iota
+	undecided verdict = iota
 	declined
 	discarded
 )
@@ -52,7 +52,7 @@
 // eventUpdate is sent to the eventTask of an event when something happens to the event.
 type eventUpdate struct {
 	kind       updateKind
-	send       *attempt // for updateSendStarted, updateSendEnded and updateRefusalConfirmed
+	attempt    *attempt // for updateSendStarted, updateSendEnded and updateRefusalConfirmed
 	result     result   // for updateSendEnded and updateRefusalConfirmed
 	retryAfter int64    // for updateDecline
 }
@@ -60,9 +60,9 @@
 type updateKind uint8
 
 const (
-	updateKept        updateKind = iota // the decision module keeps the event for now
-	updateSendStarted                   // the decision module chose an endpoint
-	updateSendEnded
+	updateKept           updateKind = iota // the decision module keeps the event for now
+	updateAttemptStarted                   // the decision module chose an endpoint
+	updateAttemptEnded
 	updateDecline
 	updateDiscard
 	updateNoticeAcknowledged // the platform has received the notice
--- a/node/eventtask.go
+++ b/node/eventtask.go
@@ -41,12 +41,12 @@
 type eventTask struct {
 	node *Node
 	*event
-	clientWaiting bool // the client still waits for its response
-	sendsInFlight int  // attempts that have not ended
-	released      bool // its place was given back, and no further decision is made for it
-	pending       pendingEnd
-	deadlineTimer *time.Timer
-	endUnreported bool // the end is decided but not reported
+	clientWaiting    bool // the client still waits for its response
+	attemptsInFlight int  // attempts that have not ended
+	released         bool // its place was given back, and no further decision is made for it
+	pending          pendingEnd
+	deadlineTimer    *time.Timer
+	endUnreported    bool // the end is decided but not reported
 }
 
 // pendingEnd is an end that is decided but may not be reported yet.
@@ -63,7 +63,7 @@
 	if t.clientWaiting && !t.accept() {
 		return
 	}
-	if e.resolution != unresolved { // decided before a restart: only its notice remains to be sent
+	if e.verdict != undecided { // decided before a restart: only its notice remains to be sent
 		t.reportRestoredEnd()
 		return
 	}
@@ -119,7 +119,7 @@
 // run handles updates until the end is decided and reported and no attempt is in flight.
 func (t *eventTask) run() {
 	decisionsDone := t.node.decisions.done
-	for !t.released || t.endUnreported || t.sendsInFlight > 0 {
+	for !t.released || t.endUnreported || t.attemptsInFlight > 0 {
 		select {
 		case u := <-t.updates:
 			t.handle(u)
@@ -145,16 +145,16 @@
 	switch u.kind {
 	case updateKept:
 		t.respond(statusAccepted, 0)
-	case updateSendStarted:
-		t.sendsInFlight++
-	case updateSendEnded:
-		t.sendsInFlight--
-		t.handleOutcome(u.send, u.result)
-		t.node.decisions.reportOutcome(t.event, u.send, u.result)
+	case updateAttemptStarted:
+		t.attemptsInFlight++
+	case updateAttemptEnded:
+		t.attemptsInFlight--
+		t.handleOutcome(u.attempt, u.result)
+		t.node.decisions.reportOutcome(t.event, u.attempt, u.result)
 	case updateRefusalConfirmed:
 		t.request.ConfirmRefusal()
-		t.node.journal.recordOutcome(t.event, u.send.number, u.result.outcome)
-		t.node.decisions.reportConfirmed(t.event, u.send)
+		t.node.journal.recordOutcome(t.event, u.attempt.number, u.result.outcome)
+		t.node.decisions.reportConfirmed(t.event, u.attempt)
 	case updateDecline:
 		t.endUndelivered(declined, u.retryAfter)
 	case updateDiscard:
@@ -189,7 +189,7 @@
 		event := t.event
 		r.confirmation.whenSettled(func(confirmed bool) {
 			if confirmed {
-				event.updates <- eventUpdate{kind: updateRefusalConfirmed, send: s, result: result{outcome: r.outcome}}
+				event.updates <- eventUpdate{kind: updateRefusalConfirmed, attempt: s, result: result{outcome: r.outcome}}
 			}
 		})
 	default:
@@ -229,18 +229,18 @@
 // newNotice returns the notice of the event's end. The event's task is informed once the platform has received it.
 func (t *eventTask) newNotice() notice {
 	e := t.event
-	return notice{id: e.id, verdict: e.resolution, retryAfter: e.retryAfter,
+	return notice{id: e.id, verdict: e.verdict, retryAfter: e.retryAfter,
 		onAcknowledged: func() { e.updates <- eventUpdate{kind: updateNoticeAcknowledged} }}
 }
 
 // endUndelivered ends an event that is not delivered. A refusal is reported to the client if it still waits, any other end
 // to the platform. Either is reported only once a restart would no longer send the event.
-func (t *eventTask) endUndelivered(r resolution, retryAfter int64) {
+func (t *eventTask) endUndelivered(r verdict, retryAfter int64) {
 	t.release()
 	if !t.request.DecideEnd() {
 		return
 	}
-	t.resolution, t.retryAfter = r, retryAfter
+	t.verdict, t.retryAfter = r, retryAfter
 	t.endUnreported = true
 	t.node.unreportedEnds.Add(1)
 	if t.clientWaiting && r == declined {
--- a/node/node.go
+++ b/node/node.go
@@ -22,8 +22,8 @@
 	Peers                          []string
 	KnownEndpoints                 []byte // the last known list of endpoints, as JSON in the directory's format
 
-	disk    store.FS    // replaces StateFolder in tests, to inject failures
-	machine *timeSource // replaces the clocks of this machine in tests, to make the wall clock step
+	disk       store.FS    // replaces StateFolder in tests, to inject failures
+	timeSource *timeSource // replaces the clocks of this machine in tests, to make the wall clock step
 }
 
 // ClientTimeouts bounds the stages of a client connection; 0 selects the default.
@@ -78,11 +78,11 @@
 
 // Open opens the journal and the sockets of a node. Run starts it.
 func Open(config Config, limits Limits, timeouts ClientTimeouts, s start.Start, module delivery.Scheduler) (*Node, error) {
-	if config.machine == nil {
+	if config.timeSource == nil {
 		m := systemTimeSource()
-		config.machine = &m
+		config.timeSource = &m
 	}
-	c := newClock(config.StateFolder, *config.machine)
+	c := newClock(config.StateFolder, *config.timeSource)
 	n := &Node{clock: c, maxEvents: int64(s.Room.MaxEvents), types: s.Types, typeNames: s.TypeNames,
 		customerNames: s.CustomerNames}
 	n.SetDrainTimes(drainCloseIdle, drainStopDeciding, drainExit)
@@ -167,7 +167,7 @@
 		e.monoDeadline = n.clock.now() + e.wallDeadline - n.clock.timeOfDay()
 		e.safety = n.safetyOf(e.typ)
 		e.request = lifecycle.RestoreRequest(e.id, e.monoDeadline, n.repeatable(e.typ), e.mayHaveRun())
-		if e.resolution == unresolved {
+		if e.verdict == undecided {
 			n.decisions.addEvent(e)
 		}
 		go n.runEvent(e)
--- a/node/notices.go
+++ b/node/notices.go
@@ -40,7 +40,7 @@
 // notice tells the platform how an event ended that was taken on and not delivered.
 type notice struct {
 	id             string
-	verdict        resolution
+	verdict        verdict
 	retryAfter     int64  // when to come back, 0 for nothing told
 	onAcknowledged func() // is called once the platform has surely read it
 }
