--- a/lifecycle/connection.go
+++ b/lifecycle/connection.go
@@ -9,7 +9,7 @@
 	awaitingResponse bool
 }
 
-// MarkRequestRead records that a request was read in full. From then on the client is owed a response.
+// MarkRequestRead records that a request was read in full. From then on the client must receive a response.
 func (c *Connection) MarkRequestRead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/node/decisionloop.go
+++ b/node/decisionloop.go
@@ -10,7 +10,7 @@
 	"jaspersill/logs"
 )
 
-// decisionLoop is the only owner of the decision module: one goroutine collects input, calls Round, and passes the
+// decisionLoop is the only owner of the scheduler: one goroutine collects input, calls Round, and passes the
 // decisions on to the tasks that wait for them. The index tables and what they refer to belong to that goroutine.
 type decisionLoop struct {
 	clock         clock
@@ -28,25 +28,25 @@
 	done         chan struct{}
 
 	eventIndex     door.Table[*event]
-	activeAttempts []*attempt // the send in flight, by event index; nil for none
+	activeAttempts []*attempt // the attempt in flight, by event index; nil for none
 	destIndex      door.Table[uint32]
 	endpointIndex  door.Table[string]
 	partnerOf      []int   // by endpoint index
-	forgotten      []int32 // endpoints that the module has removed but calls may still use
+	forgotten      []int32 // endpoints that the scheduler has removed but calls may still use
 
-	wakeAt    int64 // 0 if the module did not ask to be woken
+	wakeAt    int64 // 0 if the scheduler did not ask to be woken
 	newEvents []int32
 	ended     []bool  // by event index: the end was decided, in this round or earlier
 	removed   []int32 // events whose index is released after this round
 	newCalls  []*call // created in this round
 }
 
-func newDecisionLoop(c clock, module delivery.Scheduler, minInterval int64, eventsPerCall []int) *decisionLoop {
-	return &decisionLoop{clock: c, scheduler: module, minInterval: max(minInterval, 1), eventsPerCall: eventsPerCall,
+func newDecisionLoop(c clock, scheduler delivery.Scheduler, minInterval int64, eventsPerCall []int) *decisionLoop {
+	return &decisionLoop{clock: c, scheduler: scheduler, minInterval: max(minInterval, 1), eventsPerCall: eventsPerCall,
 		inputReady: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
 }
 
-// enqueue queues an input, which is handed to the decision module in the next round.
+// enqueue queues an input, which is handed to the scheduler in the next round.
 func (d *decisionLoop) enqueue(input func(delivery.Handler)) {
 	d.mu.Lock()
 	d.pendingInput = append(d.pendingInput, input)
@@ -57,8 +57,8 @@
 	}
 }
 
-// run calls the decision module until close: when there is input, but no more often than minInterval allows, and when the
-// module asked to be woken.
+// run calls the scheduler until close: when there is input, but no more often than minInterval allows, and when the scheduler
+// asked to be woken.
 func (d *decisionLoop) run() {
 	defer close(d.done)
 	timer := time.NewTimer(0)
@@ -94,7 +94,7 @@
 	<-d.done
 }
 
-// round runs one round of the decision module and carries out its decisions.
+// round runs one round of the scheduler and carries out its decisions.
 func (d *decisionLoop) round(now int64) {
 	d.scheduler.Round(now, d, d)
 	for _, e := range d.newEvents {
@@ -103,8 +103,8 @@
 		}
 	}
 	for _, c := range d.newCalls {
-		for _, s := range c.attempts {
-			s.event.updates <- eventUpdate{kind: updateAttemptStarted, attempt: s}
+		for _, a := range c.attempts {
+			a.event.updates <- eventUpdate{kind: updateAttemptStarted, attempt: a}
 		}
 		d.endpoints.callStarted(c.endpoint)
 		go d.endpoints.execute(c)
@@ -123,7 +123,7 @@
 	d.newEvents, d.newCalls, d.removed = d.newEvents[:0], d.newCalls[:0], d.removed[:0]
 }
 
-// Deliver implements port.Feed.
+// Deliver implements delivery.Feed.
 func (d *decisionLoop) Deliver(to delivery.Handler) {
 	d.mu.Lock()
 	inputs := d.pendingInput
@@ -138,7 +138,7 @@
 	}
 }
 
-// addEvent hands an event to the decision module, together with its sends before a restart, if any.
+// addEvent hands an event to the scheduler, together with its attempts before a restart, if any.
 func (d *decisionLoop) addEvent(e *event) {
 	d.enqueue(func(to delivery.Handler) {
 		if e.index, _ = d.eventIndex.Take(e); int(e.index) == len(d.ended) {
@@ -154,33 +154,33 @@
 	})
 }
 
-// reportPastAttempts reports the sends before a restart. One that was in flight when the process ended may have run.
+// reportPastAttempts reports the attempts before a restart. One that was in flight when the process ended may have run.
 func (d *decisionLoop) reportPastAttempts(e *event, to delivery.Handler) {
 	ranAgo, zone, mayRun := int64(0), 0, false
-	for _, s := range e.pastAttempts {
-		if !mayRun && s.MayHaveRun() {
-			mayRun, ranAgo, zone = true, max(0, d.clock.timeOfDay()-s.StartedAt), d.directory.zoneIndex(s.Zone)
+	for _, a := range e.pastAttempts {
+		if !mayRun && a.MayHaveRun() {
+			mayRun, ranAgo, zone = true, max(0, d.clock.timeOfDay()-a.StartedAt), d.directory.zoneIndex(a.Zone)
 		}
 	}
 	to.Resumed(e.index, len(e.pastAttempts), mayRun, ranAgo, zone)
 }
 
-// reportOutcome reports to the decision module how a send ended.
-func (d *decisionLoop) reportOutcome(e *event, s *attempt, r result) {
+// reportOutcome reports to the scheduler how an attempt ended.
+func (d *decisionLoop) reportOutcome(e *event, a *attempt, r result) {
 	ended := r.outcome == delivery.Acked || r.final
 	d.enqueue(func(to delivery.Handler) {
 		d.activeAttempts[e.index] = nil
 		d.ended[e.index] = d.ended[e.index] || ended
 		if r.confirmation != nil && !ended {
-			to.Unconfirmed(e.index, s.number)
+			to.Unconfirmed(e.index, a.number)
 		}
-		to.Outcome(e.index, s.number, s.endpoint, r.outcome, r.retryAfter, r.duration, ended, r.rateFree, r.rateLimit)
+		to.Outcome(e.index, a.number, a.endpoint, r.outcome, r.retryAfter, r.duration, ended, r.rateFree, r.rateLimit)
 	})
 }
 
-// reportConfirmed reports to the decision module that an unconfirmed response to a send did belong to it.
-func (d *decisionLoop) reportConfirmed(e *event, s *attempt) {
-	d.enqueue(func(to delivery.Handler) { to.Confirmed(e.index, s.number) })
+// reportConfirmed reports to the scheduler that an unconfirmed response to an attempt did belong to it.
+func (d *decisionLoop) reportConfirmed(e *event, a *attempt) {
+	d.enqueue(func(to delivery.Handler) { to.Confirmed(e.index, a.number) })
 }
 
 // fullRetryAfter returns the time after which a client may retry whose event was refused for lack of space. It returns 0
@@ -197,7 +197,7 @@
 }
 
 // registerEndpoint returns the index of an endpoint; fresh means that it was newly assigned. An endpoint that is listed again
-// just after the module removed it must keep its index, so its release is cancelled.
+// just after the scheduler removed it must keep its index, so its release is cancelled.
 func (d *decisionLoop) registerEndpoint(host string, partner int) (ep int32, fresh bool) {
 	ep, fresh = d.endpointIndex.Take(host)
 	if int(ep) == len(d.partnerOf) {
@@ -213,22 +213,22 @@
 	d.enqueue(func(delivery.Handler) { d.removed = append(d.removed, e.index) })
 }
 
-// Send implements port.Writer, as do the methods below. Sends of one round to the same endpoint share a call as long as
+// Send implements delivery.Executor, as do the methods below. Sends of one round to the same endpoint share a call as long as
 // their bodies fit into it.
 func (d *decisionLoop) Send(evt, ep int32, timeout int64) {
 	e := d.eventIndex.ID(evt)
-	s := &attempt{event: e, number: e.attemptCount, endpoint: ep, timeout: timeout, startedAt: d.clock.now()}
+	a := &attempt{event: e, number: e.attemptCount, endpoint: ep, timeout: timeout, startedAt: d.clock.now()}
 	e.attemptCount++
-	d.activeAttempts[evt] = s
-	maxSends := d.eventsPerCall[min(d.partnerOf[ep], len(d.eventsPerCall)-1)]
+	d.activeAttempts[evt] = a
+	maxAttempts := d.eventsPerCall[min(d.partnerOf[ep], len(d.eventsPerCall)-1)]
 	for _, c := range d.newCalls {
-		if c.endpoint == ep && len(c.attempts) < maxSends && c.bodySize+bulkSize(e) <= maxBodyBytes {
-			s.call, c.attempts, c.bodySize = c, append(c.attempts, s), c.bodySize+bulkSize(e)
+		if c.endpoint == ep && len(c.attempts) < maxAttempts && c.bodySize+bulkSize(e) <= maxBodyBytes {
+			a.call, c.attempts, c.bodySize = c, append(c.attempts, a), c.bodySize+bulkSize(e)
 			return
 		}
 	}
-	s.call = &call{pool: d.endpoints, endpoint: ep, attempts: []*attempt{s}, bodySize: bulkSize(e)}
-	d.newCalls = append(d.newCalls, s.call)
+	a.call = &call{pool: d.endpoints, endpoint: ep, attempts: []*attempt{a}, bodySize: bulkSize(e)}
+	d.newCalls = append(d.newCalls, a.call)
 }
 
 func (d *decisionLoop) Decline(evt int32, retryAfter int64) {
@@ -246,14 +246,14 @@
 }
 
 func (d *decisionLoop) Cancel(evt int32, number int) {
-	if s := d.activeAttempts[evt]; s != nil && s.number == number {
-		s.call.abandon(delivery.Cancelled)
+	if a := d.activeAttempts[evt]; a != nil && a.number == number {
+		a.call.abandon(delivery.Cancelled)
 	}
 }
 
 func (d *decisionLoop) CancelUnsent(evt int32, number int) {
-	if s := d.activeAttempts[evt]; s != nil && s.number == number {
-		s.call.recall(s)
+	if a := d.activeAttempts[evt]; a != nil && a.number == number {
+		a.call.recall(a)
 	}
 }
 
@@ -263,7 +263,7 @@
 func (d *decisionLoop) Forget(ep int32)          { d.forgotten = append(d.forgotten, ep) }
 func (d *decisionLoop) AnnounceHealthy(ep int32) { d.peers.sendGood(d.endpointIndex.ID(ep)) }
 
-// Probe only logs: the decision module never requests a probe, and the protocol has no call for one.
+// Probe only logs: the scheduler never requests a probe, and the protocol has no call for one.
 func (d *decisionLoop) Probe(ep int32) {
 	logs.Part("node").WithField("endpoint", d.endpointIndex.ID(ep)).
 		Warn("probe requested, but the protocol does not support probes")
--- a/node/event.go
+++ b/node/event.go
@@ -15,15 +15,15 @@
 	typ, customer      int
 	safety             delivery.Safety
 	dest               uint32
-	monoDeadline       int64 // on the monotonic clock that the decision module uses
+	monoDeadline       int64 // on the monotonic clock that the scheduler uses
 	wallDeadline       int64 // the same deadline as time of day, which stays valid after a restart
 	body               []byte
 	updates            chan eventUpdate    // read by its eventTask
 	response           chan clientResponse // read by its client's handler; nil for an event restored after a restart
 	index              int32               // owned by the decision loop
-	pastAttempts       []store.Attempt     // sends before a restart, in order
+	pastAttempts       []store.Attempt     // attempts before a restart, in order
 	arrivalSeq         uint64              // distinguishes it in the journal from other events with the same id
-	attemptCount       int                 // sends so far; owned by the decision loop
+	attemptCount       int                 // attempts so far; owned by the decision loop
 	request            *lifecycle.Request
 	verdict            verdict // set if its end was decided before a restart
 	retryAfter         int64
@@ -31,7 +31,7 @@
 
 // mayHaveRun reports whether an attempt before a restart may have taken effect.
 func (e *event) mayHaveRun() bool {
-	return slices.ContainsFunc(e.pastAttempts, func(s store.Attempt) bool { return s.MayHaveRun() })
+	return slices.ContainsFunc(e.pastAttempts, func(a store.Attempt) bool { return a.MayHaveRun() })
 }
 
 // clientResponse is what a client receives: a status, and the time after which to retry, 0 for none.
@@ -40,7 +40,7 @@
 	retryAfter int64
 }
 
-// verdict tells how an event that is not delivered ends.
+// verdict tells how an event ends that is not delivered.
 type verdict uint8
 
 const (
@@ -60,8 +60,8 @@
 type updateKind uint8
 
 const (
-	updateKept           updateKind = iota // the decision module keeps the event for now
-	updateAttemptStarted                   // the decision module chose an endpoint
+	updateKept           updateKind = iota // the scheduler keeps the event for now
+	updateAttemptStarted                   // the scheduler chose an endpoint
 	updateAttemptEnded
 	updateDecline
 	updateDiscard
@@ -69,14 +69,15 @@
 	updateRefusalConfirmed
 )
 
-// updateBuffer is the capacity of an event's updates channel: each send produces two updates, and an event has few sends.
+// updateBuffer is the capacity of an event's updates channel: each attempt produces two updates, and an event has
+// few attempts.
 const updateBuffer = 64
 
-// result describes how a send ended.
+// result describes how an attempt ended.
 type result struct {
 	outcome              delivery.Outcome
 	retryAfter, duration int64
-	final                bool    // the endpoint states that the event needs no further send
+	final                bool    // the endpoint states that the event needs no further attempt
 	rateFree, rateLimit  float64 // rate limit in the response: calls per second, and the free share of it
 
 	confirmation *confirmation // set if the response may belong to another call and acting on it would then do harm
--- a/node/eventtask.go
+++ b/node/eventtask.go
@@ -23,7 +23,7 @@
 const (
 	refusedJournalFull = "full"     // the journal has no space for it
 	refusedWriteFailed = "disk"     // writing it to the journal failed
-	refusedByPolicy    = "policy"   // the decision module declined it
+	refusedByPolicy    = "policy"   // the scheduler declined it
 	refusedAtCapacity  = "no_room"  // the node has its maximum number of events
 	refusedUnlisted    = "unlisted" // the directory has never listed its destination
 )
@@ -36,7 +36,7 @@
 	}
 }
 
-// eventTask processes one event from its arrival to its end. The decision module makes every choice, through the decision
+// eventTask processes one event from its arrival to its end. The scheduler makes every choice, through the decision
 // loop; the event's lifecycle.Request decides which state transitions are allowed.
 type eventTask struct {
 	node *Node
@@ -84,7 +84,7 @@
 	}
 	t.node.activeEvents.Add(-1)
 	switch {
-	case errors.Is(err, errAlreadyPending), errors.Is(err, errAlreadyCompleted): // it was already accepted before a restart
+	case errors.Is(err, errAlreadyPending), errors.Is(err, errAlreadyCompleted): // it was accepted before a restart
 		t.respond(statusAccepted, 0)
 		return false
 	case errors.Is(err, errFull):
@@ -177,23 +177,23 @@
 // handleOutcome handles the end of an attempt. If its response may belong to another call, it does only what is safe either
 // way: after a delivery no attempt follows, and the notice that the event may need is held back until the response is
 // confirmed or not; a refusal is not recorded, so that after a restart, too, the attempt counts as one that may have run.
-func (t *eventTask) handleOutcome(s *attempt, r result) {
+func (t *eventTask) handleOutcome(a *attempt, r result) {
 	ended := r.outcome == delivery.Acked || r.final
 	switch {
 	case ended && r.confirmation != nil:
 		t.completeProvisionally(r.confirmation)
 	case ended:
-		t.node.journal.recordOutcome(t.event, s.number, r.outcome)
+		t.node.journal.recordOutcome(t.event, a.number, r.outcome)
 		t.complete()
 	case r.confirmation != nil:
 		event := t.event
 		r.confirmation.whenSettled(func(confirmed bool) {
 			if confirmed {
-				event.updates <- eventUpdate{kind: updateRefusalConfirmed, attempt: s, result: result{outcome: r.outcome}}
+				event.updates <- eventUpdate{kind: updateRefusalConfirmed, attempt: a, result: result{outcome: r.outcome}}
 			}
 		})
 	default:
-		t.node.journal.recordOutcome(t.event, s.number, r.outcome)
+		t.node.journal.recordOutcome(t.event, a.number, r.outcome)
 	}
 }
 
@@ -213,8 +213,8 @@
 	c.whenSettled(end.settle)
 }
 
-// complete ends an event that the endpoint has delivered or declared final. The outcome of an attempt that arrives after
-// the end of the event has no effect.
+// complete ends an event after a response that says that it was delivered or needs no further attempt. The outcome of an
+// attempt that arrives after the end of the event has no effect.
 func (t *eventTask) complete() {
 	if t.released {
 		return
@@ -235,15 +235,15 @@
 
 // endUndelivered ends an event that is not delivered. A refusal is reported to the client if it still waits, any other end
 // to the platform. Either is reported only once a restart would no longer send the event.
-func (t *eventTask) endUndelivered(r verdict, retryAfter int64) {
+func (t *eventTask) endUndelivered(v verdict, retryAfter int64) {
 	t.release()
 	if !t.request.DecideEnd() {
 		return
 	}
-	t.verdict, t.retryAfter = r, retryAfter
+	t.verdict, t.retryAfter = v, retryAfter
 	t.endUnreported = true
 	t.node.unreportedEnds.Add(1)
-	if t.clientWaiting && r == declined {
+	if t.clientWaiting && v == declined {
 		t.pending = pendingEnd{record: t.node.journal.complete(t.event), toClient: true, clientTimeout: time.After(refusalRecordTimeout)}
 	} else {
 		t.respond(statusAccepted, 0)
--- a/node/node.go
+++ b/node/node.go
@@ -1,5 +1,5 @@
-// Package node implements the delivery node over network sockets: it executes the decisions of the decision module. Each
-// file has one responsibility: the task that runs for each event, the loop that owns the decision module, the journal, and
+// Package node implements the delivery node over network sockets: it executes the decisions of the scheduler. Each
+// file has one responsibility: the task that runs for each event, the loop that owns the scheduler, the journal, and
 // one for each kind of remote party.
 package node
 
@@ -77,22 +77,22 @@
 }
 
 // Open opens the journal and the sockets of a node. Run starts it.
-func Open(config Config, limits Limits, timeouts ClientTimeouts, s start.Start, module delivery.Scheduler) (*Node, error) {
+func Open(config Config, limits Limits, timeouts ClientTimeouts, settings start.Start, scheduler delivery.Scheduler) (*Node, error) {
 	if config.timeSource == nil {
 		m := systemTimeSource()
 		config.timeSource = &m
 	}
 	c := newClock(config.StateFolder, *config.timeSource)
-	n := &Node{clock: c, maxEvents: int64(s.Room.MaxEvents), types: s.Types, typeNames: s.TypeNames,
-		customerNames: s.CustomerNames}
+	n := &Node{clock: c, maxEvents: int64(settings.Room.MaxEvents), types: settings.Types, typeNames: settings.TypeNames,
+		customerNames: settings.CustomerNames}
 	n.SetDrainTimes(drainCloseIdle, drainStopDeciding, drainExit)
 	n.setPhase(Starting)
 	var err error
 	if config.disk == nil {
 		config.disk = store.Dir(config.StateFolder)
 	}
-	if n.journal, n.restored, err = openJournal(config.StateFolder, config.disk, c.timeOfDay, limits.DiskMB, s.Room.MaxAttempts,
-		n.resolveNames); err != nil {
+	if n.journal, n.restored, err = openJournal(config.StateFolder, config.disk, c.timeOfDay, limits.DiskMB,
+		settings.Room.MaxAttempts, n.resolveNames); err != nil {
 		return nil, err
 	}
 	sockets := limits.Sockets
@@ -103,18 +103,19 @@
 	sockets = max(minSockets, sockets-reservedSockets)
 	idleEndpoints := sockets / endpointIdleDivisor
 	var eventsPerCall []int
-	for _, p := range s.Partners {
+	for _, p := range settings.Partners {
 		eventsPerCall = append(eventsPerCall, p.MaxEventsPerCall)
 	}
-	n.decisions = newDecisionLoop(c, module, s.Tick, append(eventsPerCall, 1))
-	n.endpoints = &endpointPool{clock: c, journal: n.journal, dial: newDialer(s.ConnectWithin),
-		idleTimeout: s.IdleFor, maxIdle: idleEndpoints}
+	n.decisions = newDecisionLoop(c, scheduler, settings.Tick, append(eventsPerCall, 1))
+	n.endpoints = &endpointPool{clock: c, journal: n.journal, dial: newDialer(settings.ConnectWithin),
+		idleTimeout: settings.IdleFor, maxIdle: idleEndpoints}
 	n.directory = &directory{address: config.Directory, openWatches: make(map[*watch]struct{}),
 		knownDests: make(map[uint32]struct{}), desk: n.decisions, endpoints: n.endpoints,
-		partnerNames: s.PartnerNames, zoneNames: s.ZoneNames, useRates: s.Rated,
+		partnerNames: settings.PartnerNames, zoneNames: settings.ZoneNames, useRates: settings.Rated,
 		watchErrors: failureLog{part: "directory", operation: "watching the directory"}}
 	n.notices = newNoticeSender(config.Directory)
-	if n.peers, err = newPeerMessenger(config.PeerListen, config.PeersAll, config.Peers, s.Fleet.Self, n.decisions, c.timeOfDay()); err != nil {
+	if n.peers, err = newPeerMessenger(config.PeerListen, config.PeersAll, config.Peers, settings.Fleet.Self, n.decisions,
+		c.timeOfDay()); err != nil {
 		n.journal.close()
 		return nil, err
 	}
@@ -126,7 +127,8 @@
 		}
 	}
 	if err == nil {
-		n.clients, err = newClientServer(n, config.Listen, timeouts, max(minClients, sockets-idleEndpoints-s.Room.MaxConcurrentCalls), idleClients)
+		n.clients, err = newClientServer(n, config.Listen, timeouts,
+			max(minClients, sockets-idleEndpoints-settings.Room.MaxConcurrentCalls), idleClients)
 	}
 	if err != nil {
 		n.peers.close()
--- a/node/phases.go
+++ b/node/phases.go
@@ -14,7 +14,7 @@
 
 const (
 	Starting  Phase = iota // opening its journal and its sockets
-	Restoring              // handing unfinished events of the previous process to the decision module
+	Restoring              // handing unfinished events of the previous process to the scheduler
 	Serving
 	Draining // shutting down: finishing what it can, and still responding to requests
 	Stopped
@@ -27,7 +27,7 @@
 // The platform kills the process 3.7 s after SIGTERM, and routes new connections to it during the first 0.4 s.
 const (
 	drainCloseIdle    = 600 * time.Millisecond  // when to close idle connections, so that their clients reconnect elsewhere
-	drainStopDeciding = 2000 * time.Millisecond // when to stop deciding and accepting events: sends in flight have time to end
+	drainStopDeciding = 2000 * time.Millisecond // when to stop deciding and accepting events: attempts in flight have time to end
 	drainExit         = 3400 * time.Millisecond // when to exit, even with work in flight
 	drainWriteGrace   = 150 * time.Millisecond  // extra time while responses are unwritten: writing one takes almost no time
 	drainPollInterval = 10 * time.Millisecond
