--- a/node/clients.go
+++ b/node/clients.go
@@ -45,7 +45,7 @@
 	listener *listener
 	answer   func(*fasthttp.RequestCtx) // a request that could be read
 	bad      tally
-	received received
+	received recentRequests
 }
 
 // Buffers are only held while a request is read and answered: most connections rest most of the time.
@@ -224,11 +224,11 @@
 		c.turnAway(ctx, status, problem)
 		return
 	}
-	request, first := c.received.first(e.id)
+	request, first := c.received.add(e.id)
 	if first {
-		c.received.answer(request, c.takeOn(ctx, e))
+		c.received.complete(request, c.takeOn(ctx, e))
 	}
-	<-request.answered
+	<-request.done
 	c.reply(ctx, request.answer)
 }
 
--- a/node/clock_test.go
+++ b/node/clock_test.go
@@ -60,11 +60,11 @@
 		stepped := thisMachine()
 		stepped.wall = func() int64 { return wall() + int64(step) }
 		again.machine = &stepped
-		at := again.endpoint(1, say(answerOf("200 OK", "", "")))
+		at := again.endpoint(1, respond(httpResponse("200 OK", "", "")))
 		began := time.Now()
 		again.run()
 		again.until("nothing is owed", again.journal.empty)
-		if calls, _ := at.calls(); calls != 1 {
+		if calls, _ := at.counts(); calls != 1 {
 			t.Errorf("step of %v: %d calls", step, calls)
 		}
 		if took := time.Since(began); took > 1800*time.Millisecond || len(again.noticed()) != 1 {
--- a/node/desk.go
+++ b/node/desk.go
@@ -17,7 +17,7 @@
 	module    port.Decider
 	tick      int64 // least time between rounds
 	perCall   []int // events in one call, by partner
-	endpoints *endpoints
+	endpoints *endpointPool
 	directory *directory
 	peers     *peers
 
@@ -28,7 +28,7 @@
 	done chan struct{}
 
 	evts    door.Table[*event]
-	current []*send // the send that is out, by event
+	current []*attempt // the send that is out, by event
 	dests   door.Table[uint32]
 	eps     door.Table[string]
 	partner []int   // by endpoint
@@ -101,14 +101,14 @@
 		}
 	}
 	for _, c := range d.calls {
-		for _, s := range c.sends {
+		for _, s := range c.attempts {
 			s.event.steps <- step{what: stepBegun, send: s}
 		}
-		d.endpoints.callBegins(c.endpoint)
-		go d.endpoints.carry(c)
+		d.endpoints.callStarted(c.endpoint)
+		go d.endpoints.execute(c)
 	}
 	d.left = slices.DeleteFunc(d.left, func(ep int32) bool {
-		free := d.endpoints.free(ep)
+		free := d.endpoints.release(ep)
 		if free {
 			d.eps.Release(ep)
 		}
@@ -164,7 +164,7 @@
 }
 
 // tell hands in how a send ended.
-func (d *desk) tell(e *event, s *send, r result) {
+func (d *desk) tell(e *event, s *attempt, r result) {
 	over := r.how == port.Acked || r.over
 	d.hear(func(to port.Intake) {
 		d.current[e.index] = nil
@@ -177,7 +177,7 @@
 }
 
 // confirm tells that the answer to a send, which might have been another call's, was its own.
-func (d *desk) confirm(e *event, s *send) {
+func (d *desk) confirm(e *event, s *attempt) {
 	d.hear(func(to port.Intake) { to.Confirmed(e.index, s.number) })
 }
 
@@ -214,17 +214,17 @@
 // their bodies fit into one.
 func (d *desk) Send(evt, ep int32, timeout int64) {
 	e := d.evts.ID(evt)
-	s := &send{event: e, number: e.sends, endpoint: ep, timeout: timeout, began: d.clock.now()}
+	s := &attempt{event: e, number: e.sends, endpoint: ep, timeout: timeout, startedAt: d.clock.now()}
 	e.sends++
 	d.current[evt] = s
 	most := d.perCall[min(d.partner[ep], len(d.perCall)-1)]
 	for _, c := range d.calls {
-		if c.endpoint == ep && len(c.sends) < most && c.size+bulkSize(e) <= mostBody {
-			s.call, c.sends, c.size = c, append(c.sends, s), c.size+bulkSize(e)
+		if c.endpoint == ep && len(c.attempts) < most && c.bodySize+bulkSize(e) <= mostBody {
+			s.call, c.attempts, c.bodySize = c, append(c.attempts, s), c.bodySize+bulkSize(e)
 			return
 		}
 	}
-	s.call = &call{of: d.endpoints, endpoint: ep, sends: []*send{s}, size: bulkSize(e)}
+	s.call = &call{pool: d.endpoints, endpoint: ep, attempts: []*attempt{s}, bodySize: bulkSize(e)}
 	d.calls = append(d.calls, s.call)
 }
 
@@ -243,7 +243,7 @@
 
 func (d *desk) Cancel(evt int32, number int) {
 	if s := d.current[evt]; s != nil && s.number == number {
-		s.call.giveUp(port.Cancelled)
+		s.call.abandon(port.Cancelled)
 	}
 }
 
--- a/node/directory.go
+++ b/node/directory.go
@@ -42,7 +42,7 @@
 	address   string
 	silence   atomic.Int64 // ns; without a sign for so long, a call is broken
 	desk      *desk
-	endpoints *endpoints
+	endpoints *endpointPool
 	partners  []string
 	zones     []string
 	rated     bool
@@ -292,10 +292,10 @@
 		for _, e := range list {
 			ep, fresh := d.desk.listed(e.host, e.partner)
 			if e.dial != "" || fresh {
-				d.endpoints.listed(ep, e.host, e.site, e.dial)
+				d.endpoints.updateEndpoint(ep, e.host, e.site, e.dial)
 			}
 			if e.state == port.Gone { // danger: what answers there from now on may be another
-				d.endpoints.listed(ep, e.host, e.site, "")
+				d.endpoints.updateEndpoint(ep, e.host, e.site, "")
 			}
 			dest, _ := d.desk.dests.Take(e.dest)
 			to.Listed(ep, dest, e.partner, d.zone(e.site), e.state, e.rate)
--- a/node/event.go
+++ b/node/event.go
@@ -52,9 +52,9 @@
 // step is one thing that happens to an event.
 type step struct {
 	what     stepKind
-	send     *send  // begun, outcome
-	result   result // outcome
-	comeBack int64  // decline
+	send     *attempt // begun, outcome
+	result   result   // outcome
+	comeBack int64    // decline
 }
 
 type stepKind uint8
--- a/node/failing_test.go
+++ b/node/failing_test.go
@@ -82,7 +82,7 @@
 		answer := make(chan bool)
 		at := w.endpoint(1, func(conn net.Conn, body string) bool {
 			<-answer
-			return say(answerOf("500 Error", "", ""))(conn, body)
+			return respond(httpResponse("500 Error", "", ""))(conn, body)
 		})
 		w.run()
 		sent := time.Now()
@@ -90,7 +90,7 @@
 		if status, _ := w.dial().hand(request("x", "charge", "1", left.Milliseconds(), "")); status != statusTaken {
 			t.Fatal(status)
 		}
-		w.until("it is out", func() bool { calls, _ := at.calls(); return calls == 1 })
+		w.until("it is out", func() bool { calls, _ := at.counts(); return calls == 1 })
 		disk.failing.Store(true)
 		answer <- true
 		time.Sleep(200 * time.Millisecond)
@@ -148,16 +148,16 @@
 	w := newWorld(t)
 	disk := &faultyDisk{Dir: store.Dir(w.folder)}
 	w.disk = disk
-	at := w.endpoint(1, say(answerOf("200 OK", "", "")))
+	at := w.endpoint(1, respond(httpResponse("200 OK", "", "")))
 	w.run()
 	c := w.dial()
 	c.hand(request("first", "charge", "1", 8000, ""))
-	w.until("a connection is kept", func() bool { calls, _ := at.calls(); return calls == 1 })
+	w.until("a connection is kept", func() bool { calls, _ := at.counts(); return calls == 1 })
 	disk.slow.Store(int64(400 * time.Millisecond))
 	c.hand(request("second", "charge", "1", 600, ""))
 	disk.slow.Store(int64(600 * time.Millisecond))
 	w.until("it has its end", w.journal.empty)
-	if calls, _ := at.calls(); calls != 1 {
+	if calls, _ := at.counts(); calls != 1 {
 		t.Errorf("%d calls: the second one goes out after its deadline", calls)
 	}
 }
@@ -171,30 +171,30 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(j.close)
-	at := newPeer(t, say(answerOf("200 OK", "", "")))
+	at := newTestEndpoint(t, respond(httpResponse("200 OK", "", "")))
 	for name, callOff := range map[string]func(*call){
-		"given up": func(c *call) { c.giveUp(port.Cancelled) },
-		"recalled": func(c *call) { c.recall(c.sends[0]) },
+		"given up": func(c *call) { c.abandon(port.Cancelled) },
+		"recalled": func(c *call) { c.recall(c.attempts[0]) },
 	} {
-		p := newEndpoints(t, at.Addr().String())
+		p := newTestPool(t, at.Addr().String())
 		p.journal = j
-		c := &call{of: p}
-		s := newSend(t, c, name, 10*time.Second)
-		c.sends = []*send{s}
+		c := &call{pool: p}
+		s := newTestAttempt(t, c, name, 10*time.Second)
+		c.attempts = []*attempt{s}
 		disk.slow.Store(int64(time.Second))
-		go p.carry(c)
+		go p.execute(c)
 		time.Sleep(200 * time.Millisecond) // it is being written
 		began := time.Now()
 		callOff(c)
 		if took := time.Since(began); took > 100*time.Millisecond {
 			t.Errorf("%s: it took %v", name, took)
 		}
-		if r := ending(t, s); r.how != port.Unsent {
+		if r := awaitResult(t, s); r.how != port.Unsent {
 			t.Errorf("%s: ended as %v", name, r.how)
 		}
 		disk.slow.Store(0)
 	}
-	if calls, _ := at.calls(); calls > 0 {
+	if calls, _ := at.counts(); calls > 0 {
 		t.Errorf("%d calls went out", calls)
 	}
 }
@@ -278,7 +278,7 @@
 	for _, errno := range []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR, syscall.ETIMEDOUT,
 		syscall.EHOSTUNREACH} {
 		w := newWorld(t)
-		w.endpoint(1, say(answerOf("200 OK", "", "")))
+		w.endpoint(1, respond(httpResponse("200 OK", "", "")))
 		w.prepare = func(n *Node) {
 			n.clients.listener.Listener = &faultyListener{Listener: n.clients.listener.Listener,
 				wrap: func(c *net.TCPConn) net.Conn { return &faultyConn{TCPConn: c, errno: errno, reads: 5, writes: 5} }}
@@ -296,8 +296,8 @@
 // Guards against attempts that count as failed by their endpoint because a call here failed for a moment.
 func TestAnAttemptOutlastsCallsThatFailForAMoment(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL, syscall.EINTR} {
-		at := newPeer(t, say(answerOf("200 OK", "", "")))
-		p := newEndpoints(t, at.Addr().String())
+		at := newTestEndpoint(t, respond(httpResponse("200 OK", "", "")))
+		p := newTestPool(t, at.Addr().String())
 		usual, fails := p.dial, 3
 		p.dial = func(ctx context.Context, address string) (net.Conn, error) {
 			if fails--; fails >= 0 {
@@ -309,10 +309,10 @@
 			}
 			return &faultyConn{TCPConn: conn.(*net.TCPConn), errno: errno, reads: 3, writes: 3}, nil
 		}
-		if ends, _ := deliver(t, p, 5*time.Second); ends[0].how != port.Acked {
+		if ends, _ := executeCall(t, p, 5*time.Second); ends[0].how != port.Acked {
 			t.Errorf("%v: ended as %v", errno, ends[0].how)
 		}
-		if calls, _ := at.calls(); calls != 1 {
+		if calls, _ := at.counts(); calls != 1 {
 			t.Errorf("%v: %d calls", errno, calls)
 		}
 	}
@@ -320,11 +320,11 @@
 
 // Guards against an endpoint that counts as silent because this machine could not connect anywhere.
 func TestALocalFailureIsNotChargedToTheEndpoint(t *testing.T) {
-	p := newEndpoints(t, "127.0.0.1:9")
+	p := newTestPool(t, "127.0.0.1:9")
 	p.dial = func(context.Context, string) (net.Conn, error) {
 		return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", syscall.ENFILE)}
 	}
-	if ends, _ := deliver(t, p, 300*time.Millisecond); ends[0].how != port.Unsent {
+	if ends, _ := executeCall(t, p, 300*time.Millisecond); ends[0].how != port.Unsent {
 		t.Errorf("ended as %v", ends[0].how)
 	}
 }
@@ -334,7 +334,7 @@
 func TestAnAcceptThatFailsClosesNoConnection(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.EPROTO, syscall.ENETDOWN} {
 		w := newWorld(t)
-		w.endpoint(1, say(answerOf("200 OK", "", "")))
+		w.endpoint(1, respond(httpResponse("200 OK", "", "")))
 		var l *faultyListener
 		w.prepare = func(n *Node) {
 			l = &faultyListener{Listener: n.clients.listener.Listener, errno: errno}
@@ -366,7 +366,7 @@
 // Guards against a request that is read from a connection which can carry no answer any more.
 func TestNothingIsReadBehindTheEndOfAConnection(t *testing.T) {
 	w := newWorld(t)
-	w.endpoint(1, say(answerOf("200 OK", "", "")))
+	w.endpoint(1, respond(httpResponse("200 OK", "", "")))
 	conns := make(chan *faultyConn, 10)
 	w.prepare = func(n *Node) {
 		n.clients.listener.Listener = &faultyListener{Listener: n.clients.listener.Listener,
@@ -400,7 +400,7 @@
 // Guards against a request that is forwarded after its deadline, since reading it had failed for a while.
 func TestADeadlineCountsFromWhenTheRequestCame(t *testing.T) {
 	w := newWorld(t)
-	at := w.endpoint(1, say(answerOf("200 OK", "", "")))
+	at := w.endpoint(1, respond(httpResponse("200 OK", "", "")))
 	w.prepare = func(n *Node) {
 		n.clients.listener.Listener = &faultyListener{Listener: n.clients.listener.Listener,
 			wrap: func(c *net.TCPConn) net.Conn { return &faultyConn{TCPConn: c, errno: syscall.ENOBUFS, reads: 30} }}
@@ -408,7 +408,7 @@
 	w.run()
 	w.dial().hand(request("late", "charge", "1", 250, "")) // 30 failures take 0.5 s
 	w.until("it has its end", w.journal.empty)
-	if calls, _ := at.calls(); calls > 0 {
+	if calls, _ := at.counts(); calls > 0 {
 		t.Errorf("%d calls after the deadline", calls)
 	}
 }
@@ -431,12 +431,12 @@
 // Guards against an attempt that goes out late, after a wait, its window or its deadline, because writing it failed.
 func TestAnAttemptThatCannotBeWrittenIsStillRecalled(t *testing.T) {
 	for name, callOff := range map[string]func(*call){
-		"given up": func(c *call) { c.giveUp(port.TimedOut) },
-		"recalled": func(c *call) { c.recall(c.sends[0]) },
+		"given up": func(c *call) { c.abandon(port.TimedOut) },
+		"recalled": func(c *call) { c.recall(c.attempts[0]) },
 		"late":     func(c *call) {},
 	} {
-		at := newPeer(t, say(answerOf("200 OK", "", "")))
-		p := newEndpoints(t, at.Addr().String())
+		at := newTestEndpoint(t, respond(httpResponse("200 OK", "", "")))
+		p := newTestPool(t, at.Addr().String())
 		usual := p.dial
 		p.dial = func(ctx context.Context, address string) (net.Conn, error) {
 			conn, err := usual(ctx, address)
@@ -445,20 +445,20 @@
 			}
 			return &faultyConn{TCPConn: conn.(*net.TCPConn), errno: syscall.ENOBUFS, writes: 20, none: true}, nil
 		}
-		c := &call{of: p}
-		s := newSend(t, c, name, 10*time.Second)
+		c := &call{pool: p}
+		s := newTestAttempt(t, c, name, 10*time.Second)
 		if name == "late" {
 			s.event.request = lifecycle.RestoredRequest(name, p.clock.now()+int64(200*time.Millisecond), true, false)
 		}
-		c.sends = []*send{s}
-		go p.carry(c)
+		c.attempts = []*attempt{s}
+		go p.execute(c)
 		time.Sleep(50 * time.Millisecond)
 		callOff(c)
-		if r := ending(t, s); r.how != port.Unsent {
+		if r := awaitResult(t, s); r.how != port.Unsent {
 			t.Errorf("%s: ended as %v", name, r.how)
 		}
 		time.Sleep(400 * time.Millisecond) // 20 failures take 0.3 s
-		if calls, _ := at.calls(); calls > 0 {
+		if calls, _ := at.counts(); calls > 0 {
 			t.Errorf("%s: %d calls went out", name, calls)
 		}
 	}
@@ -467,11 +467,11 @@
 // Guards against an attempt that was recalled, and told to be unsent, and goes out in the bytes of a call of several.
 func TestACallThatIsHeldUpGoesOutWithoutWhatWasRecalled(t *testing.T) {
 	bodies := make(chan string, 10)
-	at := newPeer(t, func(conn net.Conn, body string) bool {
+	at := newTestEndpoint(t, func(conn net.Conn, body string) bool {
 		bodies <- body
-		return say(answerOf("200 OK", "", "kept done\r\n"))(conn, body)
+		return respond(httpResponse("200 OK", "", "kept done\r\n"))(conn, body)
 	})
-	p := newEndpoints(t, at.Addr().String())
+	p := newTestPool(t, at.Addr().String())
 	usual := p.dial
 	p.dial = func(ctx context.Context, address string) (net.Conn, error) {
 		conn, err := usual(ctx, address)
@@ -480,17 +480,17 @@
 		}
 		return &faultyConn{TCPConn: conn.(*net.TCPConn), errno: syscall.EHOSTUNREACH, writes: 20, none: true}, nil
 	}
-	c := &call{of: p}
-	kept, recalled := newSend(t, c, "kept", long), newSend(t, c, "recalled", long)
+	c := &call{pool: p}
+	kept, recalled := newTestAttempt(t, c, "kept", testTimeout), newTestAttempt(t, c, "recalled", testTimeout)
 	kept.event.body, recalled.event.body = []byte("of the one"), []byte("of the other")
-	c.sends = []*send{recalled, kept}
-	go p.carry(c)
+	c.attempts = []*attempt{recalled, kept}
+	go p.execute(c)
 	time.Sleep(50 * time.Millisecond) // its first byte cannot be written
 	c.recall(recalled)
-	if r := ending(t, recalled); r.how != port.Unsent {
+	if r := awaitResult(t, recalled); r.how != port.Unsent {
 		t.Errorf("recalled: %+v", r)
 	}
-	if r := ending(t, kept); r.how != port.Acked {
+	if r := awaitResult(t, kept); r.how != port.Acked {
 		t.Errorf("the other: %+v", r)
 	}
 	if body := <-bodies; strings.Contains(body, "of the other") || !strings.Contains(body, "of the one") {
@@ -500,8 +500,8 @@
 
 // Guards against an attempt that goes out while the answer which told to wait cannot be read.
 func TestNothingIsSentWhileAnAnswerCannotBeRead(t *testing.T) {
-	at := newPeer(t, say(answerOf("200 OK", "", "")))
-	p := newEndpoints(t, at.Addr().String())
+	at := newTestEndpoint(t, respond(httpResponse("200 OK", "", "")))
+	p := newTestPool(t, at.Addr().String())
 	usual := p.dial
 	p.dial = func(ctx context.Context, address string) (net.Conn, error) {
 		conn, err := usual(ctx, address)
@@ -510,25 +510,25 @@
 		}
 		return &faultyConn{TCPConn: conn.(*net.TCPConn), errno: syscall.ENOBUFS, reads: 30}, nil
 	}
-	first := &call{of: p}
-	first.sends = []*send{newSend(t, first, "first", 10*time.Second)}
-	second := &call{of: p}
-	second.sends = []*send{newSend(t, second, "second", 10*time.Second)}
-	recalled := second.sends[0]
-	go p.carry(first)
-	for end := time.Now().Add(long); !p.stalled(0) && time.Now().Before(end); {
+	first := &call{pool: p}
+	first.attempts = []*attempt{newTestAttempt(t, first, "first", 10*time.Second)}
+	second := &call{pool: p}
+	second.attempts = []*attempt{newTestAttempt(t, second, "second", 10*time.Second)}
+	recalled := second.attempts[0]
+	go p.execute(first)
+	for end := time.Now().Add(testTimeout); !p.stalled(0) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	go p.carry(second)
+	go p.execute(second)
 	time.Sleep(100 * time.Millisecond)
-	if calls, _ := at.calls(); calls != 1 {
+	if calls, _ := at.counts(); calls != 1 {
 		t.Errorf("%d calls while the first answer cannot be read", calls)
 	}
 	second.recall(recalled)
-	if r := ending(t, recalled); r.how != port.Unsent {
+	if r := awaitResult(t, recalled); r.how != port.Unsent {
 		t.Errorf("recalled: ended as %v", r.how)
 	}
-	if r := ending(t, first.sends[0]); r.how != port.Acked {
+	if r := awaitResult(t, first.attempts[0]); r.how != port.Acked {
 		t.Errorf("the first ended as %v", r.how)
 	}
 }
@@ -536,7 +536,7 @@
 // Guards against a request that is forwarded after its deadline, since it stood before a node whose places were taken.
 func TestADeadlineCountsWhileThereIsNoRoomForAConnection(t *testing.T) {
 	w := newWorld(t)
-	at := w.endpoint(1, say(answerOf("200 OK", "", "")))
+	at := w.endpoint(1, respond(httpResponse("200 OK", "", "")))
 	w.prepare = func(n *Node) {
 		n.clients.listener.most = 2
 	}
@@ -559,7 +559,7 @@
 		c.Close()
 	}
 	w.until("all have their ends", w.journal.empty)
-	if calls, _ := at.calls(); calls > 0 {
+	if calls, _ := at.counts(); calls > 0 {
 		t.Errorf("%d calls after the deadline", calls)
 	}
 }
@@ -567,7 +567,7 @@
 // Guards against a connection that is closed over its request as soon as it has found room.
 func TestAConnectionThatWaitedForRoomIsServed(t *testing.T) {
 	w := newWorld(t)
-	w.endpoint(1, say(answerOf("200 OK", "", "")))
+	w.endpoint(1, respond(httpResponse("200 OK", "", "")))
 	w.prepare = func(n *Node) {
 		n.clients.listener.most = 2
 	}
@@ -592,22 +592,22 @@
 
 // Guards against a request that is repeated after its delivery, since its call timed out while the answer came.
 func TestAnAnswerThatComesAtTheTimeOutIsHeard(t *testing.T) {
-	at := newPeer(t, func(conn net.Conn, _ string) bool {
+	at := newTestEndpoint(t, func(conn net.Conn, _ string) bool {
 		time.Sleep(60 * time.Millisecond)
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-")
 		time.Sleep(100 * time.Millisecond)
 		io.WriteString(conn, "Length: 0\r\n\r\n")
 		return true
 	})
-	p := newEndpoints(t, at.Addr().String())
+	p := newTestPool(t, at.Addr().String())
 	ends := make(chan result, 1)
-	c := &call{of: p}
-	s := newSend(t, c, "x", 10*time.Second)
-	c.sends = []*send{s}
-	go func() { ends <- ending(t, s) }()
-	go p.carry(c)
+	c := &call{pool: p}
+	s := newTestAttempt(t, c, "x", 10*time.Second)
+	c.attempts = []*attempt{s}
+	go func() { ends <- awaitResult(t, s) }()
+	go p.execute(c)
 	time.Sleep(110 * time.Millisecond) // the answer has begun, and stands unread or is being read
-	c.giveUp(port.TimedOut)
+	c.abandon(port.TimedOut)
 	if r := <-ends; r.how != port.Acked {
 		t.Errorf("ended as %v", r.how)
 	}
@@ -615,21 +615,21 @@
 
 // Guards against an answer that was taken off its connection and not looked at yet, in the moment in which its call times out.
 func TestAnAnswerThatIsBeingReadAtTheTimeOutIsHeard(t *testing.T) {
-	at := newPeer(t, say(answerOf("200 OK", "", "")))
-	p := newEndpoints(t, at.Addr().String())
+	at := newTestEndpoint(t, respond(httpResponse("200 OK", "", "")))
+	p := newTestPool(t, at.Addr().String())
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	conn := (&call{of: p, sends: nil}).connect(ctx, at.Addr().String())
+	conn := (&call{pool: p, attempts: nil}).connect(ctx, at.Addr().String())
 	conn.expect()
 	if conn.answerBegun() {
 		t.Error("an answer before its call")
 	}
 	io.WriteString(conn, "POST /inbox HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
-	if _, err := conn.in.buf.Peek(1); err != nil { // all of it is in the buffer, and nobody was told
+	if _, err := conn.reader.buf.Peek(1); err != nil { // all of it is in the buffer, and nobody was told
 		t.Fatal(err)
 	}
-	c := &call{of: p, conn: conn, bytes: all}
-	if c.giveUp(port.TimedOut); c.gaveUp || !c.extended {
+	c := &call{pool: p, conn: conn, progress: progressWritten}
+	if c.abandon(port.TimedOut); c.abandoned || !c.timeoutExtended {
 		t.Error("its call is given up")
 	}
 }
--- a/node/journal.go
+++ b/node/journal.go
@@ -169,7 +169,7 @@
 // forget is over for an event that is known by its id and its place in the order of coming. One that comes again under
 // its id is known for a while, also to the next process.
 func (j *journal) forget(id string, came uint64) *store.Receipt {
-	return j.store.Complete(id, came, j.day()+int64(endedFor))
+	return j.store.Complete(id, came, j.day()+int64(completedIDRetention))
 }
 
 // owed counts the events that are owed an end.
--- a/node/journal_test.go
+++ b/node/journal_test.go
@@ -217,7 +217,7 @@
 	if err := j.take(second, "alert", "acme"); !errors.Is(err, errEnded) {
 		t.Errorf("it is taken on again just after its end: %v", err)
 	}
-	ahead = int64(endedFor)
+	ahead = int64(completedIDRetention)
 	if err := j.take(second, "alert", "acme"); err != nil {
 		t.Errorf("a later one of its id: %v", err)
 	}
--- a/node/life.go
+++ b/node/life.go
@@ -108,7 +108,7 @@
 	l.finish()
 	l.request.Decide()
 	l.request.Tell(l.node.clock.now(), true)
-	l.node.notices.post(l.notice())
+	l.node.notices.enqueue(l.notice())
 	<-l.steps
 	l.node.journal.over(l.event)
 }
@@ -174,7 +174,7 @@
 // endAttempt takes in how an attempt ended. Where its answer may be another call's, only what is safe both ways is done:
 // no attempt follows a delivery, and its notice is held back; a refusal is not recorded, so that a restart, too, takes the
 // attempt for one that may have run.
-func (l *life) endAttempt(s *send, r result) {
+func (l *life) endAttempt(s *attempt, r result) {
 	over := r.how == port.Acked || r.over
 	switch {
 	case over && r.confirm != nil:
@@ -205,7 +205,7 @@
 	if !l.request.EndProvisionally() {
 		return
 	}
-	end := &provisionalEnd{node: l.node, id: l.id, came: l.came, due: l.due, request: l.request,
+	end := &provisionalCompletion{node: l.node, id: l.id, came: l.came, due: l.due, request: l.request,
 		record: l.node.journal.decideBriefly(l.event, discarded)}
 	c.whenSettled(end.settle)
 }
@@ -226,7 +226,7 @@
 // notice is the notice of the event's end; its life hears when the platform has it.
 func (l *life) notice() notice {
 	e := l.event
-	return notice{id: e.id, verdict: e.verdict, after: e.comeBack, told: func() { e.steps <- step{what: stepNoticed} }}
+	return notice{id: e.id, verdict: e.verdict, retryAfter: e.comeBack, onAcknowledged: func() { e.steps <- step{what: stepNoticed} }}
 }
 
 // decide ends an event that is not delivered. Where its client still waits, a refusal is all it needs to hear; else
@@ -268,7 +268,7 @@
 	}
 	l.end.written, l.end.handOver = nil, nil
 	if !l.end.toClient {
-		l.node.notices.post(l.notice())
+		l.node.notices.enqueue(l.notice())
 		return
 	}
 	logRefusal(l.id, refusedByPolicy)
--- a/node/node.go
+++ b/node/node.go
@@ -63,9 +63,9 @@
 	owed      []*event // from before a restart
 	journal   *journal
 	desk      *desk
-	endpoints *endpoints
+	endpoints *endpointPool
 	directory *directory
-	notices   *notices
+	notices   *noticeSender
 	peers     *peers
 	clients   *clients
 }
@@ -100,13 +100,13 @@
 		perCall = append(perCall, p.PerCall)
 	}
 	n.desk = newDesk(c, module, s.Tick, append(perCall, 1))
-	n.endpoints = &endpoints{clock: c, journal: n.journal, dial: dialer(s.ConnectWithin),
-		idleFor: s.IdleFor, mostIdle: idle}
+	n.endpoints = &endpointPool{clock: c, journal: n.journal, dial: newDialer(s.ConnectWithin),
+		idleTimeout: s.IdleFor, maxIdle: idle}
 	n.directory = &directory{address: at.Directory, open: make(map[*watch]struct{}),
 		dests: make(map[uint32]struct{}), desk: n.desk, endpoints: n.endpoints,
 		partners: s.PartnerNames, zones: s.ZoneNames, rated: s.Rated,
 		answers: trouble{part: "directory", what: "watching the list"}}
-	n.notices = openNotices(at.Directory)
+	n.notices = newNoticeSender(at.Directory)
 	if n.peers, err = openPeers(at.PeerListen, at.PeersAll, at.Peers, s.Fleet.Me, n.desk, c.day()); err != nil {
 		n.journal.close()
 		return nil, err
@@ -138,12 +138,12 @@
 func (n *Node) Silence(most time.Duration) { n.directory.silence.Store(int64(most)) }
 
 // Notices sets how long the platform has to answer a notice, and when one that failed is told again.
-func (n *Node) Notices(within, again time.Duration) { n.notices.times(within, again) }
+func (n *Node) Notices(within, again time.Duration) { n.notices.setTimeouts(within, again) }
 
 // Move tells that the directory, which takes the notices too, is at another address from now on.
 func (n *Node) Move(directory string) {
 	n.directory.move(directory)
-	n.notices.move(directory)
+	n.notices.setAddress(directory)
 }
 
 // restore hands in what is owed from before the restart.
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -64,8 +64,8 @@
 func newWorld(t *testing.T) *world { return &world{t: t, folder: t.TempDir(), open: 50, diskMB: 3} }
 
 // endpoint adds one of a destination.
-func (w *world) endpoint(dest int, act func(net.Conn, string) bool) *peer {
-	p := newPeer(w.t, act)
+func (w *world) endpoint(dest int, act func(net.Conn, string) bool) *testEndpoint {
+	p := newTestEndpoint(w.t, act)
 	w.hosts = append(w.hosts, fmt.Sprintf(`{"host":"s%d","dial":"%s","site":"here","class":"big","block":%d,
 		"health":"Ready"}`, len(w.hosts), p.Addr(), dest))
 	return p
@@ -74,7 +74,7 @@
 func (w *world) run() {
 	w.t.Helper()
 	list := strings.ReplaceAll(`{"seq":4,"whole":true,"hosts":[`+strings.Join(w.hosts, ",")+`]}`, "\n", "")
-	directory := newPeer(w.t, func(conn net.Conn, body string) bool {
+	directory := newTestEndpoint(w.t, func(conn net.Conn, body string) bool {
 		if body == "" {
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\n\r\n", len(list)+1, list)
 			return true
@@ -82,10 +82,10 @@
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		if w.balk--; w.balk >= 0 {
-			return say(answerOf("503 Down", "", ""))(conn, body)
+			return respond(httpResponse("503 Down", "", ""))(conn, body)
 		}
 		w.notices = append(w.notices, strings.Fields(body)...)
-		return say("HTTP/1.1 204 No Content\r\n\r\n")(conn, body)
+		return respond("HTTP/1.1 204 No Content\r\n\r\n")(conn, body)
 	})
 	s, err := start.JSON([]byte(fmt.Sprintf(settings, w.open)))
 	if err != nil {
@@ -114,7 +114,7 @@
 
 func (w *world) until(what string, done func() bool) {
 	w.t.Helper()
-	for end := time.Now().Add(long); !done(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !done(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			w.t.Fatalf("never: %s", what)
 		}
@@ -142,7 +142,7 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	conn.SetDeadline(time.Now().Add(long))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	w.t.Cleanup(func() { conn.Close() })
 	return &client{w.t, conn, bufio.NewReader(conn)}
 }
@@ -172,9 +172,9 @@
 func TestEventsEndOnceEachWay(t *testing.T) {
 	w := newWorld(t)
 	w.balk = 2
-	good := w.endpoint(1, say(answerOf("200 OK", "", "")))
-	w.endpoint(2, say(answerOf("500 Error", "", "")))
-	w.endpoint(3, say(answerOf("410 Over", "", "")))
+	good := w.endpoint(1, respond(httpResponse("200 OK", "", "")))
+	w.endpoint(2, respond(httpResponse("500 Error", "", "")))
+	w.endpoint(3, respond(httpResponse("410 Over", "", "")))
 	w.run()
 	c := w.dial()
 	w.directory.mu.Lock()
@@ -199,7 +199,7 @@
 	}
 	good.mu.Lock()
 	defer good.mu.Unlock()
-	head := strings.Join(good.heads, "")
+	head := strings.Join(good.requestHeaders, "")
 	for _, line := range []string{"POST /inbox HTTP/1.1\r\n", "Req-Id: delivered\r\n", "Content-Length: 6\r\n",
 		"Idempotency-Key: mark-delivered\r\n", "Req-Deadline-Ms: "} {
 		if !strings.Contains(head, line) {
@@ -214,7 +214,7 @@
 func TestAnIdThatComesAgain(t *testing.T) {
 	w := newWorld(t)
 	answer := make(chan string)
-	at := w.endpoint(1, func(conn net.Conn, body string) bool { return say(<-answer)(conn, body) })
+	at := w.endpoint(1, func(conn net.Conn, body string) bool { return respond(<-answer)(conn, body) })
 	w.run()
 	c := w.dial()
 	for range 2 { // while it is owed, it is not taken on twice
@@ -222,9 +222,9 @@
 			t.Fatal(status)
 		}
 	}
-	answer <- answerOf("200 OK", "", "")
+	answer <- httpResponse("200 OK", "", "")
 	w.until("it is over", w.journal.empty)
-	if calls, _ := at.calls(); calls != 1 {
+	if calls, _ := at.counts(); calls != 1 {
 		t.Errorf("%d calls", calls)
 	}
 	// Handed in as the former ends, in the round that frees its index, it is another event.
@@ -243,7 +243,7 @@
 
 func TestBadRequestsGetPlainAnswers(t *testing.T) {
 	w := newWorld(t)
-	w.endpoint(1, silent)
+	w.endpoint(1, noResponse)
 	w.run()
 	good := request("x", "charge", "1", 8000, "")
 	length := func(heads string) string { return strings.Replace(good, "Content-Length: 0", heads, 1) }
@@ -314,7 +314,7 @@
 	}{{1, 3, ""}, {50, 0.1, strings.Repeat("x", mostBody)}, {50, 0.01, ""}} {
 		w := newWorld(t)
 		w.open, w.diskMB = c.open, c.diskMB
-		w.endpoint(1, silent)
+		w.endpoint(1, noResponse)
 		w.run()
 		conn, status, back := w.dial(), statusTaken, ""
 		for i := 0; status == statusTaken && i < 60; i++ {
@@ -331,15 +331,15 @@
 
 func TestRestartOwesWhatWasTakenOn(t *testing.T) {
 	w := newWorld(t)
-	at := w.endpoint(1, silent)
-	w.endpoint(2, say(answerOf("429 Full", "Retry-After: 60\r\n", "")))
+	at := w.endpoint(1, noResponse)
+	w.endpoint(2, respond(httpResponse("429 Full", "Retry-After: 60\r\n", "")))
 	w.run()
 	c := w.dial()
 	for id, kind := range map[string]string{"out-alert": "alert", "out-charge": "charge", "out-keyed": "keyed"} {
 		c.hand(request(id, kind, "1", 8000, "body of "+id))
 	}
 	c.hand(request("waiting", "charge", "5", 8000, "body of waiting"))
-	w.until("three sends are out", func() bool { calls, _ := at.calls(); return calls == 3 })
+	w.until("three sends are out", func() bool { calls, _ := at.counts(); return calls == 3 })
 
 	// What the folder holds at any moment is what a killed process leaves.
 	again := newWorld(t)
@@ -347,9 +347,9 @@
 	bodies := make(chan string, 10)
 	good := again.endpoint(1, func(conn net.Conn, body string) bool {
 		bodies <- body
-		return say(answerOf("200 OK", "", ""))(conn, body)
+		return respond(httpResponse("200 OK", "", ""))(conn, body)
 	})
-	again.endpoint(5, say(answerOf("200 OK", "", "")))
+	again.endpoint(5, respond(httpResponse("200 OK", "", "")))
 	again.run()
 	again.until("nothing is owed", again.journal.empty)
 	if got := again.noticed(); !slices.Equal(got, []string{`{"id":"out-charge","status":"undeliverable"}`}) {
@@ -362,7 +362,7 @@
 	}
 	good.mu.Lock()
 	defer good.mu.Unlock()
-	head := strings.Join(good.heads, "")
+	head := strings.Join(good.requestHeaders, "")
 	if !strings.Contains(head, "Req-Id: out-keyed\r\n") ||
 		!strings.Contains(head, "Idempotency-Key: mark-out-keyed\r\n") {
 		t.Errorf("ids and marks changed: %q", head)
@@ -394,9 +394,9 @@
 	}
 	got := ""
 	for _, c := range d.calls {
-		got += fmt.Sprint(len(c.sends), " ")
+		got += fmt.Sprint(len(c.attempts), " ")
 		var out bytebufferpool.ByteBuffer
-		if err := writeCall(&out, c.sends, ms); err != nil || out.Len() > mostBody+1000 {
+		if err := writeCall(&out, c.attempts, ms); err != nil || out.Len() > mostBody+1000 {
 			t.Errorf("%d bytes, %v", out.Len(), err)
 		}
 	}
@@ -408,16 +408,16 @@
 func TestNoticeOwedAtARestartIsToldAndNothingSent(t *testing.T) {
 	w := newWorld(t)
 	w.balk = 1 << 30
-	w.endpoint(1, say(answerOf("500 Error", "", "")))
+	w.endpoint(1, respond(httpResponse("500 Error", "", "")))
 	w.run()
 	w.dial().hand(request("x", "charge", "1", 8000, ""))
 	w.until("it is decided", func() bool { return w.held.Load() == 0 })
 	again := newWorld(t)
 	again.folder = killed(t, w.folder)
-	at := again.endpoint(1, say(answerOf("200 OK", "", "")))
+	at := again.endpoint(1, respond(httpResponse("200 OK", "", "")))
 	again.run()
 	again.until("nothing is owed", again.journal.empty)
-	if calls, _ := at.calls(); calls != 0 || len(again.noticed()) != 1 {
+	if calls, _ := at.counts(); calls != 0 || len(again.noticed()) != 1 {
 		t.Errorf("%d calls, notices %q", calls, again.noticed())
 	}
 }
@@ -427,7 +427,7 @@
 	answer := make(chan bool)
 	w.endpoint(1, func(conn net.Conn, body string) bool {
 		<-answer
-		return say(answerOf("200 OK", "", ""))(conn, body)
+		return respond(httpResponse("200 OK", "", ""))(conn, body)
 	})
 	w.run()
 	idle, busy, half := w.dial(), w.dial(), w.dial()
@@ -553,7 +553,7 @@
 
 func TestClientsThatNeverEndTheirRequestsAreClosed(t *testing.T) {
 	w := newWorld(t)
-	w.endpoint(1, say(answerOf("200 OK", "", "")))
+	w.endpoint(1, respond(httpResponse("200 OK", "", "")))
 	w.run()
 	text := request("x", "alert", "1", 8000, "body")
 	silent, trickle, body := w.dial(), w.dial(), w.dial()
@@ -568,7 +568,7 @@
 	}()
 	begin := time.Now()
 	for what, c := range map[string]*client{"is silent": silent, "trickles": trickle, "keeps its body": body} {
-		c.SetDeadline(begin.Add(long / 2))
+		c.SetDeadline(begin.Add(testTimeout / 2))
 		if _, err := io.ReadAll(c); errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("one that %s stays open", what)
 		}
@@ -580,7 +580,7 @@
 
 func TestUsualClientsGetInWhileOthersFillTheDoor(t *testing.T) {
 	w := newWorld(t)
-	w.endpoint(1, say(answerOf("200 OK", "", "")))
+	w.endpoint(1, respond(httpResponse("200 OK", "", "")))
 	w.run()
 	w.clients.listener.mu.Lock()
 	w.clients.listener.most = 10
@@ -606,7 +606,7 @@
 
 func TestClientsThatAskOnceAndStayLeaveRoomForOthers(t *testing.T) {
 	w := newWorld(t)
-	w.endpoint(1, say(answerOf("200 OK", "", "")))
+	w.endpoint(1, respond(httpResponse("200 OK", "", "")))
 	w.run()
 	w.clients.listener.mu.Lock()
 	w.clients.listener.keep = 3
@@ -654,7 +654,7 @@
 	d.dismiss()
 	io.WriteString(c, "one that crosses the end")
 	begin := time.Now()
-	if g.rest() || time.Since(begin) > long/2 { // asked before it waits: what comes now is not read on
+	if g.rest() || time.Since(begin) > testTimeout/2 { // asked before it waits: what comes now is not read on
 		t.Errorf("it waits on, %v", time.Since(begin))
 	}
 	c.Close()
@@ -728,7 +728,7 @@
 
 func TestRequestsReadTogetherAreAllAnswered(t *testing.T) {
 	w := newWorld(t)
-	w.endpoint(1, say(answerOf("200 OK", "", "")))
+	w.endpoint(1, respond(httpResponse("200 OK", "", "")))
 	w.run()
 	three := request("a", "alert", "1", 8000, "body") + request("b", "alert", "1", 8000, "") +
 		request("c", "alert", "1", 8000, "body")
@@ -757,7 +757,7 @@
 
 func TestRequestsInAllFramings(t *testing.T) {
 	w := newWorld(t)
-	at := w.endpoint(1, say(answerOf("200 OK", "", "")))
+	at := w.endpoint(1, respond(httpResponse("200 OK", "", "")))
 	w.run()
 	head := func(id, more string) string {
 		return "POST /api HTTP/1.1\r\nhost: x\r\nREQ-ID: " + id + "\r\nreq-kind:alert\r\nReq-Owner:  acme \r\n" +
@@ -793,7 +793,7 @@
 	if status, _ := c.hand("abc"); status != statusTaken {
 		t.Errorf("behind that: %d", status)
 	}
-	w.until("all are delivered", func() bool { calls, _ := at.calls(); return calls > 0 && w.journal.empty() })
+	w.until("all are delivered", func() bool { calls, _ := at.counts(); return calls > 0 && w.journal.empty() })
 }
 
 // recorder is a module that writes down some of what it is told, and decides nothing.
@@ -836,7 +836,7 @@
 func listen(t *testing.T, address string) (*directory, *recorder) {
 	r := &recorder{}
 	d := newDesk(clock{start: time.Now()}, r, ms, []int{1})
-	d.endpoints = newEndpoints(t, "")
+	d.endpoints = newTestPool(t, "")
 	d.directory = &directory{address: address, open: make(map[*watch]struct{}),
 		dests: make(map[uint32]struct{}), desk: d, endpoints: d.endpoints, rated: true,
 		partners: []string{"big", "small_one"}, zones: []string{"here", "there"}}
@@ -856,7 +856,7 @@
 	const second = `{"seq":9,"whole":false,"hosts":[{"host":"a","dial":"127.0.0.1:3","site":"there",` +
 		`"class":"small one","block":3,"health":"Gone","share":2.5}]}` + "\n"
 	go1 := make(chan bool)
-	at := newPeer(t, func(conn net.Conn, _ string) bool {
+	at := newTestEndpoint(t, func(conn net.Conn, _ string) bool {
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for _, part := range strings.SplitAfter(first+"\n\n"+second, "s") {
 			fmt.Fprintf(conn, "%x\r\n%s\r\n", len(part), part)
@@ -879,15 +879,15 @@
 	w.until("silence shows", func() bool { return r.all() == want+" failed" })
 	go1 <- false
 	d.watch(true)
-	w.until("it is asked again", func() bool { calls, _ := at.calls(); return calls == 2 })
+	w.until("it is asked again", func() bool { calls, _ := at.counts(); return calls == 2 })
 	<-go1
 	go1 <- false
 	at.mu.Lock()
 	defer at.mu.Unlock()
-	if !strings.Contains(at.heads[1], "GET /discovery/hosts?watch=1&from=9 ") {
-		t.Errorf("asked again: %q", at.heads[1])
+	if !strings.Contains(at.requestHeaders[1], "GET /discovery/hosts?watch=1&from=9 ") {
+		t.Errorf("asked again: %q", at.requestHeaders[1])
 	}
-	if _, dial := d.endpoints.kept(0, true); dial != "" {
+	if _, dial := d.endpoints.takeIdle(0, true); dial != "" {
 		t.Errorf("still at %q", dial)
 	}
 }
@@ -898,7 +898,7 @@
 		"      \"health\": \"Ready\"\n    }\n  ]\n}\n"
 	const older = `{"seq":6,"whole":false,"hosts":[{"host":"a","block":3,"health":"Gone"}]}` + "\n"
 	const half = `{"seq":9,"whole":false,"hosts":[{"host":"a","block":3,"health":"Gone"}`
-	at := newPeer(t, func(conn net.Conn, _ string) bool {
+	at := newTestEndpoint(t, func(conn net.Conn, _ string) bool {
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for line := range strings.Lines(first + older + half) {
 			fmt.Fprintf(conn, "%x\r\n%s\r\n", len(line), line)
@@ -920,18 +920,18 @@
 
 func TestDirectoryCallsThatFail(t *testing.T) {
 	for name, act := range map[string]func(net.Conn, string) bool{
-		"503":      say(answerOf("503 Down", "", "")),
-		"reset":    breakOff("HTTP/1.1 200"),
-		"ended":    say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"),
-		"silence":  silent,
-		"bad JSON": say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{\"a\"\n\r\n"),
-		"no hosts": say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n{}\n\r\n"),
+		"503":      respond(httpResponse("503 Down", "", "")),
+		"reset":    respondAndReset("HTTP/1.1 200"),
+		"ended":    respond("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"),
+		"silence":  noResponse,
+		"bad JSON": respond("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{\"a\"\n\r\n"),
+		"no hosts": respond("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n{}\n\r\n"),
 	} {
-		d, r := listen(t, newPeer(t, act).Addr().String())
+		d, r := listen(t, newTestEndpoint(t, act).Addr().String())
 		d.watch(true)
 		(&world{t: t}).until(name+" shows", func() bool { return r.all() == "failed" })
 	}
-	at := newPeer(t, say(answerOf("200 OK", "", `{"seq":1,"whole":true,"hosts":[{"block":1},{"host":"x"},`+
+	at := newTestEndpoint(t, respond(httpResponse("200 OK", "", `{"seq":1,"whole":true,"hosts":[{"block":1},{"host":"x"},`+
 		`{"host":"a","block":1,"class":"small one","health":"Ready"}]}`)))
 	d, r := listen(t, at.Addr().String())
 	d.watch(true)
@@ -946,30 +946,30 @@
 			"\n", seq, host)
 	}
 	old := make(chan string, 1)
-	before := newPeer(t, func(conn net.Conn, _ string) bool {
+	before := newTestEndpoint(t, func(conn net.Conn, _ string) bool {
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\n\r\n")
 		for text := range old {
 			io.WriteString(conn, text)
 		}
 		return true
 	})
-	hangs := newPeer(t, silent)
-	after := newPeer(t, say("HTTP/1.1 200 OK\r\n\r\n"+line(5, "b")))
+	hangs := newTestEndpoint(t, noResponse)
+	after := newTestEndpoint(t, respond("HTTP/1.1 200 OK\r\n\r\n"+line(5, "b")))
 	d, r := listen(t, before.Addr().String())
-	d.silence.Store(int64(long))
+	d.silence.Store(int64(testTimeout))
 	w := &world{t: t}
 	d.watch(true)
 	old <- line(4, "a")
 	w.until("the old one tells", func() bool { return strings.HasSuffix(r.all(), ";") })
 	d.move(hangs.Addr().String())
-	w.until("the next is asked", func() bool { calls, _ := hangs.calls(); return calls == 1 })
+	w.until("the next is asked", func() bool { calls, _ := hangs.counts(); return calls == 1 })
 	old <- line(5, "b") // until another stands, the old one is heard
 	w.until("the old one tells on", func() bool { return strings.Contains(r.all(), "1/0") })
 	d.move(after.Addr().String())
 	w.until("the new one tells", func() bool { return strings.Count(r.all(), ";") == 3 })
 	close(old) // it does not end by itself
 	w.until("the others are closed once the new one stands", func() bool {
-		return len(before.ended) == 1 && len(hangs.ended) == 1
+		return len(before.disconnected) == 1 && len(hangs.disconnected) == 1
 	})
 	d.watch(true) // the same address, asked again
 	w.until("it is asked again", func() bool { return strings.Count(r.all(), ";") == 4 })
@@ -978,27 +978,27 @@
 	}
 	after.mu.Lock()
 	defer after.mu.Unlock()
-	if !strings.Contains(after.heads[0], "?watch=1&from=5 ") {
-		t.Errorf("asked %q", after.heads[0])
+	if !strings.Contains(after.requestHeaders[0], "?watch=1&from=5 ") {
+		t.Errorf("asked %q", after.requestHeaders[0])
 	}
 }
 
 func TestNoticesMoveAndDoNotWaitForTheOldAddress(t *testing.T) {
-	hangs, heard := newPeer(t, silent), make(chan string, 9)
-	after := newPeer(t, func(conn net.Conn, body string) bool {
+	hangs, heard := newTestEndpoint(t, noResponse), make(chan string, 9)
+	after := newTestEndpoint(t, func(conn net.Conn, body string) bool {
 		heard <- body
-		return say("HTTP/1.1 204 No Content\r\n\r\n")(conn, body)
+		return respond("HTTP/1.1 204 No Content\r\n\r\n")(conn, body)
 	})
-	o, stop, told := openNotices(hangs.Addr().String()), make(chan struct{}), make(chan struct{}, 1)
+	o, stop, told := newNoticeSender(hangs.Addr().String()), make(chan struct{}), make(chan struct{}, 1)
 	defer close(stop)
-	o.times(long, noticeAgain)
+	o.setTimeouts(testTimeout, noticeRetryInterval)
 	go o.run(stop)
-	o.post(notice{id: "x", verdict: discarded, told: func() { told <- struct{}{} }})
-	(&world{t: t}).until("it is out", func() bool { calls, _ := hangs.calls(); return calls == 1 })
-	o.move(after.Addr().String())
+	o.enqueue(notice{id: "x", verdict: discarded, onAcknowledged: func() { told <- struct{}{} }})
+	(&world{t: t}).until("it is out", func() bool { calls, _ := hangs.counts(); return calls == 1 })
+	o.setAddress(after.Addr().String())
 	select {
 	case <-heard:
-	case <-time.After(long / 2):
+	case <-time.After(testTimeout / 2):
 		t.Fatal("the notice waits at the old address")
 	}
 	<-told
@@ -1006,7 +1006,7 @@
 
 func TestAForgottenEndpointsIndexWaitsForItsCalls(t *testing.T) {
 	d := newDesk(clock{start: time.Now()}, &recorder{}, ms, []int{1})
-	d.endpoints = newEndpoints(t, "127.0.0.1:1")
+	d.endpoints = newTestPool(t, "127.0.0.1:1")
 	take := func(host string, want int32) {
 		t.Helper()
 		if ep, _ := d.listed(host, 0); ep != want {
@@ -1014,15 +1014,15 @@
 		}
 	}
 	take("a", 0)
-	d.endpoints.callBegins(0)
+	d.endpoints.callStarted(0)
 	d.Forget(0)
 	d.round(0)
 	take("b", 1) // a late answer may still come for a's
-	d.endpoints.listed(1, "e", "zone", "127.0.0.1:2")
-	d.endpoints.callEnds(0)
+	d.endpoints.updateEndpoint(1, "e", "zone", "127.0.0.1:2")
+	d.endpoints.callFinished(0)
 	d.round(1)
 	take("c", 0)
-	if _, dial := d.endpoints.kept(0, true); dial != "" {
+	if _, dial := d.endpoints.takeIdle(0, true); dial != "" {
 		t.Errorf("the new one begins at %q", dial)
 	}
 	d.Forget(1)
--- a/node/phases.go
+++ b/node/phases.go
@@ -55,7 +55,7 @@
 	n.enter(Restoring)
 	go n.peers.hear()
 	go n.notices.run(stop)
-	go n.endpoints.sweep(stop)
+	go n.endpoints.sweepIdle(stop)
 	n.restore()
 	go n.desk.run()
 	defer n.journal.close()
@@ -80,7 +80,7 @@
 	n.sleep(begin.Add(drain.choose), n.unowed) // what was admitted just before
 	n.desk.close()
 	n.sleep(begin.Add(drain.end-drainNotices), n.settled)
-	n.endpoints.settleRested(true)
+	n.endpoints.settleIdle(true)
 	n.sleep(begin.Add(drain.end), n.quiet)
 	n.clients.listener.Close()
 	n.clients.listener.dismiss()
@@ -99,17 +99,17 @@
 
 // unowed tells whether nothing is owed, nor about to be, but for ends that wait to be confirmed.
 func (n *Node) unowed() bool {
-	return n.held.Load() == 0 && n.journal.owed() <= n.endpoints.unsettled() && n.journal.settled()
+	return n.held.Load() == 0 && n.journal.owed() <= n.endpoints.unconfirmedCount() && n.journal.settled()
 }
 
 // settled tells whether no end waits to be confirmed, and none can come that would have to.
 func (n *Node) settled() bool {
-	n.endpoints.settleRested(false)
-	return n.endpoints.unsettled() == 0 && (n.endpoints.out.Load() == 0 || n.unowed())
+	n.endpoints.settleIdle(false)
+	return n.endpoints.unconfirmedCount() == 0 && (n.endpoints.activeCalls.Load() == 0 || n.unowed())
 }
 
 // quiet tells whether nothing is left that ends by itself: no attempt is out, every end that is decided is told and
 // written. What is owed beyond that waits for the next start.
 func (n *Node) quiet() bool {
-	return n.unowed() || (n.endpoints.out.Load() == 0 && n.ending.Load() == 0 && n.journal.settled())
+	return n.unowed() || (n.endpoints.activeCalls.Load() == 0 && n.ending.Load() == 0 && n.journal.settled())
 }
--- a/node/wire.go
+++ b/node/wire.go
@@ -51,7 +51,7 @@
 func bulkSize(e *event) int { return len(e.id) + len(e.mark) + len(e.body) + bulkLine }
 
 // writeCall writes a call of one event, or of several. Id, mark and body go on as they came.
-func writeCall(out *bytebufferpool.ByteBuffer, sends []*send, wait int64) error {
+func writeCall(out *bytebufferpool.ByteBuffer, sends []*attempt, wait int64) error {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.Header.SetMethod(fasthttp.MethodPost)
@@ -101,7 +101,7 @@
 }
 
 func newReplyReader(conn net.Conn) *replyReader {
-	return &replyReader{conn, bufio.NewReaderSize(conn, replySize)}
+	return &replyReader{conn, bufio.NewReaderSize(conn, responseBufferSize)}
 }
 
 // errSpoilt: an answer came that cannot be read. What was sent has run, for all that is known.
@@ -109,7 +109,7 @@
 
 // read reads the answer to a call: what it says of each send, or one result for all. Where it is not known
 // how the call fared, an answer was spoilt, or the connection broke before it was whole.
-func (r *replyReader) read(sends []*send) reply {
+func (r *replyReader) read(sends []*attempt) reply {
 	if _, err := r.buf.Peek(1); err != nil {
 		return reply{results: []result{{how: port.Reset}}, close: closeBroken}
 	}
@@ -247,7 +247,7 @@
 
 // readEnds reads the line of each event. An answer that leaves one out is not whole: it was cut short, or is another
 // call's, and what was sent may have run, all of it. It tells whether the answer names all events of the call.
-func readEnds(body []byte, sends []*send, all result, results []result) (named bool) {
+func readEnds(body []byte, sends []*attempt, all result, results []result) (named bool) {
 	count := 0
 	for i := range results {
 		results[i] = all
