--- a/node/call.go
+++ b/node/call.go
@@ -18,62 +18,62 @@
 	"jaspersill/port"
 )
 
-// attempt is one attempt of one event.
+// attempt is one attempt to deliver an event to an endpoint.
 type attempt struct {
-	event    *event
-	number   int
-	endpoint int32
-	startedAt    int64
-	timeout  int64
-	call     *call
-	recalled bool // while its record was being written
+	event     *event
+	number    int
+	endpoint  int32
+	startedAt int64
+	timeout   int64
+	call      *call
+	recalled  bool // recalled while its record was being written
 }
 
-// call is one exchange with an endpoint, of one send or of several. It ends once, for all of them.
+// call is one HTTP exchange with an endpoint. It carries one or more attempts and ends once, for all of them.
 type call struct {
-	pool       *endpointPool
+	pool     *endpointPool
 	endpoint int32
-	attempts    []*attempt
-	bodySize     int // bytes of its body, if it has several
-
-	mu     sync.Mutex
-	cancelDial  context.CancelFunc // while connecting
-	conn   *endpointConn
-	progress  writeProgress
-	ended  bool
-	abandoned bool         // while its records or its bytes are being written: the writer ends it
-	abandonOutcome    port.Outcome // when given up
-	sentAt int64        // its first byte
-
-	timeoutExtended bool        // it timed out while its answer came, and has the time that the rest of one may take
-	localFailure    atomic.Bool // connecting fails for a reason of this machine
+	attempts []*attempt
+	bodySize int // bytes of the request body if the call carries several attempts
+
+	mu             sync.Mutex
+	cancelDial     context.CancelFunc // cancels connecting
+	conn           *endpointConn
+	progress       writeProgress
+	ended          bool
+	abandoned      bool         // if set while attempts are recorded or the request is written, the goroutine doing that ends the call
+	abandonOutcome port.Outcome // the outcome of an abandoned call
+	sentAt         int64        // when writing the request began
+
+	timeoutExtended bool        // the call timed out while its response was arriving, and the timeout was extended once
+	localFailure    atomic.Bool // connecting or writing last failed for a reason local to this machine
 }
 
-// writeProgress is how much of a call has gone out.
+// writeProgress is how much of a call's request has been written.
 type writeProgress uint8
 
 const (
 	progressNone      writeProgress = iota // connecting
-	progressRecording                 // the records of its attempts are being written
-	progressWriting                      // being written: the writer will know
-	progressWritten                       // its last byte has gone, or may have
+	progressRecording                      // the attempts are being recorded in the journal
+	progressWriting                        // the request is being written; only the writing goroutine knows how far
+	progressWritten                        // the last byte was written, or may have been
 )
 
 const (
-	recordRetryInterval = 10 * time.Millisecond // while the log cannot be written, before the next try
+	recordRetryInterval = 10 * time.Millisecond // between tries while the journal cannot be written
 )
 
 var attemptsEnded = metrics.NewFamily("jaspersill_attempts_ended_total", "Attempts that ended, by outcome.", "outcome",
 	port.Acked.String(), port.Errored.String(), port.Declined.String(), port.TimedOut.String(), port.ConnectFailed.String(),
 	port.Reset.String(), port.Cancelled.String(), port.Unsent.String(), port.Spoilt.String())
 
-// execute makes a call and tells each send how it ended. A call is made once: nothing here repeats it.
+// execute performs a call and reports the outcome of each of its attempts. A call is made once and never retried here.
 func (p *endpointPool) execute(c *call) {
 	defer p.callFinished(c.endpoint)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	timeout := c.start(cancel)
-	if timeout == 0 { // given up before it began
+	if timeout == 0 { // abandoned before it started
 		return
 	}
 	timer := time.AfterFunc(time.Duration(timeout), func() { c.abandon(port.TimedOut) })
@@ -83,19 +83,19 @@
 	if conn == nil {
 		return
 	}
-	whole, err := c.write(conn, timeout)
-	if gaveUp := c.finishWrite(whole); gaveUp || err != nil {
-		c.finishWithoutResponse(conn, !whole, err)
+	complete, err := c.write(conn, timeout)
+	if abandoned := c.finishWrite(complete); abandoned || err != nil {
+		c.finishWithoutResponse(conn, !complete, err)
 		return
 	}
 	c.readResponse(conn)
 }
 
-// prepare finds a connection for the call and records its attempts. It returns nil where the call ended.
+// prepare obtains a connection for the call and records its attempts. It returns nil if the call has ended.
 func (c *call) prepare(ctx context.Context) *endpointConn {
-	conn, dial := c.pool.takeIdle(c.endpoint, c.repeatable())
+	conn, address := c.pool.takeIdle(c.endpoint, c.repeatable())
 	if conn == nil {
-		if conn = c.connect(ctx, dial); conn == nil {
+		if conn = c.connect(ctx, address); conn == nil {
 			return nil
 		}
 	}
@@ -103,7 +103,7 @@
 		c.pool.closeConn(conn, closeGivenUp)
 		return nil
 	}
-	// What came while the attempts were recorded is no answer to them.
+	// Bytes that arrived while the attempts were being recorded cannot be a response to them.
 	if state := inspectIdleConn(conn); state != idleConnOpen {
 		c.pool.closeConn(conn, state.closeReason())
 		if conn = c.connect(ctx, conn.address); conn == nil {
@@ -118,9 +118,9 @@
 	return conn
 }
 
-// connect opens a connection for the call, and ends the call where none comes up.
-func (c *call) connect(ctx context.Context, dial string) *endpointConn {
-	conn, err := c.pool.connect(ctx, c.endpoint, dial, &c.localFailure)
+// connect opens a connection for the call. If that fails, it ends the call and returns nil.
+func (c *call) connect(ctx context.Context, address string) *endpointConn {
+	conn, err := c.pool.connect(ctx, c.endpoint, address, &c.localFailure)
 	if err != nil {
 		c.finish(result{how: dialOutcome(err)})
 		return nil
@@ -128,88 +128,88 @@
 	return conn
 }
 
-// repeatable tells whether all its sends may go out again after one that may have run.
+// repeatable reports whether all events of the call may be sent again after an attempt that may have run.
 func (c *call) repeatable() bool {
-	return !slices.ContainsFunc(c.attempts, func(s *attempt) bool { return s.event.safety == port.NonIdempotent })
+	return !slices.ContainsFunc(c.attempts, func(a *attempt) bool { return a.event.safety == port.NonIdempotent })
 }
 
-// finishWithoutResponse ends a call that was given up, or broke, before its last byte was written or as it was.
-func (c *call) finishWithoutResponse(conn *endpointConn, cut bool, err error) {
+// finishWithoutResponse ends a call that was abandoned or failed before or while its last byte was written.
+func (c *call) finishWithoutResponse(conn *endpointConn, incomplete bool, err error) {
 	var wait int64
 	reason := closeBroken
 	switch {
 	case err == nil:
 		reason = closeGivenUp
-	case errors.Is(err, errEarlyAnswer): // to no call: an endpoint begins one when its last byte has come
+	case errors.Is(err, errEarlyAnswer): // belongs to no call: an endpoint starts a call only once its last byte has arrived
 		reason, wait = closeUnread, conn.reader.read(c.attempts).results[0].wait
 	}
 	c.pool.closeConn(conn, reason)
 	switch {
-	case errclass.Stream(err) == errclass.Momentary: // of this machine, and nothing went out
+	case errclass.Stream(err) == errclass.Momentary: // a failure local to this machine; nothing was sent
 		c.finish(result{how: port.Unsent})
-	case cut: // the call's last byte was not written: it never ran
+	case incomplete: // the last byte was not written, so the call never ran
 		c.finish(result{how: port.ConnectFailed, wait: wait})
 	default:
 		c.finish(result{how: port.Reset})
 	}
 }
 
-// readResponse reads the answer to a call that is out, and ends the call with it.
+// readResponse reads the response to a call that was written, and ends the call with it.
 func (c *call) readResponse(conn *endpointConn) {
 	dest := c.attempts[0].event.dest
 	conn.stalls = func(on bool) { c.pool.setStalled(dest, on) }
-	answer := conn.reader.read(c.attempts)
-	again := conn.responses.Refused() && answer.identity.NotRun
-	attribution := conn.attribute(answer)
+	response := conn.reader.read(c.attempts)
+	refusedBefore := conn.responses.Refused() && response.identity.NotRun
+	attribution := conn.attribute(response)
 	switch {
 	case attribution == lifecycle.Unconfirmed:
-		c.trackResponse(conn, answer)
-	case answer.identity.Named:
+		c.trackResponse(conn, response)
+	case response.identity.Named:
 		c.pool.markInSync(conn)
 	}
-	if again {
+	if refusedBefore {
 		c.pool.recordRefusal(attribution == lifecycle.Unconfirmed)
 	}
-	switch finished := c.finish(answer.results...); {
+	switch finished := c.finish(response.results...); {
 	case !finished:
 		c.pool.closeConn(conn, closeGivenUp)
-	case answer.close != "":
-		c.pool.closeConn(conn, answer.close)
+	case response.close != "":
+		c.pool.closeConn(conn, response.close)
 	default:
 		c.pool.putIdle(conn, c.pool.clock.now()-c.sentAt)
 	}
 }
 
-// trackResponse has the outcomes followed that it would do harm to act on if the answer is another call's: those that end
-// their event, and those that say that an event never ran which must not run twice.
-func (c *call) trackResponse(conn *endpointConn, answer reply) {
-	for i := range answer.results {
-		r := &answer.results[i] // of several sends, an answer that says the same of all has one for each
-		over := r.how == port.Acked || r.over
-		if over || (!r.how.MayHaveRun() && c.attempts[i].event.safety != port.Idempotent) {
+// trackResponse tracks the unconfirmed outcomes that would do harm if the response belonged to another call: those that
+// complete their event, and those saying that an event which is not idempotent did not run.
+func (c *call) trackResponse(conn *endpointConn, response reply) {
+	for i := range response.results {
+		r := &response.results[i] // a response with one status for all attempts has one result for each of them
+		completes := r.how == port.Acked || r.over
+		if completes || (!r.how.MayHaveRun() && c.attempts[i].event.safety != port.Idempotent) {
 			r.confirm = c.pool.trackOutcome(conn, c.attempts[i], r.how)
 		}
 	}
 }
 
-// start notes what ends the call while it is connecting. It tells how long the call may take, which is as
-// long as the least patient of its sends waits, and 0 if it was given up before.
-func (c *call) start(abort context.CancelFunc) (timeout int64) {
+// start stores the function that cancels connecting. It returns how long the call may take, which is the shortest
+// remaining timeout of its attempts, or 0 if the call was already abandoned.
+func (c *call) start(cancelDial context.CancelFunc) (timeout int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.cancelDial = abort; c.ended {
+	if c.cancelDial = cancelDial; c.ended {
 		return 0
 	}
 	now := c.pool.clock.now()
 	timeout = c.attempts[0].startedAt + c.attempts[0].timeout - now
-	for _, s := range c.attempts {
-		timeout = min(timeout, s.startedAt+s.timeout-now)
+	for _, a := range c.attempts {
+		timeout = min(timeout, a.startedAt+a.timeout-now)
 	}
 	return max(timeout, 1)
 }
 
-// dialOutcome is how an attempt ended whose connection did not come up. A reason of this machine is not the
-// endpoint's.
+// dialOutcome returns the outcome of an attempt whose connection could not be opened. A failure local to this machine is
+// not attributed to the endpoint.
 func dialOutcome(err error) port.Outcome {
 	if errclass.Socket(err) == errclass.Momentary {
 		return port.Unsent
@@ -217,9 +217,10 @@
 	return port.ConnectFailed
 }
 
-// recordAttempts writes that the call's attempts go out, just before their bytes do: the process may end while one is
-// out, and one that a restart finds connecting has not run. Nothing is locked meanwhile, for the disk may be slow; who
-// gives the call up or recalls an attempt leaves it to this goroutine. It tells false if the call has ended.
+// recordAttempts writes the call's attempts to the journal just before the request is written: the process may end while
+// an attempt is in flight, and an attempt that was still connecting at a restart has not run. No lock is held meanwhile,
+// since the disk may be slow; abandon and recall only set a flag that this goroutine acts on. It returns false if the
+// call has ended.
 func (c *call) recordAttempts() bool {
 	c.mu.Lock()
 	if c.ended {
@@ -227,36 +228,37 @@
 		return false
 	}
 	c.progress = progressRecording
-	sends := slices.Clone(c.attempts)
+	attempts := slices.Clone(c.attempts)
 	c.mu.Unlock()
-	recorded := make(map[*attempt]bool, len(sends))
-	for _, s := range sends {
-		recorded[s] = c.recordAttempt(s)
+	recorded := make(map[*attempt]bool, len(attempts))
+	for _, a := range attempts {
+		recorded[a] = c.recordAttempt(a)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, s := range sends {
-		if !recorded[s] || s.recalled {
-			c.dropAttempt(s)
+	for _, a := range attempts {
+		if !recorded[a] || a.recalled {
+			c.dropAttempt(a)
 		}
 	}
 	return !c.ended
 }
 
-// recordAttempt writes that one attempt goes out, for as long as it may. It tells whether that is written.
-func (c *call) recordAttempt(s *attempt) bool {
-	for c.pool.stalled(s.event.dest) && c.recordStillWanted(s) { // an answer that tells to wait may stand there unread
+// recordAttempt writes one attempt to the journal, retrying for as long as the attempt is wanted. It reports whether the
+// record was written.
+func (c *call) recordAttempt(a *attempt) bool {
+	for c.pool.stalled(a.event.dest) && c.recordStillWanted(a) { // an unread response may tell the relay to wait
 		time.Sleep(recordRetryInterval)
 	}
-	if s.event.request.StartAttempt(c.pool.clock.now()) != nil {
+	if a.event.request.StartAttempt(c.pool.clock.now()) != nil {
 		return false
 	}
 	for {
-		err := c.pool.journal.began(s.event, s.number, c.pool.clock.day(), c.pool.site(c.endpoint))
+		err := c.pool.journal.began(a.event, a.number, c.pool.clock.day(), c.pool.site(c.endpoint))
 		if err == nil {
 			return true
 		}
-		if errors.Is(err, errOver) || !c.recordStillWanted(s) {
+		if errors.Is(err, errOver) || !c.recordStillWanted(a) {
 			return false
 		}
 		c.pool.journal.disk.note(err)
@@ -264,25 +266,25 @@
 	}
 }
 
-// recordStillWanted tells whether an attempt is still wanted while its record cannot be written.
-func (c *call) recordStillWanted(s *attempt) bool {
+// recordStillWanted reports whether an attempt whose record could not be written yet is still to be sent.
+func (c *call) recordStillWanted(a *attempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.abandoned && !s.recalled && c.pool.clock.now() < s.event.due
+	return !c.abandoned && !a.recalled && c.pool.clock.now() < a.event.due
 }
 
-// dropAttempt takes an attempt out of a call that has sent nothing; the lock is held.
-func (c *call) dropAttempt(s *attempt) {
-	if i := slices.Index(c.attempts, s); i >= 0 {
+// dropAttempt removes an attempt from a call of which nothing has been sent. The caller holds c.mu.
+func (c *call) dropAttempt(a *attempt) {
+	if i := slices.Index(c.attempts, a); i >= 0 {
 		c.attempts = slices.Delete(c.attempts, i, i+1)
-		c.reportOutcome(s, result{how: port.Unsent})
+		c.reportOutcome(a, result{how: port.Unsent})
 	}
 	if c.ended = c.ended || len(c.attempts) == 0; c.ended && c.cancelDial != nil {
 		c.cancelDial()
 	}
 }
 
-// startWrite lets the call's bytes go out on a connection; it tells false if none may.
+// startWrite permits the call to be written to a connection. It returns false if the call may not be sent any more.
 func (c *call) startWrite(conn *endpointConn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -295,9 +297,9 @@
 		return false
 	}
 	now := c.pool.clock.now()
-	for _, s := range slices.Clone(c.attempts) {
-		if s.recalled || s.event.request.SendAttempt(now) != nil {
-			c.dropAttempt(s)
+	for _, a := range slices.Clone(c.attempts) {
+		if a.recalled || a.event.request.SendAttempt(now) != nil {
+			c.dropAttempt(a)
 		}
 	}
 	if c.ended {
@@ -305,26 +307,26 @@
 	}
 	c.conn, c.progress, c.sentAt = conn, progressWriting, now
 	conn.expect()
-	for _, s := range c.attempts {
-		c.logAttempt(s, "an attempt goes out", nil)
+	for _, a := range c.attempts {
+		c.logAttempt(a, "sending attempt", nil)
 	}
 	return true
 }
 
-// write writes a call, and tells whether its last byte was written. While nothing of it can be written, for a reason of
-// this machine, it asks each time whether the call may still go out, and which of its sends.
-func (c *call) write(conn *endpointConn, timeout int64) (whole bool, err error) {
-	text := bytebufferpool.Get()
-	defer bytebufferpool.Put(text)
+// write writes the request and reports whether its last byte was written. While not a single byte can be written, for a
+// reason local to this machine, it checks before each retry whether the call, and each of its attempts, may still be sent.
+func (c *call) write(conn *endpointConn, timeout int64) (complete bool, err error) {
+	buf := bytebufferpool.Get()
+	defer bytebufferpool.Put(buf)
 	for pause := callAgain; ; pause = min(2*pause, callAgainMost) {
-		text.Reset()
-		if err := writeCall(text, c.attempts, timeout); err != nil {
-			logs.Part("endpoints").WithError(err).Error("a call cannot be written as HTTP")
+		buf.Reset()
+		if err := writeCall(buf, c.attempts, timeout); err != nil {
+			logs.Part("endpoints").WithError(err).Error("failed to serialize call as HTTP request")
 			return false, err
 		}
-		size, err := conn.WriteUnlessFailing(text.B)
-		if size > 0 || errclass.Stream(err) != errclass.Momentary {
-			return size == text.Len(), err
+		n, err := conn.WriteUnlessFailing(buf.B)
+		if n > 0 || errclass.Stream(err) != errclass.Momentary {
+			return n == buf.Len(), err
 		}
 		momentaryFailures.With("write").Add()
 		c.localFailure.Store(true)
@@ -338,7 +340,8 @@
 	}
 }
 
-// holdWrite notes that no byte of a call has gone out, so that it can be given up and its attempts recalled.
+// holdWrite records that no byte of the call has been written, so that it can be abandoned and its attempts recalled. It
+// returns false if the call has ended or was abandoned.
 func (c *call) holdWrite() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -346,31 +349,31 @@
 		return false
 	}
 	c.progress = progressRecording
-	for _, s := range c.attempts {
-		s.event.request.HoldAttempt()
+	for _, a := range c.attempts {
+		a.event.request.HoldAttempt()
 	}
 	return true
 }
 
-// finishWrite notes whether a call was written to its last byte, and tells whether it was given up meanwhile.
-func (c *call) finishWrite(whole bool) bool {
+// finishWrite records whether the request was written completely, and reports whether the call was abandoned meanwhile.
+func (c *call) finishWrite(complete bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.progress = progressNone; whole {
+	if c.progress = progressNone; complete {
 		c.progress = progressWritten
 	}
 	return c.abandoned
 }
 
-// abandon stops waiting for a call, by closing its connection: the protocol has no other way. A call of several sends is
-// given up as a whole: what becomes of the others would be up to the endpoint.
+// abandon stops waiting for a call by closing its connection; the protocol has no other way to cancel one. A call with
+// several attempts is abandoned as a whole: the endpoint alone would decide what becomes of the remaining ones.
 func (c *call) abandon(how port.Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.ended || c.abandoned {
 		return
 	}
-	if how == port.TimedOut && c.progress == progressWritten && !c.timeoutExtended && c.conn.answerBegun() { // its answer has begun to come
+	if how == port.TimedOut && c.progress == progressWritten && !c.timeoutExtended && c.conn.answerBegun() { // the response has started to arrive
 		c.timeoutExtended = true
 		time.AfterFunc(restWithin, func() { c.abandon(port.TimedOut) })
 		return
@@ -382,25 +385,27 @@
 	if c.conn != nil {
 		c.conn.Close()
 	}
-	if c.progress != progressWriting && c.progress != progressRecording { // told now, it might be called unsent with its last byte gone
+	// While the request is being written, an outcome reported here could be Unsent although the last byte was written.
+	if c.progress != progressWriting && c.progress != progressRecording {
 		c.finishLocked(nil)
 	}
 }
 
-// recall takes a send out of a call of which no byte has gone yet.
-func (c *call) recall(s *attempt) {
+// recall removes an attempt from a call of which no byte has been written yet.
+func (c *call) recall(a *attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case c.ended:
 	case c.progress == progressRecording:
-		s.recalled = true
+		a.recalled = true
 	case c.progress == progressNone:
-		c.dropAttempt(s)
+		c.dropAttempt(a)
 	}
 }
 
-// finish ends a call in which each send fared as told, or all the same; it tells false if it had ended.
+// finish ends a call with one result for each attempt, or one result for all of them. It returns false if the call had
+// already ended.
 func (c *call) finish(results ...result) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -411,47 +416,47 @@
 	return true
 }
 
-// finishLocked tells each send's life how it ended, once. Of a call that was given up, what came since does not
-// count; if its last byte was not written when its connection was closed, it never ran.
+// finishLocked reports the result of each attempt, once. For an abandoned call the results are ignored; if its last byte
+// was not written when its connection was closed, it never ran. The caller holds c.mu.
 func (c *call) finishLocked(results []result) {
 	c.ended = true
-	how := c.abandonOutcome
+	outcome := c.abandonOutcome
 	switch {
 	case c.progress == progressWriting || c.progress == progressWritten:
-	case how == port.TimedOut && c.progress == progressNone && !c.localFailure.Load():
-		how = port.ConnectFailed
+	case outcome == port.TimedOut && c.progress == progressNone && !c.localFailure.Load():
+		outcome = port.ConnectFailed
 	default:
-		how = port.Unsent
+		outcome = port.Unsent
 	}
-	for i, s := range c.attempts {
-		r := result{how: how}
+	for i, a := range c.attempts {
+		r := result{how: outcome}
 		if !c.abandoned {
 			r = results[min(i, len(results)-1)]
 		}
-		c.reportOutcome(s, r)
+		c.reportOutcome(a, r)
 	}
 }
 
-// reportOutcome tells a send's life how it ended.
-func (c *call) reportOutcome(s *attempt, r result) {
-	r.took = c.pool.clock.now() - s.startedAt
-	c.logAttempt(s, "an attempt ended", logrus.Fields{"outcome": r.how.String(), "took_ms": r.took / 1e6, "wait_ms": r.wait / 1e6})
+// reportOutcome logs, counts and records the result of an attempt and passes it to the goroutine that handles the event.
+func (c *call) reportOutcome(a *attempt, r result) {
+	r.took = c.pool.clock.now() - a.startedAt
+	c.logAttempt(a, "attempt finished", logrus.Fields{"outcome": r.how.String(), "took_ms": r.took / 1e6, "wait_ms": r.wait / 1e6})
 	attemptsEnded.With(r.how.String()).Add()
 	if r.confirm != nil && !r.how.MayHaveRun() && !r.over {
-		s.event.request.FinishRefused()
+		a.event.request.FinishRefused()
 	} else {
-		s.event.request.FinishAttempt(r.how.MayHaveRun() && c.progress != progressNone && c.progress != progressRecording)
+		a.event.request.FinishAttempt(r.how.MayHaveRun() && c.progress != progressNone && c.progress != progressRecording)
 	}
-	s.event.steps <- step{what: stepOutcome, send: s, result: r}
+	a.event.steps <- step{what: stepOutcome, send: a, result: r}
 }
 
-// logAttempt writes a line about an attempt, with the connection that it goes out on.
-func (c *call) logAttempt(s *attempt, message string, fields logrus.Fields) {
+// logAttempt logs a message about an attempt, with the connection that carries it.
+func (c *call) logAttempt(a *attempt, message string, fields logrus.Fields) {
 	if !logs.Debugging() {
 		return
 	}
-	line := logs.Event("endpoints", s.event.id).WithFields(fields).
-		WithFields(logrus.Fields{"attempt": s.number, "endpoint": c.endpoint})
+	line := logs.Event("endpoints", a.event.id).WithFields(fields).
+		WithFields(logrus.Fields{"attempt": a.number, "endpoint": c.endpoint})
 	if c.conn != nil {
 		line = line.WithFields(logrus.Fields{"connection": c.conn.id, "call": c.conn.callCount})
 	}
--- a/node/confirmation.go
+++ b/node/confirmation.go
@@ -27,8 +27,8 @@
 		"Connections to endpoints on which an answer came that no call waited for.")
 )
 
-// confirmation follows an outcome whose answer may be another call's, until the connection shows that it was in step, or
-// until that can no longer show.
+// confirmation tracks an outcome whose response may belong to another call. It is settled once the connection is found to
+// have been in sync, or once that can no longer be determined.
 type confirmation struct {
 	conn        *endpointConn
 	id          string
@@ -42,42 +42,44 @@
 	onSettled func(confirmed bool)
 }
 
-// whenSettled has a function called once, with whether the outcome is confirmed. It may be called at once.
-func (c *confirmation) whenSettled(then func(confirmed bool)) {
+// whenSettled registers a function that is called once, with whether the outcome is confirmed. If the outcome is already
+// settled, the function is called immediately.
+func (c *confirmation) whenSettled(onSettled func(confirmed bool)) {
 	c.mu.Lock()
-	c.onSettled = then
+	c.onSettled = onSettled
 	settled := c.settled
 	c.mu.Unlock()
 	if settled {
-		then(c.confirmed)
+		onSettled(c.confirmed)
 	}
 }
 
-// settle ends the following; only the first call counts.
-func (c *confirmation) settle(result bool, reason string) {
+// settle ends the tracking. Only the first call has an effect.
+func (c *confirmation) settle(confirmed bool, reason string) {
 	c.mu.Lock()
 	if c.settled {
 		c.mu.Unlock()
 		return
 	}
-	c.settled, c.confirmed = true, result
-	then := c.onSettled
+	c.settled, c.confirmed = true, confirmed
+	onSettled := c.onSettled
 	c.mu.Unlock()
 	if c.timer != nil {
 		c.timer.Stop()
 	}
-	word := resultDoubted
-	if result {
-		word = resultConfirmed
+	result := resultDoubted
+	if confirmed {
+		result = resultConfirmed
 	}
-	unconfirmedOutcomes.With(word).Add()
-	c.logResult(word, reason)
-	if then != nil {
-		then(result)
+	unconfirmedOutcomes.With(result).Add()
+	c.logResult(result, reason)
+	if onSettled != nil {
+		onSettled(confirmed)
 	}
 }
 
-// logResult writes what came of the outcome: a doubt may end in a notice that operators wonder at.
+// logResult logs the result. A doubted outcome is logged at info level, because it may lead to a notice that
+// operators ask about.
 func (c *confirmation) logResult(result, reason string) {
 	level := logrus.DebugLevel
 	if result == resultDoubted {
@@ -87,17 +89,18 @@
 		return
 	}
 	logs.Event("endpoints", c.id).WithFields(logrus.Fields{"connection": c.conn.id, "endpoint": c.conn.endpoint,
-		"outcome": c.outcome.String(), "result": result, "reason": reason}).Log(level, "an outcome from an answer that may be another call's")
+		"outcome": c.outcome.String(), "result": result, "reason": reason}).Log(level, "settled outcome of a response that may belong to another call")
 }
 
-// settlement is a confirmation that is to be settled once no lock is held.
+// settlement is a confirmation that is to be settled once the pool's lock is released.
 type settlement struct {
 	*confirmation
 	confirmed bool
 	reason    string
 }
 
-// unlockAndSettle gives the lock up and settles what was found out while it was held.
+// unlockAndSettle releases p.mu and settles the outcomes that were decided while it was held. Their callbacks do not
+// run under the lock.
 func (p *endpointPool) unlockAndSettle() {
 	settled := p.toSettle
 	p.toSettle = nil
@@ -107,27 +110,28 @@
 	}
 }
 
-// trackOutcome begins to trackOutcome an outcome of a send on a connection.
-func (p *endpointPool) trackOutcome(conn *endpointConn, s *attempt, how port.Outcome) *confirmation {
+// trackOutcome starts to track an outcome of an attempt on a connection.
+func (p *endpointPool) trackOutcome(conn *endpointConn, a *attempt, outcome port.Outcome) *confirmation {
 	now := p.clock.now()
-	c := &confirmation{conn: conn, id: s.event.id, outcome: how, respondedAt: now}
+	c := &confirmation{conn: conn, id: a.event.id, outcome: outcome, respondedAt: now}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	conn.unconfirmed = append(conn.unconfirmed, c)
 	p.unconfirmed++
-	hold := reuse.HoldUntil(s.startedAt, s.timeout, s.event.due) - now
+	hold := reuse.HoldUntil(a.startedAt, a.timeout, a.event.due) - now
 	c.timer = time.AfterFunc(time.Duration(max(hold, 0)), func() { p.holdExpired(c) })
 	return c
 }
 
-// markInSync notes that a connection that carries a call is in step: its answer named the call's requests.
+// markInSync records that a connection carrying a call is in sync: the response named the requests of that call.
 func (p *endpointPool) markInSync(conn *endpointConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	conn.inSyncAt = p.clock.now()
 }
 
-// holdExpired settles an outcome that was held for long enough: it is confirmed if its connection has been in step since.
+// holdExpired settles an outcome whose hold time has passed. It is confirmed if its connection was found to be in sync
+// since the response.
 func (p *endpointPool) holdExpired(c *confirmation) {
 	p.mu.Lock()
 	defer p.unlockAndSettle()
@@ -135,20 +139,20 @@
 	for i, other := range c.conn.unconfirmed {
 		if other == c {
 			c.conn.unconfirmed = slices.Delete(c.conn.unconfirmed, i, i+1)
-			p.queueSettlement(c, c.respondedAt <= c.conn.inSyncAt, "held_for_long_enough")
+			p.queueSettlement(c, c.respondedAt <= c.conn.inSyncAt, "hold_expired")
 			return
 		}
 	}
 }
 
-// queueSettlement notes what came of an outcome; the lock is held.
-func (p *endpointPool) queueSettlement(c *confirmation, result bool, reason string) {
+// queueSettlement queues the result of an outcome until the lock is released. The caller holds p.mu.
+func (p *endpointPool) queueSettlement(c *confirmation, confirmed bool, reason string) {
 	p.unconfirmed--
-	p.toSettle = append(p.toSettle, settlement{c, result, reason})
+	p.toSettle = append(p.toSettle, settlement{c, confirmed, reason})
 }
 
-// checkIdle finds out whether a connection that rests is in step; the lock is held. One that holds unread bytes, or has ended,
-// is closed.
+// checkIdle reports whether an idle connection is still usable, and updates whether it is in sync. A connection that has
+// unread bytes or was closed by the remote side is closed. The caller holds p.mu.
 func (p *endpointPool) checkIdle(conn *endpointConn) (usable bool) {
 	if !conn.idle {
 		return false
@@ -165,16 +169,16 @@
 	return true
 }
 
-// closeLocked closes a connection for a reason, and settles the outcomes that it told; the lock is held. Where an answer came
-// that no call waited for, all of them are in doubt: which calls they belong to cannot be told.
+// closeLocked closes a connection for a reason and settles the outcomes read on it. If a response arrived that no call was
+// waiting for, all of them are doubted, since it is unknown which calls the responses belong to. The caller holds p.mu.
 func (p *endpointPool) closeLocked(conn *endpointConn, reason closeReason) {
 	conn.closeWithReason(reason)
-	surplus := reason == closeSurplus || reason == closeUnread
-	if surplus && conn.callCount > 0 {
+	unexpected := reason == closeSurplus || reason == closeUnread
+	if unexpected && conn.callCount > 0 {
 		p.recordOutOfSync(conn, reason)
 	}
 	for _, c := range conn.unconfirmed {
-		p.queueSettlement(c, !surplus && c.respondedAt <= conn.inSyncAt, string(reason))
+		p.queueSettlement(c, !unexpected && c.respondedAt <= conn.inSyncAt, string(reason))
 	}
 	conn.unconfirmed = nil
 }
@@ -183,11 +187,11 @@
 	outOfSyncConnections.Add()
 	p.reuse[conn.endpoint].OutOfStep(p.clock.now())
 	logs.Part("endpoints").WithFields(logrus.Fields{"connection": conn.id, "endpoint": p.names[conn.endpoint], "calls": conn.callCount,
-		"in_doubt": len(conn.unconfirmed), "reason": string(reason)}).Warn("an answer came that no call waits for")
+		"unconfirmed": len(conn.unconfirmed), "reason": string(reason)}).Warn("received a response that no call is waiting for")
 }
 
-// settleIdle settles the outcomes of connections that rest and are in step. With all, the others are settled too, as
-// in doubt.
+// settleIdle settles the outcomes of idle connections that are in sync. If all is set, the other outcomes of idle
+// connections are settled too, as doubted.
 func (p *endpointPool) settleIdle(all bool) {
 	p.mu.Lock()
 	defer p.unlockAndSettle()
@@ -196,27 +200,27 @@
 			if len(conn.unconfirmed) == 0 || !p.checkIdle(conn) {
 				continue
 			}
-			kept := conn.unconfirmed[:0]
+			remaining := conn.unconfirmed[:0]
 			for _, c := range conn.unconfirmed {
-				if proven := c.respondedAt <= conn.inSyncAt; proven || all {
-					p.queueSettlement(c, proven, "the_process_ends")
+				if inSync := c.respondedAt <= conn.inSyncAt; inSync || all {
+					p.queueSettlement(c, inSync, "shutdown")
 				} else {
-					kept = append(kept, c)
+					remaining = append(remaining, c)
 				}
 			}
-			conn.unconfirmed = kept
+			conn.unconfirmed = remaining
 		}
 	}
 }
 
-// unconfirmedCount counts the outcomes that are followed.
+// unconfirmedCount returns the number of tracked outcomes that are not settled yet.
 func (p *endpointPool) unconfirmedCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.unconfirmed
 }
 
-// provisionalCompletion is the end of an event that an answer brought which may be another call's.
+// provisionalCompletion is the completion of an event by a response that may belong to another call.
 type provisionalCompletion struct {
 	node    *Node
 	id      string
@@ -226,7 +230,8 @@
 	record  *store.Receipt
 }
 
-// settle ends the event: nothing more is owed if the answer was its own, else a notice, which does no harm if it was.
+// settle completes the event. If the response is confirmed as its own, nothing more is owed; otherwise the platform is sent
+// a notice, which does no harm if the event was delivered after all.
 func (e *provisionalCompletion) settle(confirmed bool) {
 	if confirmed {
 		e.request.Confirm()
@@ -240,7 +245,8 @@
 	go e.notifyUndeliverable()
 }
 
-// notifyUndeliverable tells the platform that the event was not delivered, once a restart would respect it.
+// notifyUndeliverable notifies the platform that the event was not delivered. It waits until this is recorded or the event's
+// deadline has passed, so that a restart cannot send the event again after the notice.
 func (e *provisionalCompletion) notifyUndeliverable() {
 	written := false
 	if !e.request.MayTell(e.node.clock.now(), false) {
--- a/node/endpointconn.go
+++ b/node/endpointconn.go
@@ -13,21 +13,21 @@
 	"jaspersill/metrics"
 )
 
-// closeReason is why a connection to an endpoint or to the platform is closed.
+// closeReason is why a connection to an endpoint or to the platform is closed. Its values are metric labels.
 type closeReason string
 
 const (
-	closeIdle      closeReason = "idle"      // it rested for as long as the other side allows
-	closeUnread    closeReason = "unread"    // bytes came that no call waits for
-	closeEnded     closeReason = "ended"     // the other side closed or reset it while it rested
-	closeMoved     closeReason = "moved"     // the endpoint has another address, or none any more
-	closePolicy    closeReason = "policy"    // the decision module keeps none there for now
-	closeFull      closeReason = "full"      // as many rest as may
-	closeGivenUp   closeReason = "given_up"  // its call timed out, was cancelled or recalled
-	closeBroken    closeReason = "broken"    // it broke under a call
-	closeAnswer    closeReason = "answer"    // the answer says so, or cannot be read to its end
-	closeSurplus   closeReason = "surplus"   // more came than one answer
-	closeUnwritten closeReason = "unwritten" // its call could not be written as HTTP
+	closeIdle      closeReason = "idle"      // the remote side's idle timeout is about to expire
+	closeUnread    closeReason = "unread"    // bytes arrived while no call was waiting for a response
+	closeEnded     closeReason = "ended"     // the remote side closed or reset it while it was idle
+	closeMoved     closeReason = "moved"     // the endpoint's address changed or was removed
+	closePolicy    closeReason = "policy"    // the decision module asked to close idle connections to the endpoint
+	closeFull      closeReason = "full"      // the pool holds its maximum number of idle connections
+	closeGivenUp   closeReason = "given_up"  // its call timed out, or was cancelled or recalled
+	closeBroken    closeReason = "broken"    // it failed during a call
+	closeAnswer    closeReason = "answer"    // the response asks for it, or could not be read to its end
+	closeSurplus   closeReason = "surplus"   // data other than the call's own response arrived
+	closeUnwritten closeReason = "unwritten" // its call could not be serialized as HTTP
 )
 
 var (
@@ -46,7 +46,8 @@
 	connectionReused = "kept"
 )
 
-// newConnectionID numbers the connections of a process, of all kinds, for its log.
+// newConnectionID returns the next number in one sequence for all connections of the process. It identifies a connection
+// in the logs.
 func newConnectionID() uint64 { return lastConnectionID.Add(1) }
 
 // endpointConn is a connection to an endpoint. It carries one call at a time.
@@ -55,15 +56,15 @@
 	id         uint64
 	endpoint   int32
 	reader     *replyReader
-	address    string // the address it goes to
+	address    string // the remote address
 	lastUsedAt int64  // when its last call ended
 	callCount  int
 	responses  lifecycle.AnswerSequence
 
-	// These belong to endpoints, under its lock.
-	idle        bool            // it is among the idle ones
-	inSyncAt    int64           // it was in step then, and all that it told before is its calls' own
-	unconfirmed []*confirmation // of outcomes that it told, and that are not settled
+	// The fields below are guarded by endpointPool.mu.
+	idle        bool            // it is in the pool's list of idle connections
+	inSyncAt    int64           // the last time it was known to be in sync: every response read until then belonged to its call
+	unconfirmed []*confirmation // outcomes read on this connection that are not settled yet
 }
 
 func newEndpointConn(conn *retryConn, endpoint int32, address string) *endpointConn {
@@ -71,7 +72,7 @@
 	return &endpointConn{retryConn: conn, id: newConnectionID(), endpoint: endpoint, reader: newReplyReader(conn), address: address}
 }
 
-// countCall notes a call on the connection.
+// countCall counts a call on the connection.
 func (c *endpointConn) countCall() {
 	c.callCount++
 	if c.callCount == 1 {
@@ -81,37 +82,38 @@
 	}
 }
 
-// attribute tells how sure it is that an answer is the newest call's. One that could not be read decides nothing.
-func (c *endpointConn) attribute(answer reply) lifecycle.Attribution {
+// attribute returns whether a response certainly belongs to the latest call. A response that could not be read decides
+// nothing and counts as certain.
+func (c *endpointConn) attribute(response reply) lifecycle.Attribution {
 	switch {
-	case answer.cut:
+	case response.cut:
 		return c.responses.ReadCut()
-	case answer.identity.Digest == 0:
+	case response.identity.Digest == 0:
 		return lifecycle.Certain
 	}
-	return c.responses.Read(answer.identity)
+	return c.responses.Read(response.identity)
 }
 
-// closeWithReason closes the connection for a reason, and counts it.
+// closeWithReason closes the connection, and logs and counts the reason.
 func (c *endpointConn) closeWithReason(reason closeReason) {
 	connectionsClosed.With(string(reason)).Add()
 	if logs.Debugging() {
 		logs.Part("endpoints").WithFields(logrus.Fields{"connection": c.id, "endpoint": c.endpoint, "calls": c.callCount,
-			"reason": string(reason)}).Debug("a connection is closed")
+			"reason": string(reason)}).Debug("closing endpoint connection")
 	}
 	c.Close()
 }
 
-// idleConnState is what a connection shows on which nothing is waited for.
+// idleConnState is the state of a connection on which no response is expected.
 type idleConnState uint8
 
 const (
-	idleConnOpen   idleConnState = iota // it stands, and nothing is unread
-	idleConnUnread                      // bytes came
-	idleConnClosed                      // the other side closed or reset it, or it cannot be told
+	idleConnOpen   idleConnState = iota // open, with no unread bytes
+	idleConnUnread                      // unread bytes have arrived
+	idleConnClosed                      // the remote side closed or reset it, or its state is unknown
 )
 
-// closeReason is why a connection in this state is not used any more.
+// closeReason returns why a connection in this state is closed.
 func (s idleConnState) closeReason() closeReason {
 	if s == idleConnUnread {
 		return closeUnread
@@ -119,16 +121,16 @@
 	return closeEnded
 }
 
-// inspectIdleConn looks at a connection without waiting and without reading from it.
+// inspectIdleConn returns the state of a connection without blocking and without consuming bytes from it.
 func inspectIdleConn(c net.Conn) idleConnState {
 	raw, err := c.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return idleConnClosed
 	}
 	state := idleConnClosed
-	err = raw.Read(func(descriptor uintptr) bool {
-		var one [1]byte
-		n, _, err := syscall.Recvfrom(int(descriptor), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	err = raw.Read(func(fd uintptr) bool {
+		var buf [1]byte
+		n, _, err := syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case errors.Is(err, syscall.EAGAIN):
 			state = idleConnOpen
--- a/node/endpointpool.go
+++ b/node/endpointpool.go
@@ -13,50 +13,51 @@
 )
 
 const (
-	idleMargin = int64(1e9) // ns by which an idle connection is closed before the endpoint would: the way there
+	idleMargin         = int64(1e9) // ns; idle connections are closed this long before the endpoint would, to allow for network delay
 	idleSweepInterval  = time.Second
-	responseBufferSize  = 4096 // bytes of a connection's read buffer: an answer is a few lines
+	responseBufferSize = 4096 // read buffer of a connection, in bytes: a response is a few lines
 )
 
-// endpointPool keeps the connections to endpointPool. A connection carries one call at a time.
+// endpointPool holds the connections to all endpoints. A connection carries one call at a time.
 type endpointPool struct {
-	clock    clock
-	journal  *journal
-	dial     dialFunc
-	idleTimeout  int64 // ns after which an endpoint closes an idle connection
-	maxIdle int   // idle connections in all
-
-	activeCalls atomic.Int32 // calls
-
-	mu         sync.Mutex
-	stalledReads map[uint32]int // by destination, answers that may have come and cannot be read for a moment
-	addresses      []string       // by endpoint
-	sites      []string
-	names      []string
-	reuse      []reuse.Endpoint
-	refusals   reuse.Refusals
-	callsByEndpoint       []int             // calls that know its index
-	idle       [][]*endpointConn // by endpoint, the one used last at the end
-	idleCount      int
-	unconfirmed    int          // outcomes that are followed
-	toSettle    []settlement // found out while the lock is held
-}
-
-// updateEndpoint learns where an endpoint is now; idle connections to where it was are closed.
-func (p *endpointPool) updateEndpoint(ep int32, name, site, dial string) {
+	clock       clock
+	journal     *journal
+	dial        dialFunc
+	idleTimeout int64 // ns after which an endpoint closes an idle connection, 0 if it does not
+	maxIdle     int   // idle connections to all endpoints together
+
+	activeCalls atomic.Int32
+
+	mu              sync.Mutex
+	stalledReads    map[uint32]int // by destination, connections on which reads fail for a reason local to this machine
+	addresses       []string       // by endpoint
+	sites           []string
+	names           []string
+	reuse           []reuse.Endpoint
+	refusals        reuse.Refusals
+	callsByEndpoint []int             // by endpoint, calls that refer to its index
+	idle            [][]*endpointConn // by endpoint, the most recently used last
+	idleCount       int
+	unconfirmed     int          // tracked outcomes that are not settled yet
+	toSettle        []settlement // outcomes decided while the lock is held, settled after it is released
+}
+
+// updateEndpoint sets the name, site and address of an endpoint. If the address changed, it closes the idle connections
+// to the previous one.
+func (p *endpointPool) updateEndpoint(ep int32, name, site, address string) {
 	p.mu.Lock()
 	defer p.unlockAndSettle()
 	for int(ep) >= len(p.addresses) {
 		p.addresses, p.sites, p.names = append(p.addresses, ""), append(p.sites, ""), append(p.names, "")
 		p.idle, p.callsByEndpoint, p.reuse = append(p.idle, nil), append(p.callsByEndpoint, 0), append(p.reuse, reuse.Endpoint{})
 	}
-	if p.names[ep], p.sites[ep] = name, site; p.addresses[ep] != dial {
-		p.addresses[ep] = dial
+	if p.names[ep], p.sites[ep] = name, site; p.addresses[ep] != address {
+		p.addresses[ep] = address
 		p.closeIdleLocked(ep, closeMoved)
 	}
 }
 
-// callStarted notes a call that knows the endpoint's index, until callEnds.
+// callStarted counts a call that refers to the endpoint's index until callFinished.
 func (p *endpointPool) callStarted(ep int32) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -71,8 +72,8 @@
 	p.activeCalls.Add(-1)
 }
 
-// release empties the place of an endpoint that is removed, for the next one. It tells false while a call is out, whose
-// answer, or connection, would pass for the next one's.
+// release clears the slot of a removed endpoint so that its index can be reused. It returns false while a call is in
+// flight, since that call's response or connection would be attributed to the next endpoint with this index.
 func (p *endpointPool) release(ep int32) bool {
 	p.mu.Lock()
 	defer p.unlockAndSettle()
@@ -90,7 +91,7 @@
 	p.closeIdleLocked(ep, closePolicy)
 }
 
-// closeIdleLocked closes the idle connections to an endpoint; the lock is held.
+// closeIdleLocked closes the idle connections to an endpoint. The caller holds p.mu.
 func (p *endpointPool) closeIdleLocked(ep int32, reason closeReason) {
 	list := p.idle[ep]
 	p.idleCount -= len(list)
@@ -101,7 +102,7 @@
 	}
 }
 
-// removeIdle takes a connection out of the idle ones; the lock is held.
+// removeIdle removes a connection from the idle ones. The caller holds p.mu.
 func (p *endpointPool) removeIdle(conn *endpointConn) {
 	list := p.idle[conn.endpoint]
 	if i := slices.Index(list, conn); i >= 0 {
@@ -111,8 +112,8 @@
 	conn.idle = false
 }
 
-// closeExpired closes the connections that have been idle for so long that the endpoint is about to, and those that it has
-// closed or written to.
+// closeExpired closes the idle connections that the endpoint is about to close, and those that it has closed or written
+// to.
 func (p *endpointPool) closeExpired(now int64) {
 	p.mu.Lock()
 	defer p.unlockAndSettle()
@@ -130,8 +131,8 @@
 	return p.idleTimeout > 0 && now-c.lastUsedAt >= max(p.idleTimeout-idleMargin, p.idleTimeout/2)
 }
 
-// takeIdle takes an idle connection for a call, nil for none, and tells the address to connect to. A call on a connection that
-// the endpoint has closed, or is about to close, may have run for all that is known.
+// takeIdle returns an idle connection for a call, or nil, and the address to connect to. It does not return one that
+// the endpoint has closed or is about to close: whether a call on such a connection has run would be unknown.
 func (p *endpointPool) takeIdle(ep int32, repeatable bool) (*endpointConn, string) {
 	p.mu.Lock()
 	defer p.unlockAndSettle()
@@ -157,7 +158,8 @@
 	}
 }
 
-// recordRefusal takes in a refusal on a connection that was refused something before.
+// recordRefusal updates the refusal statistics with a refusal on a connection that had carried one before. alike tells
+// whether it may be a copy of an earlier response.
 func (p *endpointPool) recordRefusal(alike bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -177,7 +179,8 @@
 	return p.sites[ep]
 }
 
-// putIdle puts a connection back, unless idle ones would take the descriptors that clients need.
+// putIdle returns a connection to the pool after a call that took the given time. The connection is closed instead if the
+// endpoint has moved, or if the pool is full: more idle connections would take the file descriptors that clients need.
 func (p *endpointPool) putIdle(c *endpointConn, took int64) {
 	p.mu.Lock()
 	defer p.unlockAndSettle()
@@ -195,7 +198,7 @@
 	p.idleCount++
 }
 
-// setStalled notes that an answer of a destination cannot be read for a moment, or that it can again.
+// setStalled records that a response from a destination temporarily cannot be read, or that it can be read again.
 func (p *endpointPool) setStalled(dest uint32, on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -209,19 +212,19 @@
 	}
 }
 
-// stalled tells whether an answer of a destination cannot be read: it may tell to wait.
+// stalled reports whether a response from a destination temporarily cannot be read. Such a response may ask for a wait.
 func (p *endpointPool) stalled(dest uint32) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.stalledReads[dest] > 0
 }
 
-// connect opens a connection, for as long as ctx lasts. local tells meanwhile whether this machine is what keeps it
-// from coming up.
-func (p *endpointPool) connect(ctx context.Context, ep int32, address string, local *atomic.Bool) (*endpointConn, error) {
+// connect opens a connection. While connecting fails for a reason local to this machine, it retries until ctx ends;
+// localFailure holds whether the latest try failed for such a reason.
+func (p *endpointPool) connect(ctx context.Context, ep int32, address string, localFailure *atomic.Bool) (*endpointConn, error) {
 	dial := func(ctx context.Context, address string) (net.Conn, error) {
 		conn, err := p.dial(ctx, address)
-		local.Store(errclass.Socket(err) == errclass.Momentary)
+		localFailure.Store(errclass.Socket(err) == errclass.Momentary)
 		return conn, err
 	}
 	conn, err := dialAgain(ctx, dial, address)
@@ -231,15 +234,15 @@
 	return newEndpointConn(conn, ep, address), nil
 }
 
-// newDialer connects for so long, 0 for no limit but the call's own.
-func newDialer(within int64) dialFunc {
-	d := net.Dialer{KeepAlive: -1, Timeout: time.Duration(within)}
+// newDialer returns a dial function with a timeout in nanoseconds; 0 means that only the call's own timeout applies.
+func newDialer(timeout int64) dialFunc {
+	d := net.Dialer{KeepAlive: -1, Timeout: time.Duration(timeout)}
 	return func(ctx context.Context, address string) (net.Conn, error) {
 		return d.DialContext(ctx, "tcp", address)
 	}
 }
 
-// sweepIdle closes idle connections in time, until stop.
+// sweepIdle closes expired idle connections periodically until stop is closed.
 func (p *endpointPool) sweepIdle(stop <-chan struct{}) {
 	tick := time.NewTicker(idleSweepInterval)
 	defer tick.Stop()
--- a/node/notices.go
+++ b/node/notices.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	noticeTimeout        = 250 * time.Millisecond // a notice is answered at once; a repeat does no harm
-	noticeRetryInterval  = 50 * time.Millisecond  // between tries: a notice is overdue after 300 ms
-	maxNoticesPerPost    = 200                    // lines in one notice: some 12 kB
-	spareCheckInterval   = time.Second            // between looks at whether the unused connection still stands
-	noticeReadBufferSize = 1024                   // bytes: an answer is a line or two
+	noticeTimeout        = 250 * time.Millisecond // the platform answers a notice immediately; repeating one does no harm
+	noticeRetryInterval  = 50 * time.Millisecond  // between tries; a notice is overdue after 300 ms
+	maxNoticesPerPost    = 200                    // lines in one request body, about 12 kB
+	spareCheckInterval   = time.Second            // between checks that the spare connection is still open
+	noticeReadBufferSize = 1024                   // bytes; a response is a line or two
 
 	noticeAcknowledged = "told"
 	noticeUnverified   = "unsure"
@@ -37,32 +37,33 @@
 	noticeConnections = metrics.New("jaspersill_notice_connections_total", "Connections opened to the platform for notices.")
 )
 
-// notice tells the platform how an event ended that was taken on and not delivered.
+// notice tells the platform how an event ended that was accepted but not delivered.
 type notice struct {
 	id             string
 	verdict        verdict
-	retryAfter     int64  // when to come back, 0 for nothing told
-	onAcknowledged func() // is called once the platform has surely read it
+	retryAfter     int64  // ns after which the client may retry, 0 if none is given
+	onAcknowledged func() // called once the platform has certainly read the notice
 }
 
-// noticeSender tells the platform of ends until it has surely heard.
+// noticeSender posts notices to the platform and repeats each one until it is certainly acknowledged.
 //
-// An answer to a notice names none, so only the first one on a connection is believed: a connection carries one post
-// that counts, and the next one stands open before it is needed. The connection used last is kept for the time in which
-// no other can be opened. A post on it most likely reaches the platform, and is made again on a new one.
+// A response does not name the notices it acknowledges, so only the first response on a connection is trusted. Each
+// acknowledged post therefore needs a connection of its own, and the next one, the spare, is opened before it is needed.
+// The last used connection is kept for times when no new one can be opened: a post on it most likely reaches the
+// platform, and is repeated on a new connection.
 type noticeSender struct {
 	wake chan struct{}
 
 	mu            sync.Mutex
-	timeout       time.Duration // that the platform has to answer
-	retryInterval time.Duration // until one that failed is told again
+	timeout       time.Duration // for the platform's response
+	retryInterval time.Duration // before a failed post is repeated
 	queue         []notice
 	address       string
-	addressCtx    context.Context // of the connections to this address
+	addressCtx    context.Context // lifetime of the connections to this address
 	cancelAddress context.CancelFunc
-	spare         *platformConn // open, and never used
-	lastUsed      *platformConn // what was used last
-	unverified    int           // notices at the head of the queue that were posted on a connection used before
+	spare         *platformConn // open and unused, nil if there is none
+	lastUsed      *platformConn // the connection used last, nil if there is none
+	unverified    int           // notices at the head of the queue that were posted on lastUsed
 }
 
 // platformConn is a connection to the platform for notices.
@@ -85,14 +86,15 @@
 	return n
 }
 
-// setTimeouts changes how long a notice may take, from the next one on.
-func (n *noticeSender) setTimeouts(within, again time.Duration) {
+// setTimeouts sets the response timeout and the retry interval, starting with the next post.
+func (n *noticeSender) setTimeouts(timeout, retryInterval time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.timeout, n.retryInterval = within, again
+	n.timeout, n.retryInterval = timeout, retryInterval
 }
 
-// setAddress tells the platform at another address from now on. What hangs at the old one is broken off, and told again.
+// setAddress changes the address of the platform. Posts in progress to the old address are aborted and repeated at the
+// new one.
 func (n *noticeSender) setAddress(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -104,7 +106,6 @@
 	n.address, n.spare, n.lastUsed, n.unverified = address, nil, nil, 0
 }
 
-// enqueue queues a notice.
 func (n *noticeSender) enqueue(next notice) {
 	n.mu.Lock()
 	n.queue = append(n.queue, next)
@@ -115,73 +116,73 @@
 	}
 }
 
-// run sends notices for as long as the process lasts.
+// run posts queued notices until stop is closed.
 func (n *noticeSender) run(stop <-chan struct{}) {
-	telling := trouble{part: "notices", what: "telling the platform"}
-	look := time.NewTicker(spareCheckInterval)
-	defer look.Stop()
+	failures := trouble{part: "notices", what: "posting notices to the platform"}
+	spareCheck := time.NewTicker(spareCheckInterval)
+	defer spareCheck.Stop()
 	go n.ensureSpare()
 	for {
 		select {
 		case <-stop:
 			return
-		case <-look.C:
+		case <-spareCheck.C:
 			go n.ensureSpare()
 			continue
 		case <-n.wake:
 		}
 		for {
-			part, again := n.nextBatch()
-			if len(part) == 0 {
+			batch, retryInterval := n.nextBatch()
+			if len(batch) == 0 {
 				break
 			}
-			err := n.postBatch(part)
-			telling.note(err)
+			err := n.postBatch(batch)
+			failures.note(err)
 			if err == nil {
-				n.acknowledge(part)
+				n.acknowledge(batch)
 				continue
 			}
 			select {
 			case <-stop:
 				return
-			case <-time.After(again):
+			case <-time.After(retryInterval):
 			}
 		}
 	}
 }
 
-// nextBatch is what is told nextBatch, and how long to wait if that fails.
-func (n *noticeSender) nextBatch() (part []notice, again time.Duration) {
+// nextBatch returns the notices to post next, and how long to wait before a retry if that fails.
+func (n *noticeSender) nextBatch() (batch []notice, retryInterval time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.queue[:min(len(n.queue), maxNoticesPerPost)], n.retryInterval
 }
 
-// acknowledge notes that notices at the head of the queue are told.
-func (n *noticeSender) acknowledge(part []notice) {
-	for _, told := range part {
-		told.onAcknowledged()
+// acknowledge removes acknowledged notices from the head of the queue and runs their callbacks.
+func (n *noticeSender) acknowledge(batch []notice) {
+	for _, acknowledged := range batch {
+		acknowledged.onAcknowledged()
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.queue = append([]notice(nil), n.queue[len(part):]...)
-	n.unverified = max(0, n.unverified-len(part))
+	n.queue = append([]notice(nil), n.queue[len(batch):]...)
+	n.unverified = max(0, n.unverified-len(batch))
 }
 
-// postBatch posts notices on a connection that was never used. Where none stands open, they go out on the one used last
-// meanwhile, since opening one may take too long, or fail.
-func (n *noticeSender) postBatch(part []notice) error {
+// postBatch posts notices on an unused connection. If there is no spare one, they are meanwhile also posted on the last
+// used connection, since opening a new one may take too long or fail.
+func (n *noticeSender) postBatch(batch []notice) error {
 	conn := n.takeSpare()
 	if conn == nil {
-		go n.postUnverified(part)
+		go n.postUnverified(batch)
 		var err error
 		if conn, err = n.connect(); err != nil {
 			return err
 		}
 	}
-	sent, err := n.exchange(conn, part)
+	sent, err := n.exchange(conn, batch)
 	if err != nil {
-		n.logPost(conn, part, noticeFailed, err)
+		n.logPost(conn, batch, noticeFailed, err)
 		if !sent {
 			n.keepSpare(conn)
 			return err
@@ -190,26 +191,27 @@
 		go n.ensureSpare()
 		return err
 	}
-	n.logPost(conn, part, noticeAcknowledged, nil)
+	n.logPost(conn, batch, noticeAcknowledged, nil)
 	n.keepLastUsed(conn)
 	go n.ensureSpare()
 	return nil
 }
 
-// postUnverified posts those notices on the connection used last that have not gone out on it yet. They count as not told.
-func (n *noticeSender) postUnverified(part []notice) {
+// postUnverified posts those notices on the last used connection that were not yet posted on it. They do not count as
+// acknowledged, since the response may be a copy of an earlier one.
+func (n *noticeSender) postUnverified(batch []notice) {
 	n.mu.Lock()
 	conn := n.lastUsed
-	if conn == nil || n.unverified >= len(part) {
+	if conn == nil || n.unverified >= len(batch) {
 		n.mu.Unlock()
 		return
 	}
-	part = part[n.unverified:]
-	n.unverified += len(part)
+	batch = batch[n.unverified:]
+	n.unverified += len(batch)
 	n.lastUsed = nil
 	n.mu.Unlock()
-	sent, err := n.exchange(conn, part)
-	n.logPost(conn, part, noticeUnverified, err)
+	sent, err := n.exchange(conn, batch)
+	n.logPost(conn, batch, noticeUnverified, err)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if err != nil {
@@ -222,21 +224,21 @@
 	n.lastUsed = conn
 }
 
-func (n *noticeSender) logPost(conn *platformConn, part []notice, result string, err error) {
+func (n *noticeSender) logPost(conn *platformConn, batch []notice, result string, err error) {
 	noticePosts.With(result).Add()
 	if !logs.Debugging() {
 		return
 	}
-	for _, one := range part {
-		line := logs.Event("notices", one.id).WithFields(logrus.Fields{"connection": conn.id, "result": result})
+	for _, posted := range batch {
+		line := logs.Event("notices", posted.id).WithFields(logrus.Fields{"connection": conn.id, "result": result})
 		if err != nil {
 			line = line.WithError(err)
 		}
-		line.Debug("a notice was posted")
+		line.Debug("posted notice")
 	}
 }
 
-// keepLastUsed keeps a connection for the time in which no other can be opened.
+// keepLastUsed keeps a used connection for times when no new one can be opened.
 func (n *noticeSender) keepLastUsed(conn *platformConn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -251,7 +253,7 @@
 	}
 }
 
-// takeSpare takes the connection that stands open unused, nil for none.
+// takeSpare takes the spare connection. It returns nil if there is none or it is not open any more.
 func (n *noticeSender) takeSpare() *platformConn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -264,7 +266,7 @@
 	return conn
 }
 
-// ensureSpare opens the connection that the next post takes, unless one stands.
+// ensureSpare opens the spare connection for the next post unless one is already open.
 func (n *noticeSender) ensureSpare() {
 	n.mu.Lock()
 	if conn := n.spare; conn != nil {
@@ -283,7 +285,7 @@
 	n.keepSpare(conn)
 }
 
-// keepSpare keeps a connection on which nothing was written for the next post.
+// keepSpare keeps an unused connection for the next post.
 func (n *noticeSender) keepSpare(conn *platformConn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -294,12 +296,12 @@
 	n.spare = conn
 }
 
-// connect opens a connection to the platform, which ends with the address that it goes to.
+// connect opens a connection to the platform. The connection is closed when the platform's address changes.
 func (n *noticeSender) connect() (*platformConn, error) {
 	n.mu.Lock()
-	address, lifetime, within := n.address, n.addressCtx, n.timeout
+	address, addressCtx, timeout := n.address, n.addressCtx, n.timeout
 	n.mu.Unlock()
-	ctx, cancel := context.WithTimeout(lifetime, within)
+	ctx, cancel := context.WithTimeout(addressCtx, timeout)
 	defer cancel()
 	dialer := net.Dialer{KeepAlive: -1}
 	dial := func(ctx context.Context, address string) (net.Conn, error) {
@@ -311,27 +313,27 @@
 	}
 	noticeConnections.Add()
 	return &platformConn{retryConn: conn, id: newConnectionID(), address: address,
-		reader: bufio.NewReaderSize(conn, noticeReadBufferSize), stopCloseOnMove: context.AfterFunc(lifetime, func() { conn.Close() })}, nil
+		reader: bufio.NewReaderSize(conn, noticeReadBufferSize), stopCloseOnMove: context.AfterFunc(addressCtx, func() { conn.Close() })}, nil
 }
 
 type statusError int
 
 func (s statusError) Error() string { return "status " + strconv.Itoa(int(s)) }
 
-// exchange posts notices and reads the answer. It tells whether a byte of them may have gone out, or the connection has
-// ended.
-func (n *noticeSender) exchange(conn *platformConn, part []notice) (sent bool, err error) {
+// exchange posts notices and reads the response. sent tells whether any byte may have been sent or the connection is
+// unusable.
+func (n *noticeSender) exchange(conn *platformConn, batch []notice) (sent bool, err error) {
 	n.mu.Lock()
-	within := n.timeout
+	timeout := n.timeout
 	n.mu.Unlock()
 	if state := inspectIdleConn(conn.retryConn); state != idleConnOpen {
-		return true, fmt.Errorf("the connection is %s", state.closeReason())
+		return true, fmt.Errorf("idle connection is unusable: %s", state.closeReason())
 	}
-	conn.SetDeadline(time.Now().Add(within))
+	conn.SetDeadline(time.Now().Add(timeout))
 	defer conn.SetDeadline(time.Time{})
 	out := bytebufferpool.Get()
 	defer bytebufferpool.Put(out)
-	if err := writeNoticeRequest(out, conn.address, part); err != nil {
+	if err := writeNoticeRequest(out, conn.address, batch); err != nil {
 		return false, err
 	}
 	if written, err := conn.Write(out.B); err != nil {
@@ -348,8 +350,8 @@
 	return true, nil
 }
 
-// writeNoticeRequest writes a post of notices, one to a line.
-func writeNoticeRequest(out *bytebufferpool.ByteBuffer, address string, part []notice) error {
+// writeNoticeRequest serializes a POST request with one notice per line.
+func writeNoticeRequest(out *bytebufferpool.ByteBuffer, address string, batch []notice) error {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.Header.SetMethod(fasthttp.MethodPost)
@@ -358,15 +360,15 @@
 	req.Header.SetNoDefaultContentType(true)
 	req.Header.SetContentType("application/x-ndjson")
 	body := req.Body()
-	for _, one := range part {
+	for _, next := range batch {
 		body = append(body, `{"id":`...)
-		body = strconv.AppendQuote(body, one.id)
-		if one.verdict == discarded {
+		body = strconv.AppendQuote(body, next.id)
+		if next.verdict == discarded {
 			body = append(body, `,"status":"undeliverable"}`...)
 		} else {
 			body = append(body, `,"status":"deferred"`...)
-			if one.retryAfter > 0 {
-				body = strconv.AppendInt(append(body, `,"again_ms":`...), (one.retryAfter+999_999)/1e6, 10)
+			if next.retryAfter > 0 {
+				body = strconv.AppendInt(append(body, `,"again_ms":`...), (next.retryAfter+999_999)/1e6, 10)
 			}
 			body = append(body, '}')
 		}
--- a/node/recentrequests.go
+++ b/node/recentrequests.go
@@ -8,33 +8,33 @@
 )
 
 const (
-	recentRequestTTL  = 60 * time.Second // for which a request that was answered is known again
-	maxRecentRequests = 1 << 14          // requests known at most: at a higher rate the oldest are forgotten sooner
+	recentRequestTTL  = 60 * time.Second // how long an answered request is remembered
+	maxRecentRequests = 1 << 14          // answered requests remembered at most; at a higher rate the oldest are evicted sooner
 
-	// completedIDRetention is how long an event that has ended is known again by a restarted process.
+	// completedIDRetention is how long the id of a completed event is recognized, also by a restarted process.
 	completedIDRetention = 10 * time.Second
 )
 
 var repeatedRequests = metrics.New("jaspersill_repeated_requests_total",
 	"Requests that came again under their id, which were answered as the first one and not taken on.")
 
-// recentRequests knows the requests that came of late. A client gives each request an id of its own, so one that comes again is a
-// copy that was made on the way: it gets the answer of the first, and nothing is done for it.
+// recentRequests deduplicates requests by id. A client gives each request an id of its own, so a second request with the
+// same id is a copy made by the network: it gets the answer to the first one and is not processed.
 type recentRequests struct {
-	mu     sync.Mutex
-	byID   map[string]*recentRequest
-	answeredOrder []*recentRequest // answered ones, in the order of their answers
+	mu            sync.Mutex
+	byID          map[string]*recentRequest
+	answeredOrder []*recentRequest // answered requests, in the order of their answers
 }
 
-// recentRequest is one request that came. Its answer may be read once it is answered.
+// recentRequest is a received request. Its answer may be read once done is closed.
 type recentRequest struct {
-	id       string
-	done chan struct{}
-	answer   answer
-	expiresAt    time.Time
+	id        string
+	done      chan struct{}
+	answer    answer
+	expiresAt time.Time
 }
 
-// add notes a request, and tells whether it is the add under its id.
+// add returns the request with the given id, adding it if it is unknown, and reports whether it is the first with this id.
 func (r *recentRequests) add(id string) (request *recentRequest, first bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -50,7 +50,7 @@
 	return request, true
 }
 
-// complete notes what the client of a request hears, and forgets requests of long ago.
+// complete stores the answer to a request, and evicts expired requests and those beyond the maximum.
 func (r *recentRequests) complete(request *recentRequest, a answer) {
 	now := time.Now()
 	r.mu.Lock()
