--- a/node/attribution_test.go
+++ b/node/attribution_test.go
@@ -15,14 +15,15 @@
 	"jaspersill/store"
 )
 
-// duplicatingEndpoint is an endpoint whose answer to the first call of its first connection comes a second time, for the next call.
+// duplicatingEndpoint is an endpoint whose response to the first call on its first connection arrives a second time, where
+// the response to the next call is expected.
 type duplicatingEndpoint struct {
 	mu            sync.Mutex
 	callsByConn   map[net.Conn]int // calls
-	firstResponse string           // the answer that comes twice
-	realResponse  string           // the answer to the call that the copy meets
-	realDelay     time.Duration    // after which the truth comes
-	sendCopy      chan struct{}    // where not nil, the copy comes then
+	firstResponse string           // the response that is duplicated
+	realResponse  string           // the response to all other calls
+	realDelay     time.Duration    // delay before realResponse
+	sendCopy      chan struct{}    // if not nil, the copy is sent once it is closed
 	bodies        []string
 }
 
@@ -68,78 +69,83 @@
 	return slices.ContainsFunc(w.noticed(), func(n string) bool { return strings.Contains(n, fmt.Sprintf("%q", id)) })
 }
 
-// Guards against a copy of a delivery that is believed of the next request, which was refused and never ends.
+// Guards against a duplicated 200 response being taken for the response to the next request, which was refused: that
+// request would count as delivered and the platform would never hear of it.
 func TestDuplicateDeliveryResponseDoesNotCompleteNextRequest(t *testing.T) {
 	w := newWorld(t)
-	at := &duplicatingEndpoint{firstResponse: httpResponse("200 OK", "", ""), realResponse: httpResponse("503 Full", "", ""), realDelay: 50 * time.Millisecond}
-	w.endpoint(1, at.handle)
+	endpoint := &duplicatingEndpoint{firstResponse: httpResponse("200 OK", "", ""), realResponse: httpResponse("503 Full", "", ""), realDelay: 50 * time.Millisecond}
+	w.endpoint(1, endpoint.handle)
 	w.run()
 	c := w.dial()
 	c.hand(request("first", "alert", "1", 1000, "first"))
-	w.until("the first came", func() bool { return at.callsWithBody("first") == 1 })
+	w.until("the first call is received", func() bool { return endpoint.callsWithBody("first") == 1 })
 	time.Sleep(20 * time.Millisecond)
 	c.hand(request("second", "alert", "1", 1000, "second"))
-	w.until("the second came", func() bool { return at.callsWithBody("second") == 1 })
-	w.until("its end is told", func() bool { return w.hasNotice("second") })
-	w.until("nothing is owed", w.journal.empty)
+	w.until("the second call is received", func() bool { return endpoint.callsWithBody("second") == 1 })
+	w.until("the notice of the second event is received", func() bool { return w.hasNotice("second") })
+	w.until("the journal is empty", w.journal.empty)
 }
 
-// Guards against a copy of a refusal that is believed of the next request, which ran and runs again.
+// Guards against a duplicated refusal being taken for the response to the next request, which ran: a request that is not
+// idempotent would be sent again.
 func TestDuplicateRefusalDoesNotRepeatNextRequest(t *testing.T) {
 	w := newWorld(t)
-	at := &duplicatingEndpoint{firstResponse: httpResponse("503 Full", "", ""), realResponse: httpResponse("200 OK", "", ""), realDelay: 50 * time.Millisecond}
-	w.endpoint(1, at.handle)
+	endpoint := &duplicatingEndpoint{firstResponse: httpResponse("503 Full", "", ""), realResponse: httpResponse("200 OK", "", ""), realDelay: 50 * time.Millisecond}
+	w.endpoint(1, endpoint.handle)
 	w.run()
 	c := w.dial()
 	c.hand(request("first", "alert", "1", 3000, "first"))
-	w.until("the first came", func() bool { return at.callsWithBody("first") == 1 })
+	w.until("the first call is received", func() bool { return endpoint.callsWithBody("first") == 1 })
 	time.Sleep(200 * time.Millisecond)
 	c.hand(request("second", "charge", "1", 3000, "second"))
-	w.until("nothing is owed", w.journal.empty)
-	if n := at.callsWithBody("second"); n != 1 {
-		t.Errorf("it ran %d times", n)
+	w.until("the journal is empty", w.journal.empty)
+	if n := endpoint.callsWithBody("second"); n != 1 {
+		t.Errorf("the second event ran %d times, want 1", n)
 	}
 }
 
-// Guards against an outcome in doubt that a kill makes certain: the record of a delivery that may be another's.
+// Guards against a kill that turns an unconfirmed delivery into a confirmed one, because the journal records as delivered an
+// event whose response may belong to another call.
 func TestKillDuringUnconfirmedDeliveryStillOwesNotice(t *testing.T) {
 	w := newWorld(t)
-	at := &duplicatingEndpoint{firstResponse: httpResponse("200 OK", "", ""), realResponse: httpResponse("503 Full", "", ""), realDelay: testTimeout}
-	w.endpoint(1, at.handle)
+	endpoint := &duplicatingEndpoint{firstResponse: httpResponse("200 OK", "", ""), realResponse: httpResponse("503 Full", "", ""), realDelay: testTimeout}
+	w.endpoint(1, endpoint.handle)
 	w.run()
 	c := w.dial()
 	c.hand(request("first", "alert", "1", 8000, "first"))
-	w.until("the first came", func() bool { return at.callsWithBody("first") == 1 })
+	w.until("the first call is received", func() bool { return endpoint.callsWithBody("first") == 1 })
 	time.Sleep(20 * time.Millisecond)
 	c.hand(request("second", "alert", "1", 8000, "second"))
-	w.until("the second came", func() bool { return at.callsWithBody("second") == 1 })
-	w.until("its record says how it ends", func() bool {
+	w.until("the second call is received", func() bool { return endpoint.callsWithBody("second") == 1 })
+	w.until("the journal records the second event as discarded", func() bool {
 		e := afterKill(t, w.folder)["second"]
 		return e != nil && e.Verdict == store.Discarded
 	})
 }
 
-// Guards against a copy that comes while an attempt's record is written and passes for its answer.
+// Guards against a duplicated response that arrives while the next attempt is being recorded, before that attempt is sent,
+// and is taken for its response.
 func TestDuplicateResponseWhileRecordingAttemptIsIgnored(t *testing.T) {
 	w := newWorld(t)
 	disk := &faultyDisk{Dir: store.Dir(w.folder)}
 	w.disk = disk
-	at := &duplicatingEndpoint{firstResponse: httpResponse("200 OK", "", ""), realResponse: httpResponse("503 Full", "", ""), sendCopy: make(chan struct{})}
-	w.endpoint(1, at.handle)
+	endpoint := &duplicatingEndpoint{firstResponse: httpResponse("200 OK", "", ""), realResponse: httpResponse("503 Full", "", ""), sendCopy: make(chan struct{})}
+	w.endpoint(1, endpoint.handle)
 	w.run()
 	c := w.dial()
 	c.hand(request("first", "alert", "1", 1500, "first"))
-	w.until("the first came", func() bool { return at.callsWithBody("first") == 1 })
+	w.until("the first call is received", func() bool { return endpoint.callsWithBody("first") == 1 })
 	time.Sleep(20 * time.Millisecond)
 	disk.slow.Store(int64(30 * time.Millisecond))
 	c.hand(request("second", "alert", "1", 1500, "second"))
-	time.Sleep(15 * time.Millisecond) // its attempt is being recorded
-	close(at.sendCopy)
+	time.Sleep(15 * time.Millisecond) // the second attempt is being recorded
+	close(endpoint.sendCopy)
 	disk.slow.Store(0)
-	w.until("its end is told", func() bool { return w.hasNotice("second") })
+	w.until("the notice of the second event is received", func() bool { return w.hasNotice("second") })
 }
 
-// Guards against an answer to half a call that is believed of the whole: the endpoint begins it with its last byte.
+// Guards against trusting a response that arrives before the call was written completely: an endpoint starts a call only
+// once its last byte has arrived.
 func TestResponseBeforeLastByteIsIgnored(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -159,31 +165,32 @@
 	}()
 	p := newTestPool(t, l.Addr().String())
 	c := &call{pool: p}
-	s := newTestAttempt(t, c, "large", testTimeout)
-	s.event.body = make([]byte, 40<<20)
-	c.attempts = []*attempt{s}
+	a := newTestAttempt(t, c, "large", testTimeout)
+	a.event.body = make([]byte, 40<<20)
+	c.attempts = []*attempt{a}
 	go p.execute(c)
-	if r := awaitResult(t, s); r.how != port.ConnectFailed {
-		t.Errorf("it ended as %v", r.how)
+	if r := awaitResult(t, a); r.how != port.ConnectFailed {
+		t.Errorf("outcome %v, want %v", r.how, port.ConnectFailed)
 	}
 }
 
-// Guards against a connection that goes on after it brought the answer to another call of several.
+// Guards against reusing a connection after it delivered the response to another bulk call.
 func TestBulkResponseWithOtherIDsClosesConnection(t *testing.T) {
-	at := newTestEndpoint(t, respond(httpResponse("200 OK", "", "other1 done\r\nother2 done\r\n")))
-	p := newTestPool(t, at.Addr().String())
-	ends, _ := executeCall(t, p, testTimeout, testTimeout)
-	if ends[0].how != port.Spoilt || ends[1].how != port.Spoilt {
-		t.Errorf("got %+v", ends)
+	endpoint := newTestEndpoint(t, respond(httpResponse("200 OK", "", "other1 done\r\nother2 done\r\n")))
+	p := newTestPool(t, endpoint.Addr().String())
+	results, _ := executeCall(t, p, testTimeout, testTimeout)
+	if results[0].how != port.Spoilt || results[1].how != port.Spoilt {
+		t.Errorf("got %+v", results)
 	}
 	select {
-	case <-at.disconnected:
+	case <-endpoint.disconnected:
 	case <-time.After(testTimeout):
-		t.Error("its connection stays open")
+		t.Error("the connection is still open")
 	}
 }
 
-// Guards against a notice that counts as told by a copy of the answer to the one before it, and that nobody read.
+// Guards against a notice that the platform never read but that counts as acknowledged because of a copy of the response to
+// the previous notice.
 func TestNoticeIsRetriedUntilItsOwnResponse(t *testing.T) {
 	const ok = "HTTP/1.1 204 No Content\r\n\r\n"
 	var mu sync.Mutex
@@ -191,7 +198,7 @@
 	platform := newTestEndpoint(t, func(conn net.Conn, body string) bool {
 		mu.Lock()
 		defer mu.Unlock()
-		if calls[conn]++; calls[conn] > 1 { // the copy comes, and the connection breaks over the notice
+		if calls[conn]++; calls[conn] > 1 { // a copy of the response arrives, and the connection fails before the notice is read
 			io.WriteString(conn, ok)
 			return false
 		}
@@ -207,17 +214,17 @@
 		select {
 		case <-told:
 		case <-time.After(testTimeout):
-			t.Fatal("it is never told")
+			t.Fatal("the notice was never acknowledged")
 		}
 	}
 	mu.Lock()
 	defer mu.Unlock()
 	if len(read) != 5 {
-		t.Errorf("%d of 5 notices that count as told were read", len(read))
+		t.Errorf("the platform read %d of 5 acknowledged notices", len(read))
 	}
 }
 
-// Guards against a notice that waits for a new connection while none can be opened, though an old one stands.
+// Guards against a notice that waits for a new connection while none can be opened although a used one is still open.
 func TestNoticeUsesOldConnectionWhenDialFails(t *testing.T) {
 	heard := make(chan string, 10)
 	platform := newTestEndpoint(t, func(conn net.Conn, body string) bool {
@@ -226,8 +233,8 @@
 	})
 	n, stop, told := newNoticeSender(platform.Addr().String()), make(chan struct{}), make(chan struct{}, 10)
 	defer close(stop)
-	const within = 50 * time.Millisecond
-	n.setTimeouts(within, time.Millisecond)
+	const timeout = 50 * time.Millisecond
+	n.setTimeouts(timeout, time.Millisecond)
 	go n.run(stop)
 	post := func(id string) {
 		n.enqueue(notice{id: id, verdict: discarded, onAcknowledged: func() { told <- struct{}{} }})
@@ -236,97 +243,98 @@
 	<-heard
 	<-told
 	w := &world{t: t}
-	w.until("the next connection stands", func() bool { n.mu.Lock(); defer n.mu.Unlock(); return n.spare != nil })
-	platform.Listener.Close() // from now on none can be opened
+	w.until("the spare connection is open", func() bool { n.mu.Lock(); defer n.mu.Unlock(); return n.spare != nil })
+	platform.Listener.Close() // no further connection can be opened
 	post("second")
 	<-heard
 	<-told
-	time.Sleep(2 * within) // it rests for longer than an answer may take
+	time.Sleep(2 * timeout) // the connection is idle for longer than a response may take
 	post("third")
 	select {
 	case <-heard:
 	case <-time.After(testTimeout):
-		t.Error("it never goes out")
+		t.Error("the notice was never posted")
 	}
 	select {
 	case <-told:
-		t.Error("it counts as told, by an answer that may be a copy")
+		t.Error("the notice counts as acknowledged by a response that may be a copy")
 	case <-time.After(50 * time.Millisecond):
 	}
 }
 
-// Guards against a request that a path repeats: on its connection, on another one, while it is owed, after its end, after a
-// refusal and after a restart it is taken on once, and answered each time.
+// Guards against processing a request twice that the network duplicated. A copy on the same or another connection, while
+// the event is pending, after its completion, after a refusal or after a restart is answered, but the request is accepted
+// only once.
 func TestRepeatedRequestIsAcceptedOnceAndAnsweredEachTime(t *testing.T) {
 	w := newWorld(t)
-	at := w.endpoint(1, respond(httpResponse("200 OK", "", "")))
+	endpoint := w.endpoint(1, respond(httpResponse("200 OK", "", "")))
 	w.run()
 	taken, refused := request("taken", "charge", "1", 8000, ""), request("refused", "charge", "7", 8000, "")
 	c := w.dial()
 	io.WriteString(c, taken+taken)
 	for range 2 {
 		if status, _ := c.hear(""); status != statusTaken {
-			t.Errorf("on one connection: %d", status)
+			t.Errorf("copy on the same connection: status %d", status)
 		}
 	}
-	w.until("it has ended", w.journal.empty)
+	w.until("the event is completed", w.journal.empty)
 	if status, _ := w.dial().hand(taken); status != statusTaken {
-		t.Errorf("after its end: %d", status)
+		t.Errorf("copy after completion: status %d", status)
 	}
 	c.hand(refused)
 	w.directory.mu.Lock()
-	w.directory.dests[7] = struct{}{} // it would be taken on now, though its client may have handed it in anew
+	w.directory.dests[7] = struct{}{} // the destination is known now, but the client may have submitted the event again
 	w.directory.mu.Unlock()
 	if status, _ := w.dial().hand(refused); status != statusDeclined {
-		t.Errorf("after a refusal: %d", status)
+		t.Errorf("copy after a refusal: status %d", status)
 	}
-	if calls, _ := at.counts(); calls != 1 || !w.journal.empty() {
-		t.Errorf("%d calls", calls)
+	if calls, _ := endpoint.counts(); calls != 1 || !w.journal.empty() {
+		t.Errorf("%d calls, want 1, or the journal is not empty", calls)
 	}
 	folder := killed(t, w.folder)
 	next := newWorld(t)
 	next.folder, next.hosts = folder, w.hosts
 	next.run()
 	if status, _ := next.dial().hand(taken); status != statusTaken {
-		t.Errorf("after a restart: %d", status)
+		t.Errorf("copy after a restart: status %d", status)
 	}
 	time.Sleep(50 * time.Millisecond)
-	if calls, _ := at.counts(); calls != 1 {
-		t.Errorf("%d calls after the restart", calls)
+	if calls, _ := endpoint.counts(); calls != 1 {
+		t.Errorf("%d calls after the restart, want 1", calls)
 	}
 }
 
-// Guards against requests of long ago that are remembered for good.
+// Guards against unbounded growth of the recent requests.
 func TestOldRequestIDsAreEvicted(t *testing.T) {
 	var r recentRequests
 	for i := range maxRecentRequests + 10 {
 		request, first := r.add(fmt.Sprint(i))
 		if !first {
-			t.Fatal("one that never came is known")
+			t.Fatal("a new request counts as known")
 		}
 		r.complete(request, answer{status: statusTaken})
 	}
 	if len(r.byID) != maxRecentRequests || len(r.answeredOrder) != maxRecentRequests {
-		t.Errorf("%d are known, %d in order", len(r.byID), len(r.answeredOrder))
+		t.Errorf("%d requests by id and %d in order, want %d", len(r.byID), len(r.answeredOrder), maxRecentRequests)
 	}
 	if _, first := r.add("0"); !first {
-		t.Error("the oldest is still known")
+		t.Error("the oldest request was not evicted")
 	}
 }
 
-// Guards against an older list that comes again behind a newer one and brings back what was removed since.
+// Guards against an older endpoint list that arrives again after a newer one and restores removed endpoints.
 func TestOlderEndpointListIsIgnored(t *testing.T) {
 	list := func(seq int, whole bool, health string) string {
 		return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[{"host":"a","block":3,"health":%q}]}`+"\n", seq, whole, health)
 	}
 	var mu sync.Mutex
 	watches := 0
-	at := newTestEndpoint(t, func(conn net.Conn, _ string) bool {
+	endpoint := newTestEndpoint(t, func(conn net.Conn, _ string) bool {
 		mu.Lock()
 		watches++
 		first := watches == 1
 		mu.Unlock()
-		lines := []string{list(5, true, "Ready")} // each later watch begins with a list from long ago
+		lines := []string{list(5, true, "Ready")} // each later watch begins with an old list
 		if first {
 			lines = []string{list(7, true, "Ready"), list(9, false, "Terminating"), list(7, true, "Ready"), list(9, false, "Terminating")}
 		}
@@ -336,7 +344,7 @@
 		}
 		return first
 	})
-	d, r := listen(t, at.Addr().String())
+	d, r := listen(t, endpoint.Addr().String())
 	d.watch(true)
 	want := "whole=true 0/0/2/2/2/0 ; whole=false 0/0/2/2/1/0 ; whole=false ; whole=false 0/0/2/2/1/0 ;"
 	w := &world{t: t}
@@ -347,11 +355,11 @@
 	d.watch(true)
 	w.until("a watch that begins with an older list fails", func() bool { return r.all() == want+" failed" })
 	d.watch(true)
-	w.until("the second one is believed", func() bool { return strings.HasPrefix(r.all(), want+" failed whole=true 0/0/2/2/2/0 ;") })
+	w.until("an older list is accepted on the next watch", func() bool { return strings.HasPrefix(r.all(), want+" failed whole=true 0/0/2/2/2/0 ;") })
 }
 
-// Guards against an unused connection that is given up because nothing can be written for a moment, when no other can be
-// opened either.
+// Guards against closing the spare connection because a write temporarily fails, at a time when no other connection can be
+// opened.
 func TestNoticeWriteFailureKeepsConnection(t *testing.T) {
 	heard := make(chan string, 10)
 	platform := newTestEndpoint(t, func(conn net.Conn, body string) bool {
@@ -370,6 +378,6 @@
 	select {
 	case <-told:
 	case <-time.After(testTimeout):
-		t.Fatal("it is never told, though its connection stands")
+		t.Fatal("the notice was never acknowledged although its connection is open")
 	}
 }
--- a/node/call_test.go
+++ b/node/call_test.go
@@ -20,64 +20,65 @@
 )
 
 const (
-	ms   = int64(1e6)
-	testTimeout = 20 * time.Second // for what must happen: far longer than it takes anywhere
+	ms          = int64(1e6)
+	testTimeout = 20 * time.Second // for things that must happen; far longer than they take on any machine
 )
 
-// testEndpoint is an endpoint of the tests: each call it reads goes to act, which answers it or breaks off.
+// testEndpoint is an HTTP endpoint that passes each call it reads to a handler. The handler writes the response, and
+// returns false to close the connection.
 type testEndpoint struct {
 	net.Listener
-	mu    sync.Mutex
-	requestHeaders []string // of the calls that came
-	connCount int
-	disconnected chan struct{} // a connection was closed by the other side
+	mu             sync.Mutex
+	requestHeaders []string // of the calls received
+	connCount      int
+	disconnected   chan struct{} // receives a value for each connection closed by the remote side
 }
 
-func newTestEndpoint(t *testing.T, act func(conn net.Conn, body string) bool) *testEndpoint {
+func newTestEndpoint(t *testing.T, handle func(conn net.Conn, body string) bool) *testEndpoint {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	p := &testEndpoint{Listener: l, disconnected: make(chan struct{}, 100)}
+	e := &testEndpoint{Listener: l, disconnected: make(chan struct{}, 100)}
 	go func() {
 		for {
 			conn, err := l.Accept()
 			if err != nil {
 				return
 			}
-			p.mu.Lock()
-			p.connCount++
-			p.mu.Unlock()
-			go p.serve(conn, act)
+			e.mu.Lock()
+			e.connCount++
+			e.mu.Unlock()
+			go e.serve(conn, handle)
 		}
 	}()
-	return p
+	return e
 }
 
-func (p *testEndpoint) serve(conn net.Conn, act func(net.Conn, string) bool) {
+func (e *testEndpoint) serve(conn net.Conn, handle func(net.Conn, string) bool) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
 	for {
 		var req fasthttp.Request
 		if err := req.Read(in); err != nil {
-			p.disconnected <- struct{}{}
+			e.disconnected <- struct{}{}
 			return
 		}
-		p.mu.Lock()
-		p.requestHeaders = append(p.requestHeaders, req.Header.String())
-		p.mu.Unlock()
-		if !act(conn, string(req.Body())) {
+		e.mu.Lock()
+		e.requestHeaders = append(e.requestHeaders, req.Header.String())
+		e.mu.Unlock()
+		if !handle(conn, string(req.Body())) {
 			return
 		}
 	}
 }
 
-func (p *testEndpoint) counts() (calls, conns int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return len(p.requestHeaders), p.connCount
+func (e *testEndpoint) counts() (calls, conns int) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return len(e.requestHeaders), e.connCount
 }
 
 func respond(text string) func(net.Conn, string) bool {
@@ -87,11 +88,11 @@
 	}
 }
 
-// respondAndReset says something and resets the connection.
+// respondAndReset returns a handler that writes text and resets the connection.
 func respondAndReset(text string) func(net.Conn, string) bool {
 	return func(conn net.Conn, _ string) bool {
 		io.WriteString(conn, text)
-		time.Sleep(20 * time.Millisecond) // a reset overtakes what was not read yet
+		time.Sleep(20 * time.Millisecond) // a reset discards data that was not read yet
 		conn.(*net.TCPConn).SetLinger(0)
 		return false
 	}
@@ -119,40 +120,40 @@
 	return &attempt{event: e, timeout: int64(timeout), startedAt: c.pool.clock.now(), call: c}
 }
 
-// executeCall makes one call with an event for each time-out and returns how they ended.
-func executeCall(t *testing.T, p *endpointPool, timeouts ...time.Duration) (ends []result, c *call) {
+// executeCall makes one call with an event for each timeout and returns the results.
+func executeCall(t *testing.T, p *endpointPool, timeouts ...time.Duration) (results []result, c *call) {
 	t.Helper()
 	c = &call{pool: p}
 	for i, timeout := range timeouts {
 		c.attempts = append(c.attempts, newTestAttempt(t, c, fmt.Sprintf("id%d-%d", i, p.clock.now()), timeout))
 	}
 	go p.execute(c)
-	for _, s := range c.attempts {
-		ends = append(ends, awaitResult(t, s))
+	for _, a := range c.attempts {
+		results = append(results, awaitResult(t, a))
 	}
-	return ends, c
+	return results, c
 }
 
-func awaitResult(t *testing.T, s *attempt) result {
+func awaitResult(t *testing.T, a *attempt) result {
 	t.Helper()
 	select {
-	case st := <-s.event.steps:
+	case st := <-a.event.steps:
 		return st.result
 	case <-time.After(testTimeout):
-		t.Fatal("a send never ended")
+		t.Fatal("attempt did not finish")
 		return result{}
 	}
 }
 
-func httpResponse(status, heads, body string) string {
-	return fmt.Sprintf("HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, heads, len(body), body)
+func httpResponse(status, headers, body string) string {
+	return fmt.Sprintf("HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, headers, len(body), body)
 }
 
 func TestAttemptOutcomeByResponse(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		act  func(net.Conn, string) bool
-		want result
+		name   string
+		handle func(net.Conn, string) bool
+		want   result
 	}{
 		{"200", respond(httpResponse("200 OK", "Srv-Load: x0=0.4,x1=25\r\n", "any")),
 			result{how: port.Acked, over: true, left: 0.4, limit: 25}},
@@ -160,71 +161,71 @@
 		{"429", respond(httpResponse("429 Full", "Retry-After: 1.5\r\nSrv-Load: x0=0,x1=3\r\n", "")),
 			result{how: port.Declined, wait: 1500 * ms, limit: 3}},
 		{"503", respond(httpResponse("503 Shut", "", "")), result{how: port.Declined}},
-		{"503 without a slot", respond(httpResponse("503 Shut", "X-No-Slot: 1\r\n", "")), result{how: port.Unsent}},
+		{"503 with X-No-Slot", respond(httpResponse("503 Shut", "X-No-Slot: 1\r\n", "")), result{how: port.Unsent}},
 		{"504", respond(httpResponse("504 Used up", "", "")), result{how: port.Unsent}},
 		{"410", respond(httpResponse("410 Over", "", "")), result{how: port.Unsent, over: true}},
-		{"a status nobody knows", respond(httpResponse("418 Teapot", "", "")), result{how: port.Errored}},
-		{"no numbers", respond(httpResponse("429 Full", "Retry-After: soon\r\nSrv-Load: x0=,x1=3\r\n", "")),
+		{"unknown status", respond(httpResponse("418 Teapot", "", "")), result{how: port.Errored}},
+		{"invalid numbers in headers", respond(httpResponse("429 Full", "Retry-After: soon\r\nSrv-Load: x0=,x1=3\r\n", "")),
 			result{how: port.Declined}},
-		{"noise", respond("hello\r\n\r\n"), result{how: port.Spoilt}},
-		{"noise without an end", respond("\x00\xff\x17"), result{how: port.Spoilt}},
-		{"a head without an end", respond("HTTP/1.1 500 Error\r\nA: b\r\n"), result{how: port.Spoilt}},
-		{"a head that goes on", respond("HTTP/1.1 500 Error\r\n" + strings.Repeat("A: b\r\n", 9000)),
+		{"not HTTP", respond("hello\r\n\r\n"), result{how: port.Spoilt}},
+		{"not HTTP and no line end", respond("\x00\xff\x17"), result{how: port.Spoilt}},
+		{"incomplete header", respond("HTTP/1.1 500 Error\r\nA: b\r\n"), result{how: port.Spoilt}},
+		{"oversized header", respond("HTTP/1.1 500 Error\r\n" + strings.Repeat("A: b\r\n", 9000)),
 			result{how: port.Spoilt}},
-		{"a negative length", respond("HTTP/1.1 429 Full\r\nContent-Length: -4\r\n\r\n"), result{how: port.Spoilt}},
-		{"a length that does not come", respond("HTTP/1.1 503 Shut\r\nContent-Length: 44\r\n\r\nabc"),
+		{"negative Content-Length", respond("HTTP/1.1 429 Full\r\nContent-Length: -4\r\n\r\n"), result{how: port.Spoilt}},
+		{"body shorter than Content-Length", respond("HTTP/1.1 503 Shut\r\nContent-Length: 44\r\n\r\nabc"),
 			result{how: port.Spoilt}},
-		{"a length of 3 GB", respond("HTTP/1.1 500 Error\r\nContent-Length: 3000000000\r\n\r\n" +
+		{"Content-Length of 3 GB", respond("HTTP/1.1 500 Error\r\nContent-Length: 3000000000\r\n\r\n" +
 			strings.Repeat("x", 1<<20)), result{how: port.Spoilt}},
-		{"a 200 of 3 GB", respond("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" +
+		{"200 with Content-Length of 3 GB", respond("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" +
 			strings.Repeat("x", 1<<20)), result{how: port.Acked, over: true}},
-		{"a 200 with a head without an end", respond("HTTP/1.1 200 OK\r\nA: b\r\n"), result{how: port.Acked, over: true}},
-		{"a 200 with a spoilt head behind a 100", respond("HTTP/1.1 100 Go on\r\n\r\nHTTP/1.1 200 OK\r\n\x00\r\n\r\n"),
+		{"200 with incomplete header", respond("HTTP/1.1 200 OK\r\nA: b\r\n"), result{how: port.Acked, over: true}},
+		{"200 with malformed header after a 100", respond("HTTP/1.1 100 Go on\r\n\r\nHTTP/1.1 200 OK\r\n\x00\r\n\r\n"),
 			result{how: port.Acked, over: true}},
-		{"a 2000", respond("HTTP/1.1 2000 OK\r\n\x00\r\n\r\n"), result{how: port.Spoilt}},
-		{"answers that are none, then one", respond("HTTP/1.1 103 Hints\r\nA: b\r\n\r\nHTTP/1.1 101 Other\r\n\r\n" +
+		{"status 2000", respond("HTTP/1.1 2000 OK\r\n\x00\r\n\r\n"), result{how: port.Spoilt}},
+		{"interim responses before the final one", respond("HTTP/1.1 103 Hints\r\nA: b\r\n\r\nHTTP/1.1 101 Other\r\n\r\n" +
 			httpResponse("429 Full", "Retry-After: 1\r\n", "")), result{how: port.Declined, wait: 1000 * ms}},
-		{"a wait in a head that cannot be read", respond("HTTP/1.1 429 Full\r\nretry-after: 0.5\r\n\x00\xff\r\n\r\n"),
+		{"Retry-After in a malformed header", respond("HTTP/1.1 429 Full\r\nretry-after: 0.5\r\n\x00\xff\r\n\r\n"),
 			result{how: port.Spoilt, wait: 500 * ms}},
-		{"a wait before a body that does not come", respond("HTTP/1.1 429 Full\r\nRetry-After: 0.5\r\n" +
+		{"Retry-After before an incomplete body", respond("HTTP/1.1 429 Full\r\nRetry-After: 0.5\r\n" +
 			"Content-Length: 44\r\n\r\nabc"), result{how: port.Spoilt, wait: 500 * ms}},
-		{"broken behind a wait", respondAndReset("HTTP/1.1 503 Shut\r\nRetry-After: 0.5\r\nA"),
+		{"reset after Retry-After", respondAndReset("HTTP/1.1 503 Shut\r\nRetry-After: 0.5\r\nA"),
 			result{how: port.Reset, wait: 500 * ms}},
-		{"broken within a wait", respondAndReset("HTTP/1.1 503 Shut\r\nRetry-After: 0.5"), result{how: port.Reset}},
-		{"broken before an answer", respondAndReset(""), result{how: port.Reset}},
-		{"ended before an answer", func(net.Conn, string) bool { return false }, result{how: port.Reset}},
-		{"broken within an answer", respondAndReset("HTTP/1.1 500 Err"), result{how: port.Reset}},
-		{"broken behind the first line of a 200", respondAndReset("HTTP/1.1 200 OK\r\nContent-Le"),
+		{"reset within Retry-After", respondAndReset("HTTP/1.1 503 Shut\r\nRetry-After: 0.5"), result{how: port.Reset}},
+		{"reset before the response", respondAndReset(""), result{how: port.Reset}},
+		{"closed before the response", func(net.Conn, string) bool { return false }, result{how: port.Reset}},
+		{"reset within the status line", respondAndReset("HTTP/1.1 500 Err"), result{how: port.Reset}},
+		{"reset after the status line of a 200", respondAndReset("HTTP/1.1 200 OK\r\nContent-Le"),
 			result{how: port.Acked, over: true}},
-		{"broken within the first line of a 200", respondAndReset("HTTP/1.1 200 O"), result{how: port.Reset}},
-		{"broken in the body of a 200", respondAndReset("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc"),
+		{"reset within the status line of a 200", respondAndReset("HTTP/1.1 200 O"), result{how: port.Reset}},
+		{"reset in the body of a 200", respondAndReset("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc"),
 			result{how: port.Acked, over: true}},
-		{"silent", noResponse, result{how: port.TimedOut}},
+		{"no response", noResponse, result{how: port.TimedOut}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			at := newTestEndpoint(t, c.act)
-			p := newTestPool(t, at.Addr().String())
+			endpoint := newTestEndpoint(t, c.handle)
+			p := newTestPool(t, endpoint.Addr().String())
 			timeout := testTimeout
 			if c.want.how == port.TimedOut {
 				timeout = 80 * time.Millisecond
 			}
-			ends, _ := executeCall(t, p, timeout)
-			if ends[0].took <= 0 {
-				t.Errorf("took %d", ends[0].took)
+			results, _ := executeCall(t, p, timeout)
+			if results[0].took <= 0 {
+				t.Errorf("took %d", results[0].took)
 			}
-			if ends[0].took = 0; ends[0] != c.want {
-				t.Errorf("got %+v, want %+v", ends[0], c.want)
+			if results[0].took = 0; results[0] != c.want {
+				t.Errorf("got %+v, want %+v", results[0], c.want)
 			}
-			if c.want.how == port.TimedOut { // given up by closing the connection
+			if c.want.how == port.TimedOut { // an abandoned call closes its connection
 				select {
-				case <-at.disconnected:
+				case <-endpoint.disconnected:
 				case <-time.After(testTimeout):
-					t.Error("the connection of a call given up stays open")
+					t.Error("the connection of an abandoned call is still open")
 				}
 			}
-			if calls, _ := at.counts(); calls != 1 {
-				t.Errorf("the endpoint saw %d calls: one that broke must not be repeated", calls)
+			if calls, _ := endpoint.counts(); calls != 1 {
+				t.Errorf("the endpoint received %d calls, want 1: a failed call must not be repeated", calls)
 			}
 		})
 	}
@@ -232,21 +233,21 @@
 
 func TestAttemptsNeverSent(t *testing.T) {
 	l, _ := net.Listen("tcp", "127.0.0.1:0")
-	nobody := l.Addr().String()
+	closedAddress := l.Addr().String()
 	l.Close()
-	if ends, _ := executeCall(t, newTestPool(t, nobody), testTimeout); ends[0].how != port.ConnectFailed {
-		t.Errorf("refused: %+v", ends[0])
+	if results, _ := executeCall(t, newTestPool(t, closedAddress), testTimeout); results[0].how != port.ConnectFailed {
+		t.Errorf("connection refused: %+v", results[0])
 	}
-	at := newTestEndpoint(t, respond(httpResponse("200 OK", "", "")))
-	p := newTestPool(t, at.Addr().String())
+	endpoint := newTestEndpoint(t, respond(httpResponse("200 OK", "", "")))
+	p := newTestPool(t, endpoint.Addr().String())
 	c := &call{pool: p}
 	e := &event{id: "x", due: math.MaxInt64, steps: make(chan step, maxSteps)}
 	e.request = lifecycle.RestoredRequest(e.id, e.due, true, false)
-	s := &attempt{event: e, timeout: int64(testTimeout), startedAt: p.clock.now(), call: c}
-	c.attempts = []*attempt{s}
-	p.execute(c) // nothing is owed for it: it is over
-	if r := awaitResult(t, s); r.how != port.Unsent {
-		t.Errorf("a send of an event that is over: %+v", r)
+	a := &attempt{event: e, timeout: int64(testTimeout), startedAt: p.clock.now(), call: c}
+	c.attempts = []*attempt{a}
+	p.execute(c) // the event is not in the journal, so it counts as completed
+	if r := awaitResult(t, a); r.how != port.Unsent {
+		t.Errorf("attempt of a completed event: %+v", r)
 	}
 	if err := p.journal.take(e, "alert", ""); err != nil {
 		t.Fatal(err)
@@ -256,30 +257,30 @@
 	c.abandon(port.Cancelled)
 	p.execute(c)
 	if r := awaitResult(t, c.attempts[0]); r.how != port.Unsent {
-		t.Errorf("a send called off before it left: %+v", r)
+		t.Errorf("attempt cancelled before it was sent: %+v", r)
 	}
-	if calls, _ := at.counts(); calls != 0 {
+	if calls, _ := endpoint.counts(); calls != 0 {
 		t.Errorf("%d calls reached the endpoint", calls)
 	}
 }
 
 func TestPartiallyWrittenCallCountsAsNotRun(t *testing.T) {
-	little := func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) }
-	lc := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error { return raw.Control(little) }}
+	setSmallBuffer := func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) }
+	lc := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error { return raw.Control(setSmallBuffer) }}
 	l, err := lc.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close() // nobody reads there
+	defer l.Close() // connections to it are never accepted or read
 	p := newTestPool(t, l.Addr().String())
 	c := &call{pool: p}
 	for i, body := range []int{40 << 20, 10} {
-		s := newTestAttempt(t, c, fmt.Sprint("id", i), testTimeout)
-		s.event.body = make([]byte, body)
-		c.attempts = append(c.attempts, s)
+		a := newTestAttempt(t, c, fmt.Sprint("id", i), testTimeout)
+		a.event.body = make([]byte, body)
+		c.attempts = append(c.attempts, a)
 	}
 	go p.execute(c)
-	(&world{t: t}).until("it is being written", func() bool {
+	(&world{t: t}).until("the call is being written", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return c.progress == progressWriting
@@ -288,16 +289,16 @@
 	c.abandon(port.Cancelled)
 	a, b := awaitResult(t, c.attempts[0]), awaitResult(t, c.attempts[1])
 	if a.how != port.ConnectFailed || b.how != port.ConnectFailed {
-		t.Errorf("given up while being written: %+v %+v", a, b)
+		t.Errorf("abandoned while being written: %+v %+v", a, b)
 	}
 }
 
-// delayDial is an endpoint whose connections come up only once it is told.
+// delayDial makes the pool's dials wait until up is closed. The returned channel receives a value when a dial begins.
 func delayDial(t *testing.T, p *endpointPool, up <-chan struct{}) (dialing <-chan struct{}) {
-	begun := make(chan struct{}, 10)
+	started := make(chan struct{}, 10)
 	dial := p.dial
 	p.dial = func(ctx context.Context, address string) (net.Conn, error) {
-		begun <- struct{}{}
+		started <- struct{}{}
 		select {
 		case <-up:
 			return dial(ctx, address)
@@ -305,12 +306,12 @@
 			return nil, ctx.Err()
 		}
 	}
-	return begun
+	return started
 }
 
 func TestRecallWhileConnectingPreventsSend(t *testing.T) {
-	at := newTestEndpoint(t, respond(httpResponse("200 OK", "", "")))
-	p, up, folder := newTestPool(t, at.Addr().String()), make(chan struct{}), t.TempDir()
+	endpoint := newTestEndpoint(t, respond(httpResponse("200 OK", "", "")))
+	p, up, folder := newTestPool(t, endpoint.Addr().String()), make(chan struct{}), t.TempDir()
 	p.journal, _ = reopen(t, folder, 3)
 	dialing := delayDial(t, p, up)
 	c := &call{pool: p}
@@ -324,45 +325,45 @@
 	}
 	close(up)
 	if r := awaitResult(t, b); r.how != port.Acked {
-		t.Errorf("the other of its call: %+v", r)
+		t.Errorf("the other attempt of the call: %+v", r)
 	}
-	whole := newTestPool(t, at.Addr().String()) // and a call that is recalled as a whole
+	whole := newTestPool(t, endpoint.Addr().String()) // then a call whose only attempt is recalled
 	up = make(chan struct{})
 	dialing = delayDial(t, whole, up)
 	c = &call{pool: whole}
 	c.attempts = []*attempt{newTestAttempt(t, c, "c", testTimeout)}
 	go whole.execute(c)
 	<-dialing
-	s := c.attempts[0]
-	c.recall(s)
-	if r := awaitResult(t, s); r.how != port.Unsent {
+	only := c.attempts[0]
+	c.recall(only)
+	if r := awaitResult(t, only); r.how != port.Unsent {
 		t.Errorf("recalled: %+v", r)
 	}
 	close(up)
-	if calls, _ := at.counts(); calls != 1 {
-		t.Errorf("%d calls reached the endpoint, one of them with what was not recalled", calls)
+	if calls, _ := endpoint.counts(); calls != 1 {
+		t.Errorf("%d calls reached the endpoint, want 1 with the attempt that was not recalled", calls)
 	}
 	p.journal.close()
 	j, owed := reopen(t, folder, 3)
 	defer j.close()
 	if len(owed) != 2 {
-		t.Errorf("%d events are owed, want 2", len(owed))
+		t.Errorf("%d events are pending, want 2", len(owed))
 	}
 	for _, e := range owed {
 		if len(e.past) > 0 != (e.id == "b") {
-			t.Errorf("the journal has %d sends of %s; b's alone went", len(e.past), e.id)
+			t.Errorf("the journal has %d attempts of %s; only b was sent", len(e.past), e.id)
 		}
 	}
 }
 
 func TestWrittenCallIsNotRecalled(t *testing.T) {
 	came, answer := make(chan struct{}), make(chan struct{})
-	at := newTestEndpoint(t, func(conn net.Conn, body string) bool {
+	endpoint := newTestEndpoint(t, func(conn net.Conn, body string) bool {
 		came <- struct{}{}
 		<-answer
 		return respond(httpResponse("200 OK", "", ""))(conn, body)
 	})
-	p := newTestPool(t, at.Addr().String())
+	p := newTestPool(t, endpoint.Addr().String())
 	c := &call{pool: p}
 	c.attempts = []*attempt{newTestAttempt(t, c, "a", testTimeout)}
 	go p.execute(c)
@@ -375,8 +376,8 @@
 }
 
 func TestConnectionsAreReusedUnlessClosed(t *testing.T) {
-	at := newTestEndpoint(t, respond(httpResponse("200 OK", "", "")))
-	p := newTestPool(t, at.Addr().String())
+	endpoint := newTestEndpoint(t, respond(httpResponse("200 OK", "", "")))
+	p := newTestPool(t, endpoint.Addr().String())
 	executeCall(t, p, testTimeout)
 	settle := func(idle int) {
 		t.Helper()
@@ -395,50 +396,50 @@
 	settle(1)
 	executeCall(t, p, testTimeout)
 	settle(1)
-	if calls, conns := at.counts(); calls != 2 || conns != 1 {
+	if calls, conns := endpoint.counts(); calls != 2 || conns != 1 {
 		t.Errorf("%d calls on %d connections", calls, conns)
 	}
 	p.closeExpired(p.clock.now() + p.idleTimeout - idleMargin)
 	settle(0)
-	// An endpoint that closes behind its answer: the next call needs a new connection, and is no reset.
-	shy := newTestEndpoint(t, func(conn net.Conn, _ string) bool {
+	// The endpoint closes the connection after its response: the next call uses a new connection and is not reset.
+	closing := newTestEndpoint(t, func(conn net.Conn, _ string) bool {
 		io.WriteString(conn, httpResponse("200 OK", "", ""))
 		return false
 	})
-	p.updateEndpoint(0, "e0", "zone", shy.Addr().String())
+	p.updateEndpoint(0, "e0", "zone", closing.Addr().String())
 	for range 3 {
-		if ends, _ := executeCall(t, p, testTimeout); ends[0].how != port.Acked {
-			t.Errorf("got %+v", ends[0])
+		if results, _ := executeCall(t, p, testTimeout); results[0].how != port.Acked {
+			t.Errorf("got %+v", results[0])
 		}
-		time.Sleep(20 * time.Millisecond) // for the close to come
+		time.Sleep(20 * time.Millisecond) // lets the close arrive
 	}
-	// What comes while a connection is idle is nobody's answer.
-	more := newTestEndpoint(t, func(conn net.Conn, _ string) bool {
+	// Data that arrives on an idle connection is not a response to any call.
+	surplus := newTestEndpoint(t, func(conn net.Conn, _ string) bool {
 		io.WriteString(conn, httpResponse("200 OK", "", ""))
 		time.Sleep(20 * time.Millisecond)
 		io.WriteString(conn, httpResponse("429 Full", "", ""))
 		return true
 	})
-	p.updateEndpoint(0, "e0", "zone", more.Addr().String())
+	p.updateEndpoint(0, "e0", "zone", surplus.Addr().String())
 	executeCall(t, p, testTimeout)
 	settle(1)
 	time.Sleep(50 * time.Millisecond)
 	p.closeExpired(p.clock.now())
 	settle(0)
-	// Where it moves to, its connections follow.
+	// When the endpoint moves, connections to its old address are closed.
 	executeCall(t, p, testTimeout)
-	p.updateEndpoint(0, "e0", "zone", at.Addr().String())
+	p.updateEndpoint(0, "e0", "zone", endpoint.Addr().String())
 	settle(0)
 	executeCall(t, p, testTimeout)
-	if calls, _ := at.counts(); calls != 3 {
-		t.Errorf("%d calls came to where it moved", calls)
+	if calls, _ := endpoint.counts(); calls != 3 {
+		t.Errorf("the new address received %d calls, want 3 in all", calls)
 	}
 	settle(1)
 	p.closeIdle(0)
 	settle(0)
 }
 
-// idOf finds the ids of a bulk call's body.
+// bulkIDs returns the ids in the body of a bulk call.
 func bulkIDs(body string) (ids []string) {
 	for line := range strings.Lines(body) {
 		if f := strings.Fields(line); len(f) == 3 && f[1] == "mark" && f[2] == "4" {
@@ -450,22 +451,22 @@
 
 func TestBulkCalls(t *testing.T) {
 	bodies := make(chan string, 10)
-	at := newTestEndpoint(t, func(conn net.Conn, body string) bool {
+	endpoint := newTestEndpoint(t, func(conn net.Conn, body string) bool {
 		bodies <- body
 		ids, text := bulkIDs(body), ""
 		for i, word := range []string{"done", "failed", "busy", "void", "used_up"} {
-			text = ids[i] + " " + word + "\r\n" + text // not in the order they were sent
+			text = ids[i] + " " + word + "\r\n" + text // in reverse of the order sent
 		}
 		return respond(httpResponse("200 OK", "Retry-After: 0.25\r\nSrv-Load: x0=0.5,x1=2\r\n", text))(conn, body)
 	})
-	p := newTestPool(t, at.Addr().String())
-	ends, _ := executeCall(t, p, testTimeout, testTimeout, testTimeout, testTimeout, testTimeout)
+	p := newTestPool(t, endpoint.Addr().String())
+	results, _ := executeCall(t, p, testTimeout, testTimeout, testTimeout, testTimeout, testTimeout)
 	if body := <-bodies; strings.Count(body, " mark 4\r\na\r\nb\r\n") != 5 || len(bulkIDs(body)) != 5 {
 		t.Errorf("body %q", body)
 	}
 	for i, want := range []result{{how: port.Acked, over: true}, {how: port.Errored}, {how: port.Declined},
 		{how: port.Unsent, over: true}, {how: port.Unsent}} {
-		got := ends[i]
+		got := results[i]
 		if got.how != want.how || got.over != want.over || got.wait != 250*ms || got.left != 0.5 || got.limit != 2 {
 			t.Errorf("event %d: got %+v, want %+v", i, got, want)
 		}
@@ -473,43 +474,43 @@
 	for status, want := range map[string]port.Outcome{"400 Bad": port.Unsent, "413 Long": port.Unsent,
 		"429 Full": port.Declined, "500 Error": port.Errored, "503 Shut": port.Declined} {
 		p := newTestPool(t, newTestEndpoint(t, respond(httpResponse(status, "", ""))).Addr().String())
-		if ends, _ := executeCall(t, p, testTimeout, testTimeout); ends[0].how != want || ends[1].how != want {
-			t.Errorf("%s: %+v", status, ends)
+		if results, _ := executeCall(t, p, testTimeout, testTimeout); results[0].how != want || results[1].how != want {
+			t.Errorf("%s: %+v", status, results)
 		}
 	}
-	for name, text := range map[string]string{"short": "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nid0",
-		"noise": httpResponse("200 OK", "", "\x00\xff\r\n"), "no head": "HTTP/1.1 200 OK\r\nA"} {
+	for name, text := range map[string]string{"truncated": "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nid0",
+		"malformed": httpResponse("200 OK", "", "\x00\xff\r\n"), "incomplete header": "HTTP/1.1 200 OK\r\nA"} {
 		p := newTestPool(t, newTestEndpoint(t, respond(text)).Addr().String())
-		if ends, _ := executeCall(t, p, testTimeout, testTimeout); ends[0].how != port.Spoilt || ends[1].how != port.Spoilt {
-			t.Errorf("%s: %+v", name, ends)
+		if results, _ := executeCall(t, p, testTimeout, testTimeout); results[0].how != port.Spoilt || results[1].how != port.Spoilt {
+			t.Errorf("%s: %+v", name, results)
 		}
 	}
-	for _, end := range []string{"\r\n", "\r\nid1"} { // one is left out, or cut off: the other is not delivered yet
-		at := newTestEndpoint(t, func(conn net.Conn, body string) bool {
+	for _, end := range []string{"\r\n", "\r\nid1"} { // one event is missing or truncated: the other does not count as delivered
+		endpoint := newTestEndpoint(t, func(conn net.Conn, body string) bool {
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n\r\n%s done%s", bulkIDs(body)[0], end)
 			return false
 		})
-		ends, _ := executeCall(t, newTestPool(t, at.Addr().String()), testTimeout, testTimeout)
-		if ends[0].how != port.Spoilt || ends[0].over || ends[1].how != port.Spoilt {
-			t.Errorf("a bulk answer that names one of two: %+v", ends)
+		results, _ := executeCall(t, newTestPool(t, endpoint.Addr().String()), testTimeout, testTimeout)
+		if results[0].how != port.Spoilt || results[0].over || results[1].how != port.Spoilt {
+			t.Errorf("bulk response that names one event of two: %+v", results)
 		}
 	}
-	cut := newTestEndpoint(t, respondAndReset("HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nid0"))
-	ends, _ = executeCall(t, newTestPool(t, cut.Addr().String()), testTimeout, testTimeout)
-	if ends[0].how != port.Reset || ends[1].how != port.Reset {
-		t.Errorf("a bulk answer cut off: %+v", ends)
+	truncating := newTestEndpoint(t, respondAndReset("HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nid0"))
+	results, _ = executeCall(t, newTestPool(t, truncating.Addr().String()), testTimeout, testTimeout)
+	if results[0].how != port.Reset || results[1].how != port.Reset {
+		t.Errorf("truncated bulk response: %+v", results)
 	}
 }
 
-// An answer that comes as the first send of a call times out was once taken for the others, whose end
-// nobody had.
+// Guards against a race when the first attempt of a call times out just as the response arrives: the response was taken for
+// the remaining attempts, and nothing reported their outcome.
 func TestBulkCallTimesOutAsAWhole(t *testing.T) {
 	came := make(chan struct{})
-	at := newTestEndpoint(t, func(conn net.Conn, body string) bool {
+	endpoint := newTestEndpoint(t, func(conn net.Conn, body string) bool {
 		came <- struct{}{}
 		return true
 	})
-	p := newTestPool(t, at.Addr().String())
+	p := newTestPool(t, endpoint.Addr().String())
 	c := &call{pool: p}
 	for _, timeout := range []time.Duration{50 * time.Millisecond, testTimeout} {
 		c.attempts = append(c.attempts, newTestAttempt(t, c, fmt.Sprint("id", timeout), timeout))
@@ -517,11 +518,11 @@
 	go p.execute(c)
 	<-came
 	if a, b := awaitResult(t, c.attempts[0]), awaitResult(t, c.attempts[1]); a.how != port.TimedOut || b.how != port.TimedOut {
-		t.Errorf("given up: %+v %+v", a, b)
+		t.Errorf("abandoned: %+v %+v", a, b)
 	}
 	select {
-	case <-at.disconnected:
+	case <-endpoint.disconnected:
 	case <-time.After(testTimeout):
-		t.Error("the connection of a call given up stays open")
+		t.Error("the connection of an abandoned call is still open")
 	}
 }
