--- a/node/attribution_test.go
+++ b/node/attribution_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"jaspersill/port"
+	"jaspersill/delivery"
 	"jaspersill/store"
 )
 
@@ -65,40 +65,40 @@
 	return n
 }
 
-func (w *world) hasNotice(id string) bool {
-	return slices.ContainsFunc(w.noticed(), func(n string) bool { return strings.Contains(n, fmt.Sprintf("%q", id)) })
+func (w *testEnv) hasNotice(id string) bool {
+	return slices.ContainsFunc(w.receivedNotices(), func(n string) bool { return strings.Contains(n, fmt.Sprintf("%q", id)) })
 }
 
 // Guards against a duplicated 200 response being taken for the response to the next request, which was refused: that
 // request would count as delivered and the platform would never hear of it.
 func TestDuplicateDeliveryResponseDoesNotCompleteNextRequest(t *testing.T) {
-	w := newWorld(t)
+	w := newTestEnv(t)
 	endpoint := &duplicatingEndpoint{firstResponse: httpResponse("200 OK", "", ""), realResponse: httpResponse("503 Full", "", ""), realDelay: 50 * time.Millisecond}
-	w.endpoint(1, endpoint.handle)
-	w.run()
+	w.addEndpoint(1, endpoint.handle)
+	w.startNode()
 	c := w.dial()
-	c.hand(request("first", "alert", "1", 1000, "first"))
-	w.until("the first call is received", func() bool { return endpoint.callsWithBody("first") == 1 })
+	c.submit(submitRequest("first", "alert", "1", 1000, "first"))
+	w.waitFor("the first call is received", func() bool { return endpoint.callsWithBody("first") == 1 })
 	time.Sleep(20 * time.Millisecond)
-	c.hand(request("second", "alert", "1", 1000, "second"))
-	w.until("the second call is received", func() bool { return endpoint.callsWithBody("second") == 1 })
-	w.until("the notice of the second event is received", func() bool { return w.hasNotice("second") })
-	w.until("the journal is empty", w.journal.empty)
+	c.submit(submitRequest("second", "alert", "1", 1000, "second"))
+	w.waitFor("the second call is received", func() bool { return endpoint.callsWithBody("second") == 1 })
+	w.waitFor("the notice of the second event is received", func() bool { return w.hasNotice("second") })
+	w.waitFor("the journal is empty", w.journal.empty)
 }
 
 // Guards against a duplicated refusal being taken for the response to the next request, which ran: a request that is not
 // idempotent would be sent again.
 func TestDuplicateRefusalDoesNotRepeatNextRequest(t *testing.T) {
-	w := newWorld(t)
+	w := newTestEnv(t)
 	endpoint := &duplicatingEndpoint{firstResponse: httpResponse("503 Full", "", ""), realResponse: httpResponse("200 OK", "", ""), realDelay: 50 * time.Millisecond}
-	w.endpoint(1, endpoint.handle)
-	w.run()
+	w.addEndpoint(1, endpoint.handle)
+	w.startNode()
 	c := w.dial()
-	c.hand(request("first", "alert", "1", 3000, "first"))
-	w.until("the first call is received", func() bool { return endpoint.callsWithBody("first") == 1 })
+	c.submit(submitRequest("first", "alert", "1", 3000, "first"))
+	w.waitFor("the first call is received", func() bool { return endpoint.callsWithBody("first") == 1 })
 	time.Sleep(200 * time.Millisecond)
-	c.hand(request("second", "charge", "1", 3000, "second"))
-	w.until("the journal is empty", w.journal.empty)
+	c.submit(submitRequest("second", "charge", "1", 3000, "second"))
+	w.waitFor("the journal is empty", w.journal.empty)
 	if n := endpoint.callsWithBody("second"); n != 1 {
 		t.Errorf("the second event ran %d times, want 1", n)
 	}
@@ -107,18 +107,18 @@
 // Guards against a kill that turns an unconfirmed delivery into a confirmed one, because the journal records as delivered an
 // event whose response may belong to another call.
 func TestKillDuringUnconfirmedDeliveryStillOwesNotice(t *testing.T) {
-	w := newWorld(t)
+	w := newTestEnv(t)
 	endpoint := &duplicatingEndpoint{firstResponse: httpResponse("200 OK", "", ""), realResponse: httpResponse("503 Full", "", ""), realDelay: testTimeout}
-	w.endpoint(1, endpoint.handle)
-	w.run()
+	w.addEndpoint(1, endpoint.handle)
+	w.startNode()
 	c := w.dial()
-	c.hand(request("first", "alert", "1", 8000, "first"))
-	w.until("the first call is received", func() bool { return endpoint.callsWithBody("first") == 1 })
+	c.submit(submitRequest("first", "alert", "1", 8000, "first"))
+	w.waitFor("the first call is received", func() bool { return endpoint.callsWithBody("first") == 1 })
 	time.Sleep(20 * time.Millisecond)
-	c.hand(request("second", "alert", "1", 8000, "second"))
-	w.until("the second call is received", func() bool { return endpoint.callsWithBody("second") == 1 })
-	w.until("the journal records the second event as discarded", func() bool {
-		e := afterKill(t, w.folder)["second"]
+	c.submit(submitRequest("second", "alert", "1", 8000, "second"))
+	w.waitFor("the second call is received", func() bool { return endpoint.callsWithBody("second") == 1 })
+	w.waitFor("the journal records the second event as discarded", func() bool {
+		e := recoverAfterKill(t, w.folder)["second"]
 		return e != nil && e.Verdict == store.Discarded
 	})
 }
@@ -126,22 +126,22 @@
 // Guards against a duplicated response that arrives while the next attempt is being recorded, before that attempt is sent,
 // and is taken for its response.
 func TestDuplicateResponseWhileRecordingAttemptIsIgnored(t *testing.T) {
-	w := newWorld(t)
+	w := newTestEnv(t)
 	disk := &faultyDisk{Dir: store.Dir(w.folder)}
 	w.disk = disk
 	endpoint := &duplicatingEndpoint{firstResponse: httpResponse("200 OK", "", ""), realResponse: httpResponse("503 Full", "", ""), sendCopy: make(chan struct{})}
-	w.endpoint(1, endpoint.handle)
-	w.run()
+	w.addEndpoint(1, endpoint.handle)
+	w.startNode()
 	c := w.dial()
-	c.hand(request("first", "alert", "1", 1500, "first"))
-	w.until("the first call is received", func() bool { return endpoint.callsWithBody("first") == 1 })
+	c.submit(submitRequest("first", "alert", "1", 1500, "first"))
+	w.waitFor("the first call is received", func() bool { return endpoint.callsWithBody("first") == 1 })
 	time.Sleep(20 * time.Millisecond)
-	disk.slow.Store(int64(30 * time.Millisecond))
-	c.hand(request("second", "alert", "1", 1500, "second"))
+	disk.writeDelay.Store(int64(30 * time.Millisecond))
+	c.submit(submitRequest("second", "alert", "1", 1500, "second"))
 	time.Sleep(15 * time.Millisecond) // the second attempt is being recorded
 	close(endpoint.sendCopy)
-	disk.slow.Store(0)
-	w.until("the notice of the second event is received", func() bool { return w.hasNotice("second") })
+	disk.writeDelay.Store(0)
+	w.waitFor("the notice of the second event is received", func() bool { return w.hasNotice("second") })
 }
 
 // Guards against trusting a response that arrives before the call was written completely: an endpoint starts a call only
@@ -169,8 +169,8 @@
 	a.event.body = make([]byte, 40<<20)
 	c.attempts = []*attempt{a}
 	go p.execute(c)
-	if r := awaitResult(t, a); r.how != port.ConnectFailed {
-		t.Errorf("outcome %v, want %v", r.how, port.ConnectFailed)
+	if r := awaitResult(t, a); r.outcome != delivery.ConnectFailed {
+		t.Errorf("outcome %v, want %v", r.outcome, delivery.ConnectFailed)
 	}
 }
 
@@ -179,7 +179,7 @@
 	endpoint := newTestEndpoint(t, respond(httpResponse("200 OK", "", "other1 done\r\nother2 done\r\n")))
 	p := newTestPool(t, endpoint.Addr().String())
 	results, _ := executeCall(t, p, testTimeout, testTimeout)
-	if results[0].how != port.Spoilt || results[1].how != port.Spoilt {
+	if results[0].outcome != delivery.Unreadable || results[1].outcome != delivery.Unreadable {
 		t.Errorf("got %+v", results)
 	}
 	select {
@@ -242,8 +242,8 @@
 	post("first")
 	<-heard
 	<-told
-	w := &world{t: t}
-	w.until("the spare connection is open", func() bool { n.mu.Lock(); defer n.mu.Unlock(); return n.spare != nil })
+	w := &testEnv{t: t}
+	w.waitFor("the spare connection is open", func() bool { n.mu.Lock(); defer n.mu.Unlock(); return n.spare != nil })
 	platform.Listener.Close() // no further connection can be opened
 	post("second")
 	<-heard
@@ -266,36 +266,36 @@
 // the event is pending, after its completion, after a refusal or after a restart is answered, but the request is accepted
 // only once.
 func TestRepeatedRequestIsAcceptedOnceAndAnsweredEachTime(t *testing.T) {
-	w := newWorld(t)
-	endpoint := w.endpoint(1, respond(httpResponse("200 OK", "", "")))
-	w.run()
-	taken, refused := request("taken", "charge", "1", 8000, ""), request("refused", "charge", "7", 8000, "")
+	w := newTestEnv(t)
+	endpoint := w.addEndpoint(1, respond(httpResponse("200 OK", "", "")))
+	w.startNode()
+	taken, refused := submitRequest("taken", "charge", "1", 8000, ""), submitRequest("refused", "charge", "7", 8000, "")
 	c := w.dial()
 	io.WriteString(c, taken+taken)
 	for range 2 {
-		if status, _ := c.hear(""); status != statusTaken {
+		if status, _ := c.readResponse(""); status != statusAccepted {
 			t.Errorf("copy on the same connection: status %d", status)
 		}
 	}
-	w.until("the event is completed", w.journal.empty)
-	if status, _ := w.dial().hand(taken); status != statusTaken {
+	w.waitFor("the event is completed", w.journal.empty)
+	if status, _ := w.dial().submit(taken); status != statusAccepted {
 		t.Errorf("copy after completion: status %d", status)
 	}
-	c.hand(refused)
+	c.submit(refused)
 	w.directory.mu.Lock()
-	w.directory.dests[7] = struct{}{} // the destination is known now, but the client may have submitted the event again
+	w.directory.knownDests[7] = struct{}{} // the destination is known now, but the client may have submitted the event again
 	w.directory.mu.Unlock()
-	if status, _ := w.dial().hand(refused); status != statusDeclined {
+	if status, _ := w.dial().submit(refused); status != statusDeclined {
 		t.Errorf("copy after a refusal: status %d", status)
 	}
 	if calls, _ := endpoint.counts(); calls != 1 || !w.journal.empty() {
 		t.Errorf("%d calls, want 1, or the journal is not empty", calls)
 	}
-	folder := killed(t, w.folder)
-	next := newWorld(t)
+	folder := copyAsKilled(t, w.folder)
+	next := newTestEnv(t)
 	next.folder, next.hosts = folder, w.hosts
-	next.run()
-	if status, _ := next.dial().hand(taken); status != statusTaken {
+	next.startNode()
+	if status, _ := next.dial().submit(taken); status != statusAccepted {
 		t.Errorf("copy after a restart: status %d", status)
 	}
 	time.Sleep(50 * time.Millisecond)
@@ -312,7 +312,7 @@
 		if !first {
 			t.Fatal("a new request counts as known")
 		}
-		r.complete(request, answer{status: statusTaken})
+		r.complete(request, clientResponse{status: statusAccepted})
 	}
 	if len(r.byID) != maxRecentRequests || len(r.answeredOrder) != maxRecentRequests {
 		t.Errorf("%d requests by id and %d in order, want %d", len(r.byID), len(r.answeredOrder), maxRecentRequests)
@@ -344,18 +344,18 @@
 		}
 		return first
 	})
-	d, r := listen(t, endpoint.Addr().String())
-	d.watch(true)
+	d, r := newTestDirectory(t, endpoint.Addr().String())
+	d.setWatching(true)
 	want := "whole=true 0/0/2/2/2/0 ; whole=false 0/0/2/2/1/0 ; whole=false ; whole=false 0/0/2/2/1/0 ;"
-	w := &world{t: t}
-	w.until("the first watch is read", func() bool { return len(r.all()) >= len(want) })
-	if got := r.all(); got != want {
+	w := &testEnv{t: t}
+	w.waitFor("the first watch is read", func() bool { return len(r.joined()) >= len(want) })
+	if got := r.joined(); got != want {
 		t.Errorf("got  %s\nwant %s", got, want)
 	}
-	d.watch(true)
-	w.until("a watch that begins with an older list fails", func() bool { return r.all() == want+" failed" })
-	d.watch(true)
-	w.until("an older list is accepted on the next watch", func() bool { return strings.HasPrefix(r.all(), want+" failed whole=true 0/0/2/2/2/0 ;") })
+	d.setWatching(true)
+	w.waitFor("a watch that begins with an older list fails", func() bool { return r.joined() == want+" failed" })
+	d.setWatching(true)
+	w.waitFor("an older list is accepted on the next watch", func() bool { return strings.HasPrefix(r.joined(), want+" failed whole=true 0/0/2/2/2/0 ;") })
 }
 
 // Guards against closing the spare connection because a write temporarily fails, at a time when no other connection can be
@@ -371,7 +371,7 @@
 	n.setTimeouts(30*time.Millisecond, time.Millisecond)
 	n.ensureSpare()
 	spare := n.spare
-	spare.Conn = &faultyConn{TCPConn: spare.Conn.(*net.TCPConn), errno: syscall.ENOMEM, writes: 10, none: true}
+	spare.Conn = &faultyConn{TCPConn: spare.Conn.(*net.TCPConn), errno: syscall.ENOMEM, failWrites: 10, writeNothing: true}
 	platform.Listener.Close()
 	go n.run(stop)
 	n.enqueue(notice{id: "x", verdict: discarded, onAcknowledged: func() { told <- struct{}{} }})
--- a/node/call.go
+++ b/node/call.go
@@ -11,11 +11,11 @@
 	"github.com/sirupsen/logrus"
 	"github.com/valyala/bytebufferpool"
 
+	"jaspersill/delivery"
 	"jaspersill/errclass"
 	"jaspersill/lifecycle"
 	"jaspersill/logs"
 	"jaspersill/metrics"
-	"jaspersill/port"
 )
 
 // attempt is one attempt to deliver an event to an endpoint.
@@ -41,9 +41,9 @@
 	conn           *endpointConn
 	progress       writeProgress
 	ended          bool
-	abandoned      bool         // if set while attempts are recorded or the request is written, the goroutine doing that ends the call
-	abandonOutcome port.Outcome // the outcome of an abandoned call
-	sentAt         int64        // when writing the request began
+	abandoned      bool             // if set while attempts are recorded or the request is written, the goroutine doing that ends the call
+	abandonOutcome delivery.Outcome // the outcome of an abandoned call
+	sentAt         int64            // when writing the request began
 
 	timeoutExtended bool        // the call timed out while its response was arriving, and the timeout was extended once
 	localFailure    atomic.Bool // connecting or writing last failed for a reason local to this machine
@@ -64,8 +64,8 @@
 )
 
 var attemptsEnded = metrics.NewFamily("jaspersill_attempts_ended_total", "Attempts that ended, by outcome.", "outcome",
-	port.Acked.String(), port.Errored.String(), port.Declined.String(), port.TimedOut.String(), port.ConnectFailed.String(),
-	port.Reset.String(), port.Cancelled.String(), port.Unsent.String(), port.Spoilt.String())
+	delivery.Acked.String(), delivery.Errored.String(), delivery.Refused.String(), delivery.TimedOut.String(), delivery.ConnectFailed.String(),
+	delivery.Reset.String(), delivery.Cancelled.String(), delivery.Unsent.String(), delivery.Unreadable.String())
 
 // execute performs a call and reports the outcome of each of its attempts. A call is made once and never retried here.
 func (p *endpointPool) execute(c *call) {
@@ -76,7 +76,7 @@
 	if timeout == 0 { // abandoned before it started
 		return
 	}
-	timer := time.AfterFunc(time.Duration(timeout), func() { c.abandon(port.TimedOut) })
+	timer := time.AfterFunc(time.Duration(timeout), func() { c.abandon(delivery.TimedOut) })
 	defer timer.Stop()
 
 	conn := c.prepare(ctx)
@@ -122,7 +122,7 @@
 func (c *call) connect(ctx context.Context, address string) *endpointConn {
 	conn, err := c.pool.connect(ctx, c.endpoint, address, &c.localFailure)
 	if err != nil {
-		c.finish(result{how: dialOutcome(err)})
+		c.finish(result{outcome: dialOutcome(err)})
 		return nil
 	}
 	return conn
@@ -130,7 +130,7 @@
 
 // repeatable reports whether all events of the call may be sent again after an attempt that may have run.
 func (c *call) repeatable() bool {
-	return !slices.ContainsFunc(c.attempts, func(a *attempt) bool { return a.event.safety == port.NonIdempotent })
+	return !slices.ContainsFunc(c.attempts, func(a *attempt) bool { return a.event.safety == delivery.NonIdempotent })
 }
 
 // finishWithoutResponse ends a call that was abandoned or failed before or while its last byte was written.
@@ -141,30 +141,30 @@
 	case err == nil:
 		reason = closeGivenUp
 	case errors.Is(err, errEarlyAnswer): // belongs to no call: an endpoint starts a call only once its last byte has arrived
-		reason, wait = closeUnread, conn.reader.read(c.attempts).results[0].wait
+		reason, wait = closeUnread, conn.reader.readResponse(c.attempts).results[0].retryAfter
 	}
 	c.pool.closeConn(conn, reason)
 	switch {
-	case errclass.Stream(err) == errclass.Momentary: // a failure local to this machine; nothing was sent
-		c.finish(result{how: port.Unsent})
+	case errclass.Stream(err) == errclass.Transient: // a failure local to this machine; nothing was sent
+		c.finish(result{outcome: delivery.Unsent})
 	case incomplete: // the last byte was not written, so the call never ran
-		c.finish(result{how: port.ConnectFailed, wait: wait})
+		c.finish(result{outcome: delivery.ConnectFailed, retryAfter: wait})
 	default:
-		c.finish(result{how: port.Reset})
+		c.finish(result{outcome: delivery.Reset})
 	}
 }
 
 // readResponse reads the response to a call that was written, and ends the call with it.
 func (c *call) readResponse(conn *endpointConn) {
 	dest := c.attempts[0].event.dest
-	conn.stalls = func(on bool) { c.pool.setStalled(dest, on) }
-	response := conn.reader.read(c.attempts)
-	refusedBefore := conn.responses.Refused() && response.identity.NotRun
+	conn.onStall = func(on bool) { c.pool.setStalled(dest, on) }
+	response := conn.reader.readResponse(c.attempts)
+	refusedBefore := conn.responses.SawNotRun() && response.identity.NotRun
 	attribution := conn.attribute(response)
 	switch {
 	case attribution == lifecycle.Unconfirmed:
 		c.trackResponse(conn, response)
-	case response.identity.Named:
+	case response.identity.NamesRequests:
 		c.pool.markInSync(conn)
 	}
 	if refusedBefore {
@@ -182,12 +182,12 @@
 
 // trackResponse tracks the unconfirmed outcomes that would do harm if the response belonged to another call: those that
 // complete their event, and those saying that an event which is not idempotent did not run.
-func (c *call) trackResponse(conn *endpointConn, response reply) {
+func (c *call) trackResponse(conn *endpointConn, response callResponse) {
 	for i := range response.results {
 		r := &response.results[i] // a response with one status for all attempts has one result for each of them
-		completes := r.how == port.Acked || r.over
-		if completes || (!r.how.MayHaveRun() && c.attempts[i].event.safety != port.Idempotent) {
-			r.confirm = c.pool.trackOutcome(conn, c.attempts[i], r.how)
+		completes := r.outcome == delivery.Acked || r.final
+		if completes || (!r.outcome.MayHaveRun() && c.attempts[i].event.safety != delivery.Idempotent) {
+			r.confirmation = c.pool.trackOutcome(conn, c.attempts[i], r.outcome)
 		}
 	}
 }
@@ -210,11 +210,11 @@
 
 // dialOutcome returns the outcome of an attempt whose connection could not be opened. A failure local to this machine is
 // not attributed to the endpoint.
-func dialOutcome(err error) port.Outcome {
-	if errclass.Socket(err) == errclass.Momentary {
-		return port.Unsent
+func dialOutcome(err error) delivery.Outcome {
+	if errclass.Socket(err) == errclass.Transient {
+		return delivery.Unsent
 	}
-	return port.ConnectFailed
+	return delivery.ConnectFailed
 }
 
 // recordAttempts writes the call's attempts to the journal just before the request is written: the process may end while
@@ -254,14 +254,14 @@
 		return false
 	}
 	for {
-		err := c.pool.journal.began(a.event, a.number, c.pool.clock.day(), c.pool.site(c.endpoint))
+		err := c.pool.journal.recordAttempt(a.event, a.number, c.pool.clock.timeOfDay(), c.pool.site(c.endpoint))
 		if err == nil {
 			return true
 		}
-		if errors.Is(err, errOver) || !c.recordStillWanted(a) {
+		if errors.Is(err, errNotPending) || !c.recordStillWanted(a) {
 			return false
 		}
-		c.pool.journal.disk.note(err)
+		c.pool.journal.writeFailures.record(err)
 		time.Sleep(recordRetryInterval)
 	}
 }
@@ -270,14 +270,14 @@
 func (c *call) recordStillWanted(a *attempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.abandoned && !a.recalled && c.pool.clock.now() < a.event.due
+	return !c.abandoned && !a.recalled && c.pool.clock.now() < a.event.monoDeadline
 }
 
 // dropAttempt removes an attempt from a call of which nothing has been sent. The caller holds c.mu.
 func (c *call) dropAttempt(a *attempt) {
 	if i := slices.Index(c.attempts, a); i >= 0 {
 		c.attempts = slices.Delete(c.attempts, i, i+1)
-		c.reportOutcome(a, result{how: port.Unsent})
+		c.reportOutcome(a, result{outcome: delivery.Unsent})
 	}
 	if c.ended = c.ended || len(c.attempts) == 0; c.ended && c.cancelDial != nil {
 		c.cancelDial()
@@ -292,7 +292,7 @@
 		return false
 	}
 	if c.abandoned {
-		c.abandonOutcome = port.Unsent
+		c.abandonOutcome = delivery.Unsent
 		c.finishLocked(nil)
 		return false
 	}
@@ -306,7 +306,7 @@
 		return false
 	}
 	c.conn, c.progress, c.sentAt = conn, progressWriting, now
-	conn.expect()
+	conn.expectAnswer()
 	for _, a := range c.attempts {
 		c.logAttempt(a, "sending attempt", nil)
 	}
@@ -318,17 +318,17 @@
 func (c *call) write(conn *endpointConn, timeout int64) (complete bool, err error) {
 	buf := bytebufferpool.Get()
 	defer bytebufferpool.Put(buf)
-	for pause := callAgain; ; pause = min(2*pause, callAgainMost) {
+	for pause := minRetryPause; ; pause = min(2*pause, maxRetryPause) {
 		buf.Reset()
 		if err := writeCall(buf, c.attempts, timeout); err != nil {
 			logs.Part("endpoints").WithError(err).Error("failed to serialize call as HTTP request")
 			return false, err
 		}
-		n, err := conn.WriteUnlessFailing(buf.B)
-		if n > 0 || errclass.Stream(err) != errclass.Momentary {
+		n, err := conn.WriteIfReady(buf.B)
+		if n > 0 || errclass.Stream(err) != errclass.Transient {
 			return n == buf.Len(), err
 		}
-		momentaryFailures.With("write").Add()
+		transientFailures.With("write").Add()
 		c.localFailure.Store(true)
 		if !c.holdWrite() {
 			return false, err
@@ -350,7 +350,7 @@
 	}
 	c.progress = progressRecording
 	for _, a := range c.attempts {
-		a.event.request.HoldAttempt()
+		a.event.request.RevertSend()
 	}
 	return true
 }
@@ -367,15 +367,15 @@
 
 // abandon stops waiting for a call by closing its connection; the protocol has no other way to cancel one. A call with
 // several attempts is abandoned as a whole: the endpoint alone would decide what becomes of the remaining ones.
-func (c *call) abandon(how port.Outcome) {
+func (c *call) abandon(how delivery.Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.ended || c.abandoned {
 		return
 	}
-	if how == port.TimedOut && c.progress == progressWritten && !c.timeoutExtended && c.conn.answerBegun() { // the response has started to arrive
+	if how == delivery.TimedOut && c.progress == progressWritten && !c.timeoutExtended && c.conn.answerStarted() { // the response has started to arrive
 		c.timeoutExtended = true
-		time.AfterFunc(restWithin, func() { c.abandon(port.TimedOut) })
+		time.AfterFunc(responseReadTimeout, func() { c.abandon(delivery.TimedOut) })
 		return
 	}
 	c.abandoned, c.abandonOutcome = true, how
@@ -423,13 +423,13 @@
 	outcome := c.abandonOutcome
 	switch {
 	case c.progress == progressWriting || c.progress == progressWritten:
-	case outcome == port.TimedOut && c.progress == progressNone && !c.localFailure.Load():
-		outcome = port.ConnectFailed
+	case outcome == delivery.TimedOut && c.progress == progressNone && !c.localFailure.Load():
+		outcome = delivery.ConnectFailed
 	default:
-		outcome = port.Unsent
+		outcome = delivery.Unsent
 	}
 	for i, a := range c.attempts {
-		r := result{how: outcome}
+		r := result{outcome: outcome}
 		if !c.abandoned {
 			r = results[min(i, len(results)-1)]
 		}
@@ -439,15 +439,15 @@
 
 // reportOutcome logs, counts and records the result of an attempt and passes it to the goroutine that handles the event.
 func (c *call) reportOutcome(a *attempt, r result) {
-	r.took = c.pool.clock.now() - a.startedAt
-	c.logAttempt(a, "attempt finished", logrus.Fields{"outcome": r.how.String(), "took_ms": r.took / 1e6, "wait_ms": r.wait / 1e6})
-	attemptsEnded.With(r.how.String()).Add()
-	if r.confirm != nil && !r.how.MayHaveRun() && !r.over {
-		a.event.request.FinishRefused()
+	r.duration = c.pool.clock.now() - a.startedAt
+	c.logAttempt(a, "attempt finished", logrus.Fields{"outcome": r.outcome.String(), "took_ms": r.duration / 1e6, "wait_ms": r.retryAfter / 1e6})
+	attemptsEnded.With(r.outcome.String()).Add()
+	if r.confirmation != nil && !r.outcome.MayHaveRun() && !r.final {
+		a.event.request.FinishUnconfirmedRefusal()
 	} else {
-		a.event.request.FinishAttempt(r.how.MayHaveRun() && c.progress != progressNone && c.progress != progressRecording)
+		a.event.request.FinishAttempt(r.outcome.MayHaveRun() && c.progress != progressNone && c.progress != progressRecording)
 	}
-	a.event.steps <- step{what: stepOutcome, send: a, result: r}
+	a.event.updates <- eventUpdate{kind: updateSendEnded, send: a, result: r}
 }
 
 // logAttempt logs a message about an attempt, with the connection that carries it.
--- a/node/call_test.go
+++ b/node/call_test.go
@@ -15,8 +15,8 @@
 
 	"github.com/valyala/fasthttp"
 
+	"jaspersill/delivery"
 	"jaspersill/lifecycle"
-	"jaspersill/port"
 )
 
 const (
@@ -102,7 +102,7 @@
 
 func newTestPool(t *testing.T, dial string) *endpointPool {
 	t.Helper()
-	j, _ := reopen(t, t.TempDir(), 3)
+	j, _ := reopenJournal(t, t.TempDir(), 3)
 	t.Cleanup(j.close)
 	p := &endpointPool{clock: clock{start: time.Now()}, journal: j, dial: newDialer(500 * ms),
 		idleTimeout: 15000 * ms, maxIdle: 10}
@@ -112,9 +112,9 @@
 
 func newTestAttempt(t *testing.T, c *call, id string, timeout time.Duration) *attempt {
 	t.Helper()
-	e := &event{id: id, mark: "mark", body: []byte("a\r\nb"), due: math.MaxInt64, steps: make(chan step, maxSteps)}
-	e.request = lifecycle.RestoredRequest(id, e.due, true, false)
-	if err := c.pool.journal.take(e, "alert", ""); err != nil {
+	e := &event{id: id, idempotencyKey: "mark", body: []byte("a\r\nb"), monoDeadline: math.MaxInt64, updates: make(chan eventUpdate, updateBuffer)}
+	e.request = lifecycle.RestoreRequest(id, e.monoDeadline, true, false)
+	if err := c.pool.journal.accept(e, "alert", ""); err != nil {
 		t.Fatal(err)
 	}
 	return &attempt{event: e, timeout: int64(timeout), startedAt: c.pool.clock.now(), call: c}
@@ -137,7 +137,7 @@
 func awaitResult(t *testing.T, a *attempt) result {
 	t.Helper()
 	select {
-	case st := <-a.event.steps:
+	case st := <-a.event.updates:
 		return st.result
 	case <-time.After(testTimeout):
 		t.Fatal("attempt did not finish")
@@ -156,68 +156,68 @@
 		want   result
 	}{
 		{"200", respond(httpResponse("200 OK", "Srv-Load: x0=0.4,x1=25\r\n", "any")),
-			result{how: port.Acked, over: true, left: 0.4, limit: 25}},
-		{"500", respond(httpResponse("500 Error", "", "")), result{how: port.Errored}},
+			result{outcome: delivery.Acked, final: true, rateFree: 0.4, rateLimit: 25}},
+		{"500", respond(httpResponse("500 Error", "", "")), result{outcome: delivery.Errored}},
 		{"429", respond(httpResponse("429 Full", "Retry-After: 1.5\r\nSrv-Load: x0=0,x1=3\r\n", "")),
-			result{how: port.Declined, wait: 1500 * ms, limit: 3}},
-		{"503", respond(httpResponse("503 Shut", "", "")), result{how: port.Declined}},
-		{"503 with X-No-Slot", respond(httpResponse("503 Shut", "X-No-Slot: 1\r\n", "")), result{how: port.Unsent}},
-		{"504", respond(httpResponse("504 Used up", "", "")), result{how: port.Unsent}},
-		{"410", respond(httpResponse("410 Over", "", "")), result{how: port.Unsent, over: true}},
-		{"unknown status", respond(httpResponse("418 Teapot", "", "")), result{how: port.Errored}},
+			result{outcome: delivery.Refused, retryAfter: 1500 * ms, rateLimit: 3}},
+		{"503", respond(httpResponse("503 Shut", "", "")), result{outcome: delivery.Refused}},
+		{"503 with X-No-Slot", respond(httpResponse("503 Shut", "X-No-Slot: 1\r\n", "")), result{outcome: delivery.Unsent}},
+		{"504", respond(httpResponse("504 Used up", "", "")), result{outcome: delivery.Unsent}},
+		{"410", respond(httpResponse("410 Over", "", "")), result{outcome: delivery.Unsent, final: true}},
+		{"unknown status", respond(httpResponse("418 Teapot", "", "")), result{outcome: delivery.Errored}},
 		{"invalid numbers in headers", respond(httpResponse("429 Full", "Retry-After: soon\r\nSrv-Load: x0=,x1=3\r\n", "")),
-			result{how: port.Declined}},
-		{"not HTTP", respond("hello\r\n\r\n"), result{how: port.Spoilt}},
-		{"not HTTP and no line end", respond("\x00\xff\x17"), result{how: port.Spoilt}},
-		{"incomplete header", respond("HTTP/1.1 500 Error\r\nA: b\r\n"), result{how: port.Spoilt}},
+			result{outcome: delivery.Refused}},
+		{"not HTTP", respond("hello\r\n\r\n"), result{outcome: delivery.Unreadable}},
+		{"not HTTP and no line end", respond("\x00\xff\x17"), result{outcome: delivery.Unreadable}},
+		{"incomplete header", respond("HTTP/1.1 500 Error\r\nA: b\r\n"), result{outcome: delivery.Unreadable}},
 		{"oversized header", respond("HTTP/1.1 500 Error\r\n" + strings.Repeat("A: b\r\n", 9000)),
-			result{how: port.Spoilt}},
-		{"negative Content-Length", respond("HTTP/1.1 429 Full\r\nContent-Length: -4\r\n\r\n"), result{how: port.Spoilt}},
+			result{outcome: delivery.Unreadable}},
+		{"negative Content-Length", respond("HTTP/1.1 429 Full\r\nContent-Length: -4\r\n\r\n"), result{outcome: delivery.Unreadable}},
 		{"body shorter than Content-Length", respond("HTTP/1.1 503 Shut\r\nContent-Length: 44\r\n\r\nabc"),
-			result{how: port.Spoilt}},
+			result{outcome: delivery.Unreadable}},
 		{"Content-Length of 3 GB", respond("HTTP/1.1 500 Error\r\nContent-Length: 3000000000\r\n\r\n" +
-			strings.Repeat("x", 1<<20)), result{how: port.Spoilt}},
+			strings.Repeat("x", 1<<20)), result{outcome: delivery.Unreadable}},
 		{"200 with Content-Length of 3 GB", respond("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" +
-			strings.Repeat("x", 1<<20)), result{how: port.Acked, over: true}},
-		{"200 with incomplete header", respond("HTTP/1.1 200 OK\r\nA: b\r\n"), result{how: port.Acked, over: true}},
+			strings.Repeat("x", 1<<20)), result{outcome: delivery.Acked, final: true}},
+		{"200 with incomplete header", respond("HTTP/1.1 200 OK\r\nA: b\r\n"), result{outcome: delivery.Acked, final: true}},
 		{"200 with malformed header after a 100", respond("HTTP/1.1 100 Go on\r\n\r\nHTTP/1.1 200 OK\r\n\x00\r\n\r\n"),
-			result{how: port.Acked, over: true}},
-		{"status 2000", respond("HTTP/1.1 2000 OK\r\n\x00\r\n\r\n"), result{how: port.Spoilt}},
+			result{outcome: delivery.Acked, final: true}},
+		{"status 2000", respond("HTTP/1.1 2000 OK\r\n\x00\r\n\r\n"), result{outcome: delivery.Unreadable}},
 		{"interim responses before the final one", respond("HTTP/1.1 103 Hints\r\nA: b\r\n\r\nHTTP/1.1 101 Other\r\n\r\n" +
-			httpResponse("429 Full", "Retry-After: 1\r\n", "")), result{how: port.Declined, wait: 1000 * ms}},
+			httpResponse("429 Full", "Retry-After: 1\r\n", "")), result{outcome: delivery.Refused, retryAfter: 1000 * ms}},
 		{"Retry-After in a malformed header", respond("HTTP/1.1 429 Full\r\nretry-after: 0.5\r\n\x00\xff\r\n\r\n"),
-			result{how: port.Spoilt, wait: 500 * ms}},
+			result{outcome: delivery.Unreadable, retryAfter: 500 * ms}},
 		{"Retry-After before an incomplete body", respond("HTTP/1.1 429 Full\r\nRetry-After: 0.5\r\n" +
-			"Content-Length: 44\r\n\r\nabc"), result{how: port.Spoilt, wait: 500 * ms}},
+			"Content-Length: 44\r\n\r\nabc"), result{outcome: delivery.Unreadable, retryAfter: 500 * ms}},
 		{"reset after Retry-After", respondAndReset("HTTP/1.1 503 Shut\r\nRetry-After: 0.5\r\nA"),
-			result{how: port.Reset, wait: 500 * ms}},
-		{"reset within Retry-After", respondAndReset("HTTP/1.1 503 Shut\r\nRetry-After: 0.5"), result{how: port.Reset}},
-		{"reset before the response", respondAndReset(""), result{how: port.Reset}},
-		{"closed before the response", func(net.Conn, string) bool { return false }, result{how: port.Reset}},
-		{"reset within the status line", respondAndReset("HTTP/1.1 500 Err"), result{how: port.Reset}},
+			result{outcome: delivery.Reset, retryAfter: 500 * ms}},
+		{"reset within Retry-After", respondAndReset("HTTP/1.1 503 Shut\r\nRetry-After: 0.5"), result{outcome: delivery.Reset}},
+		{"reset before the response", respondAndReset(""), result{outcome: delivery.Reset}},
+		{"closed before the response", func(net.Conn, string) bool { return false }, result{outcome: delivery.Reset}},
+		{"reset within the status line", respondAndReset("HTTP/1.1 500 Err"), result{outcome: delivery.Reset}},
 		{"reset after the status line of a 200", respondAndReset("HTTP/1.1 200 OK\r\nContent-Le"),
-			result{how: port.Acked, over: true}},
-		{"reset within the status line of a 200", respondAndReset("HTTP/1.1 200 O"), result{how: port.Reset}},
+			result{outcome: delivery.Acked, final: true}},
+		{"reset within the status line of a 200", respondAndReset("HTTP/1.1 200 O"), result{outcome: delivery.Reset}},
 		{"reset in the body of a 200", respondAndReset("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc"),
-			result{how: port.Acked, over: true}},
-		{"no response", noResponse, result{how: port.TimedOut}},
+			result{outcome: delivery.Acked, final: true}},
+		{"no response", noResponse, result{outcome: delivery.TimedOut}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			endpoint := newTestEndpoint(t, c.handle)
 			p := newTestPool(t, endpoint.Addr().String())
 			timeout := testTimeout
-			if c.want.how == port.TimedOut {
+			if c.want.outcome == delivery.TimedOut {
 				timeout = 80 * time.Millisecond
 			}
 			results, _ := executeCall(t, p, timeout)
-			if results[0].took <= 0 {
-				t.Errorf("took %d", results[0].took)
+			if results[0].duration <= 0 {
+				t.Errorf("took %d", results[0].duration)
 			}
-			if results[0].took = 0; results[0] != c.want {
+			if results[0].duration = 0; results[0] != c.want {
 				t.Errorf("got %+v, want %+v", results[0], c.want)
 			}
-			if c.want.how == port.TimedOut { // an abandoned call closes its connection
+			if c.want.outcome == delivery.TimedOut { // an abandoned call closes its connection
 				select {
 				case <-endpoint.disconnected:
 				case <-time.After(testTimeout):
@@ -235,28 +235,28 @@
 	l, _ := net.Listen("tcp", "127.0.0.1:0")
 	closedAddress := l.Addr().String()
 	l.Close()
-	if results, _ := executeCall(t, newTestPool(t, closedAddress), testTimeout); results[0].how != port.ConnectFailed {
+	if results, _ := executeCall(t, newTestPool(t, closedAddress), testTimeout); results[0].outcome != delivery.ConnectFailed {
 		t.Errorf("connection refused: %+v", results[0])
 	}
 	endpoint := newTestEndpoint(t, respond(httpResponse("200 OK", "", "")))
 	p := newTestPool(t, endpoint.Addr().String())
 	c := &call{pool: p}
-	e := &event{id: "x", due: math.MaxInt64, steps: make(chan step, maxSteps)}
-	e.request = lifecycle.RestoredRequest(e.id, e.due, true, false)
+	e := &event{id: "x", monoDeadline: math.MaxInt64, updates: make(chan eventUpdate, updateBuffer)}
+	e.request = lifecycle.RestoreRequest(e.id, e.monoDeadline, true, false)
 	a := &attempt{event: e, timeout: int64(testTimeout), startedAt: p.clock.now(), call: c}
 	c.attempts = []*attempt{a}
 	p.execute(c) // the event is not in the journal, so it counts as completed
-	if r := awaitResult(t, a); r.how != port.Unsent {
+	if r := awaitResult(t, a); r.outcome != delivery.Unsent {
 		t.Errorf("attempt of a completed event: %+v", r)
 	}
-	if err := p.journal.take(e, "alert", ""); err != nil {
+	if err := p.journal.accept(e, "alert", ""); err != nil {
 		t.Fatal(err)
 	}
 	c = &call{pool: p}
 	c.attempts = []*attempt{{event: e, timeout: int64(testTimeout), startedAt: p.clock.now(), call: c}}
-	c.abandon(port.Cancelled)
+	c.abandon(delivery.Cancelled)
 	p.execute(c)
-	if r := awaitResult(t, c.attempts[0]); r.how != port.Unsent {
+	if r := awaitResult(t, c.attempts[0]); r.outcome != delivery.Unsent {
 		t.Errorf("attempt cancelled before it was sent: %+v", r)
 	}
 	if calls, _ := endpoint.counts(); calls != 0 {
@@ -280,15 +280,15 @@
 		c.attempts = append(c.attempts, a)
 	}
 	go p.execute(c)
-	(&world{t: t}).until("the call is being written", func() bool {
+	(&testEnv{t: t}).waitFor("the call is being written", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return c.progress == progressWriting
 	})
-	c.abandon(port.TimedOut)
-	c.abandon(port.Cancelled)
+	c.abandon(delivery.TimedOut)
+	c.abandon(delivery.Cancelled)
 	a, b := awaitResult(t, c.attempts[0]), awaitResult(t, c.attempts[1])
-	if a.how != port.ConnectFailed || b.how != port.ConnectFailed {
+	if a.outcome != delivery.ConnectFailed || b.outcome != delivery.ConnectFailed {
 		t.Errorf("abandoned while being written: %+v %+v", a, b)
 	}
 }
@@ -312,7 +312,7 @@
 func TestRecallWhileConnectingPreventsSend(t *testing.T) {
 	endpoint := newTestEndpoint(t, respond(httpResponse("200 OK", "", "")))
 	p, up, folder := newTestPool(t, endpoint.Addr().String()), make(chan struct{}), t.TempDir()
-	p.journal, _ = reopen(t, folder, 3)
+	p.journal, _ = reopenJournal(t, folder, 3)
 	dialing := delayDial(t, p, up)
 	c := &call{pool: p}
 	c.attempts = []*attempt{newTestAttempt(t, c, "a", testTimeout), newTestAttempt(t, c, "b", testTimeout)}
@@ -320,11 +320,11 @@
 	<-dialing
 	a, b := c.attempts[0], c.attempts[1]
 	c.recall(a)
-	if r := awaitResult(t, a); r.how != port.Unsent {
+	if r := awaitResult(t, a); r.outcome != delivery.Unsent {
 		t.Errorf("recalled: %+v", r)
 	}
 	close(up)
-	if r := awaitResult(t, b); r.how != port.Acked {
+	if r := awaitResult(t, b); r.outcome != delivery.Acked {
 		t.Errorf("the other attempt of the call: %+v", r)
 	}
 	whole := newTestPool(t, endpoint.Addr().String()) // then a call whose only attempt is recalled
@@ -336,7 +336,7 @@
 	<-dialing
 	only := c.attempts[0]
 	c.recall(only)
-	if r := awaitResult(t, only); r.how != port.Unsent {
+	if r := awaitResult(t, only); r.outcome != delivery.Unsent {
 		t.Errorf("recalled: %+v", r)
 	}
 	close(up)
@@ -344,14 +344,14 @@
 		t.Errorf("%d calls reached the endpoint, want 1 with the attempt that was not recalled", calls)
 	}
 	p.journal.close()
-	j, owed := reopen(t, folder, 3)
+	j, owed := reopenJournal(t, folder, 3)
 	defer j.close()
 	if len(owed) != 2 {
 		t.Errorf("%d events are pending, want 2", len(owed))
 	}
 	for _, e := range owed {
-		if len(e.past) > 0 != (e.id == "b") {
-			t.Errorf("the journal has %d attempts of %s; only b was sent", len(e.past), e.id)
+		if len(e.pastSends) > 0 != (e.id == "b") {
+			t.Errorf("the journal has %d attempts of %s; only b was sent", len(e.pastSends), e.id)
 		}
 	}
 }
@@ -370,7 +370,7 @@
 	<-came
 	c.recall(c.attempts[0])
 	close(answer)
-	if r := awaitResult(t, c.attempts[0]); r.how != port.Acked {
+	if r := awaitResult(t, c.attempts[0]); r.outcome != delivery.Acked {
 		t.Errorf("got %+v", r)
 	}
 }
@@ -408,7 +408,7 @@
 	})
 	p.updateEndpoint(0, "e0", "zone", closing.Addr().String())
 	for range 3 {
-		if results, _ := executeCall(t, p, testTimeout); results[0].how != port.Acked {
+		if results, _ := executeCall(t, p, testTimeout); results[0].outcome != delivery.Acked {
 			t.Errorf("got %+v", results[0])
 		}
 		time.Sleep(20 * time.Millisecond) // lets the close arrive
@@ -464,24 +464,24 @@
 	if body := <-bodies; strings.Count(body, " mark 4\r\na\r\nb\r\n") != 5 || len(bulkIDs(body)) != 5 {
 		t.Errorf("body %q", body)
 	}
-	for i, want := range []result{{how: port.Acked, over: true}, {how: port.Errored}, {how: port.Declined},
-		{how: port.Unsent, over: true}, {how: port.Unsent}} {
+	for i, want := range []result{{outcome: delivery.Acked, final: true}, {outcome: delivery.Errored}, {outcome: delivery.Refused},
+		{outcome: delivery.Unsent, final: true}, {outcome: delivery.Unsent}} {
 		got := results[i]
-		if got.how != want.how || got.over != want.over || got.wait != 250*ms || got.left != 0.5 || got.limit != 2 {
+		if got.outcome != want.outcome || got.final != want.final || got.retryAfter != 250*ms || got.rateFree != 0.5 || got.rateLimit != 2 {
 			t.Errorf("event %d: got %+v, want %+v", i, got, want)
 		}
 	}
-	for status, want := range map[string]port.Outcome{"400 Bad": port.Unsent, "413 Long": port.Unsent,
-		"429 Full": port.Declined, "500 Error": port.Errored, "503 Shut": port.Declined} {
+	for status, want := range map[string]delivery.Outcome{"400 Bad": delivery.Unsent, "413 Long": delivery.Unsent,
+		"429 Full": delivery.Refused, "500 Error": delivery.Errored, "503 Shut": delivery.Refused} {
 		p := newTestPool(t, newTestEndpoint(t, respond(httpResponse(status, "", ""))).Addr().String())
-		if results, _ := executeCall(t, p, testTimeout, testTimeout); results[0].how != want || results[1].how != want {
+		if results, _ := executeCall(t, p, testTimeout, testTimeout); results[0].outcome != want || results[1].outcome != want {
 			t.Errorf("%s: %+v", status, results)
 		}
 	}
 	for name, text := range map[string]string{"truncated": "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nid0",
 		"malformed": httpResponse("200 OK", "", "\x00\xff\r\n"), "incomplete header": "HTTP/1.1 200 OK\r\nA"} {
 		p := newTestPool(t, newTestEndpoint(t, respond(text)).Addr().String())
-		if results, _ := executeCall(t, p, testTimeout, testTimeout); results[0].how != port.Spoilt || results[1].how != port.Spoilt {
+		if results, _ := executeCall(t, p, testTimeout, testTimeout); results[0].outcome != delivery.Unreadable || results[1].outcome != delivery.Unreadable {
 			t.Errorf("%s: %+v", name, results)
 		}
 	}
@@ -491,13 +491,13 @@
 			return false
 		})
 		results, _ := executeCall(t, newTestPool(t, endpoint.Addr().String()), testTimeout, testTimeout)
-		if results[0].how != port.Spoilt || results[0].over || results[1].how != port.Spoilt {
+		if results[0].outcome != delivery.Unreadable || results[0].final || results[1].outcome != delivery.Unreadable {
 			t.Errorf("bulk response that names one event of two: %+v", results)
 		}
 	}
 	truncating := newTestEndpoint(t, respondAndReset("HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nid0"))
 	results, _ = executeCall(t, newTestPool(t, truncating.Addr().String()), testTimeout, testTimeout)
-	if results[0].how != port.Reset || results[1].how != port.Reset {
+	if results[0].outcome != delivery.Reset || results[1].outcome != delivery.Reset {
 		t.Errorf("truncated bulk response: %+v", results)
 	}
 }
@@ -517,7 +517,7 @@
 	}
 	go p.execute(c)
 	<-came
-	if a, b := awaitResult(t, c.attempts[0]), awaitResult(t, c.attempts[1]); a.how != port.TimedOut || b.how != port.TimedOut {
+	if a, b := awaitResult(t, c.attempts[0]), awaitResult(t, c.attempts[1]); a.outcome != delivery.TimedOut || b.outcome != delivery.TimedOut {
 		t.Errorf("abandoned: %+v %+v", a, b)
 	}
 	select {
--- a/node/confirmation.go
+++ b/node/confirmation.go
@@ -7,11 +7,11 @@
 
 	"github.com/sirupsen/logrus"
 
+	"jaspersill/connreuse"
+	"jaspersill/delivery"
 	"jaspersill/lifecycle"
 	"jaspersill/logs"
 	"jaspersill/metrics"
-	"jaspersill/port"
-	"jaspersill/reuse"
 	"jaspersill/store"
 )
 
@@ -32,7 +32,7 @@
 type confirmation struct {
 	conn        *endpointConn
 	id          string
-	outcome     port.Outcome
+	outcome     delivery.Outcome
 	respondedAt int64
 	timer       *time.Timer
 
@@ -111,14 +111,14 @@
 }
 
 // trackOutcome starts to track an outcome of an attempt on a connection.
-func (p *endpointPool) trackOutcome(conn *endpointConn, a *attempt, outcome port.Outcome) *confirmation {
+func (p *endpointPool) trackOutcome(conn *endpointConn, a *attempt, outcome delivery.Outcome) *confirmation {
 	now := p.clock.now()
 	c := &confirmation{conn: conn, id: a.event.id, outcome: outcome, respondedAt: now}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	conn.unconfirmed = append(conn.unconfirmed, c)
 	p.unconfirmed++
-	hold := reuse.HoldUntil(a.startedAt, a.timeout, a.event.due) - now
+	hold := connreuse.HoldUntil(a.startedAt, a.timeout, a.event.monoDeadline) - now
 	c.timer = time.AfterFunc(time.Duration(max(hold, 0)), func() { p.holdExpired(c) })
 	return c
 }
@@ -162,9 +162,9 @@
 		p.closeLocked(conn, state.closeReason())
 		return false
 	}
-	if p.clock.now()-conn.lastUsedAt >= p.reuse[conn.endpoint].Rest() {
+	if p.clock.now()-conn.lastUsedAt >= p.reuse[conn.endpoint].QuietPeriod() {
 		conn.inSyncAt = conn.lastUsedAt
-		conn.responses.Prove()
+		conn.responses.MarkInSync()
 	}
 	return true
 }
@@ -185,7 +185,7 @@
 
 func (p *endpointPool) recordOutOfSync(conn *endpointConn, reason closeReason) {
 	outOfSyncConnections.Add()
-	p.reuse[conn.endpoint].OutOfStep(p.clock.now())
+	p.reuse[conn.endpoint].RecordOutOfSync(p.clock.now())
 	logs.Part("endpoints").WithFields(logrus.Fields{"connection": conn.id, "endpoint": p.names[conn.endpoint], "calls": conn.callCount,
 		"unconfirmed": len(conn.unconfirmed), "reason": string(reason)}).Warn("received a response that no call is waiting for")
 }
@@ -227,21 +227,21 @@
 	came    uint64
 	due     int64
 	request *lifecycle.Request
-	record  *store.Receipt
+	record  *store.PendingWrite
 }
 
 // settle completes the event. If the response is confirmed as its own, nothing more is owed; otherwise the platform is sent
 // a notice, which does no harm if the event was delivered after all.
 func (e *provisionalCompletion) settle(confirmed bool) {
 	if confirmed {
-		e.request.Confirm()
-		e.node.journal.forget(e.id, e.came)
+		e.request.ConfirmEnd()
+		e.node.journal.completeByID(e.id, e.came)
 		return
 	}
-	if e.request.Doubt() != nil {
+	if e.request.FailConfirmation() != nil {
 		return
 	}
-	e.node.ending.Add(1)
+	e.node.unreportedEnds.Add(1)
 	go e.notifyUndeliverable()
 }
 
@@ -249,18 +249,18 @@
 // deadline has passed, so that a restart cannot send the event again after the notice.
 func (e *provisionalCompletion) notifyUndeliverable() {
 	written := false
-	if !e.request.MayTell(e.node.clock.now(), false) {
+	if !e.request.MayReportEnd(e.node.clock.now(), false) {
 		select {
 		case <-e.record.Written():
 			written = true
 		case <-time.After(time.Duration(e.due - e.node.clock.now())):
 		}
 	}
-	if e.request.Tell(e.node.clock.now(), written) != nil {
+	if e.request.ReportEnd(e.node.clock.now(), written) != nil {
 		return
 	}
 	e.node.notices.enqueue(notice{id: e.id, verdict: discarded, onAcknowledged: func() {
-		e.node.ending.Add(-1)
-		e.node.journal.forget(e.id, e.came)
+		e.node.unreportedEnds.Add(-1)
+		e.node.journal.completeByID(e.id, e.came)
 	}})
 }
--- a/node/endpointconn.go
+++ b/node/endpointconn.go
@@ -55,11 +55,11 @@
 	*retryConn
 	id         uint64
 	endpoint   int32
-	reader     *replyReader
+	reader     *responseReader
 	address    string // the remote address
 	lastUsedAt int64  // when its last call ended
 	callCount  int
-	responses  lifecycle.AnswerSequence
+	responses  lifecycle.AnswerTracker
 
 	// The fields below are guarded by endpointPool.mu.
 	idle        bool            // it is in the pool's list of idle connections
@@ -69,7 +69,7 @@
 
 func newEndpointConn(conn *retryConn, endpoint int32, address string) *endpointConn {
 	connectionsOpened.Add()
-	return &endpointConn{retryConn: conn, id: newConnectionID(), endpoint: endpoint, reader: newReplyReader(conn), address: address}
+	return &endpointConn{retryConn: conn, id: newConnectionID(), endpoint: endpoint, reader: newResponseReader(conn), address: address}
 }
 
 // countCall counts a call on the connection.
@@ -84,14 +84,14 @@
 
 // attribute returns whether a response certainly belongs to the latest call. A response that could not be read decides
 // nothing and counts as certain.
-func (c *endpointConn) attribute(response reply) lifecycle.Attribution {
+func (c *endpointConn) attribute(response callResponse) lifecycle.Attribution {
 	switch {
-	case response.cut:
-		return c.responses.ReadCut()
+	case response.truncated:
+		return c.responses.ObserveTruncated()
 	case response.identity.Digest == 0:
 		return lifecycle.Certain
 	}
-	return c.responses.Read(response.identity)
+	return c.responses.Observe(response.identity)
 }
 
 // closeWithReason closes the connection, and logs and counts the reason.
--- a/node/endpointpool.go
+++ b/node/endpointpool.go
@@ -8,8 +8,8 @@
 	"sync/atomic"
 	"time"
 
+	"jaspersill/connreuse"
 	"jaspersill/errclass"
-	"jaspersill/reuse"
 )
 
 const (
@@ -33,8 +33,8 @@
 	addresses       []string       // by endpoint
 	sites           []string
 	names           []string
-	reuse           []reuse.Endpoint
-	refusals        reuse.Refusals
+	reuse           []connreuse.EndpointStats
+	refusals        connreuse.RefusalStats
 	callsByEndpoint []int             // by endpoint, calls that refer to its index
 	idle            [][]*endpointConn // by endpoint, the most recently used last
 	idleCount       int
@@ -49,7 +49,7 @@
 	defer p.unlockAndSettle()
 	for int(ep) >= len(p.addresses) {
 		p.addresses, p.sites, p.names = append(p.addresses, ""), append(p.sites, ""), append(p.names, "")
-		p.idle, p.callsByEndpoint, p.reuse = append(p.idle, nil), append(p.callsByEndpoint, 0), append(p.reuse, reuse.Endpoint{})
+		p.idle, p.callsByEndpoint, p.reuse = append(p.idle, nil), append(p.callsByEndpoint, 0), append(p.reuse, connreuse.EndpointStats{})
 	}
 	if p.names[ep], p.sites[ep] = name, site; p.addresses[ep] != address {
 		p.addresses[ep] = address
@@ -81,7 +81,7 @@
 		return false
 	}
 	p.closeIdleLocked(ep, closeMoved)
-	p.addresses[ep], p.sites[ep], p.names[ep], p.reuse[ep] = "", "", "", reuse.Endpoint{}
+	p.addresses[ep], p.sites[ep], p.names[ep], p.reuse[ep] = "", "", "", connreuse.EndpointStats{}
 	return true
 }
 
@@ -138,11 +138,11 @@
 	defer p.unlockAndSettle()
 	now := p.clock.now()
 	for {
-		candidates := make([]reuse.Candidate, 0, len(p.idle[ep]))
+		candidates := make([]connreuse.Candidate, 0, len(p.idle[ep]))
 		for _, c := range p.idle[ep] {
-			candidates = append(candidates, reuse.Candidate{Rested: now - c.lastUsedAt, InStep: c.responses.InStep(), Refused: c.responses.Refused()})
+			candidates = append(candidates, connreuse.Candidate{IdleTime: now - c.lastUsedAt, InSync: c.responses.InSync(), RefusedBefore: c.responses.SawNotRun()})
 		}
-		i := p.reuse[ep].Choose(candidates, repeatable, p.refusals.Distinct(), now)
+		i := p.reuse[ep].Choose(candidates, repeatable, p.refusals.Distinguishable(), now)
 		if i < 0 {
 			return nil, p.addresses[ep]
 		}
@@ -163,7 +163,7 @@
 func (p *endpointPool) recordRefusal(alike bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.refusals.Read(alike)
+	p.refusals.Record(alike)
 }
 
 // closeConn closes a connection that carries a call.
@@ -184,7 +184,7 @@
 func (p *endpointPool) putIdle(c *endpointConn, took int64) {
 	p.mu.Lock()
 	defer p.unlockAndSettle()
-	p.reuse[c.endpoint].Answered(took)
+	p.reuse[c.endpoint].RecordAnswer(took)
 	switch {
 	case c.address != p.addresses[c.endpoint]:
 		p.closeLocked(c, closeMoved)
@@ -224,10 +224,10 @@
 func (p *endpointPool) connect(ctx context.Context, ep int32, address string, localFailure *atomic.Bool) (*endpointConn, error) {
 	dial := func(ctx context.Context, address string) (net.Conn, error) {
 		conn, err := p.dial(ctx, address)
-		localFailure.Store(errclass.Socket(err) == errclass.Momentary)
+		localFailure.Store(errclass.Socket(err) == errclass.Transient)
 		return conn, err
 	}
-	conn, err := dialAgain(ctx, dial, address)
+	conn, err := dialWithRetry(ctx, dial, address)
 	if err != nil {
 		return nil, err
 	}
--- a/node/notices.go
+++ b/node/notices.go
@@ -40,7 +40,7 @@
 // notice tells the platform how an event ended that was accepted but not delivered.
 type notice struct {
 	id             string
-	verdict        verdict
+	verdict        resolution
 	retryAfter     int64  // ns after which the client may retry, 0 if none is given
 	onAcknowledged func() // called once the platform has certainly read the notice
 }
@@ -118,7 +118,7 @@
 
 // run posts queued notices until stop is closed.
 func (n *noticeSender) run(stop <-chan struct{}) {
-	failures := trouble{part: "notices", what: "posting notices to the platform"}
+	failures := failureLog{part: "notices", operation: "posting notices to the platform"}
 	spareCheck := time.NewTicker(spareCheckInterval)
 	defer spareCheck.Stop()
 	go n.ensureSpare()
@@ -137,7 +137,7 @@
 				break
 			}
 			err := n.postBatch(batch)
-			failures.note(err)
+			failures.record(err)
 			if err == nil {
 				n.acknowledge(batch)
 				continue
@@ -307,7 +307,7 @@
 	dial := func(ctx context.Context, address string) (net.Conn, error) {
 		return dialer.DialContext(ctx, "tcp", address)
 	}
-	conn, err := dialAgain(ctx, dial, address)
+	conn, err := dialWithRetry(ctx, dial, address)
 	if err != nil {
 		return nil, err
 	}
@@ -341,7 +341,7 @@
 	}
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
-	if err := resp.ReadLimitBody(conn.reader, mostReply); err != nil {
+	if err := resp.ReadLimitBody(conn.reader, maxResponseBytes); err != nil {
 		return true, err
 	}
 	if resp.StatusCode() != fasthttp.StatusNoContent {
--- a/node/recentrequests.go
+++ b/node/recentrequests.go
@@ -30,7 +30,7 @@
 type recentRequest struct {
 	id        string
 	done      chan struct{}
-	answer    answer
+	answer    clientResponse
 	expiresAt time.Time
 }
 
@@ -51,7 +51,7 @@
 }
 
 // complete stores the answer to a request, and evicts expired requests and those beyond the maximum.
-func (r *recentRequests) complete(request *recentRequest, a answer) {
+func (r *recentRequests) complete(request *recentRequest, a clientResponse) {
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
