--- a/node/attribution_test.go
+++ b/node/attribution_test.go
@@ -19,45 +19,45 @@
 // the response to the next call is expected.
 type duplicatingEndpoint struct {
 	mu            sync.Mutex
-	callsByConn   map[net.Conn]int // calls
-	firstResponse string           // the response that is duplicated
-	realResponse  string           // the response to all other calls
-	realDelay     time.Duration    // delay before realResponse
-	sendCopy      chan struct{}    // if not nil, the copy is sent once it is closed
+	callsByConn   map[net.Conn]int
+	firstResponse string        // the response that is duplicated
+	realResponse  string        // the response to all other calls
+	realDelay     time.Duration // delay before realResponse
+	sendCopy      chan struct{} // if not nil, the copy is sent once it is closed
 	bodies        []string
 }
 
-func (c *duplicatingEndpoint) handle(conn net.Conn, body string) bool {
-	c.mu.Lock()
-	if c.callsByConn == nil {
-		c.callsByConn = map[net.Conn]int{}
+func (e *duplicatingEndpoint) handle(conn net.Conn, body string) bool {
+	e.mu.Lock()
+	if e.callsByConn == nil {
+		e.callsByConn = map[net.Conn]int{}
 	}
-	c.callsByConn[conn]++
-	calls, onFirst := c.callsByConn[conn], len(c.callsByConn) == 1
-	c.bodies = append(c.bodies, body)
-	c.mu.Unlock()
+	e.callsByConn[conn]++
+	calls, onFirst := e.callsByConn[conn], len(e.callsByConn) == 1
+	e.bodies = append(e.bodies, body)
+	e.mu.Unlock()
 	switch {
 	case onFirst && calls == 1:
-		io.WriteString(conn, c.firstResponse)
-		if c.sendCopy != nil {
+		io.WriteString(conn, e.firstResponse)
+		if e.sendCopy != nil {
 			go func() {
-				<-c.sendCopy
-				io.WriteString(conn, c.firstResponse)
+				<-e.sendCopy
+				io.WriteString(conn, e.firstResponse)
 			}()
 		}
 		return true
-	case onFirst && calls == 2 && c.sendCopy == nil:
-		io.WriteString(conn, c.firstResponse)
+	case onFirst && calls == 2 && e.sendCopy == nil:
+		io.WriteString(conn, e.firstResponse)
 	}
-	time.Sleep(c.realDelay)
-	io.WriteString(conn, c.realResponse)
+	time.Sleep(e.realDelay)
+	io.WriteString(conn, e.realResponse)
 	return true
 }
 
-func (c *duplicatingEndpoint) callsWithBody(body string) (n int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, b := range c.bodies {
+func (e *duplicatingEndpoint) callsWithBody(body string) (n int) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for _, b := range e.bodies {
 		if b == body {
 			n++
 		}
@@ -206,13 +206,13 @@
 		io.WriteString(conn, ok)
 		return true
 	})
-	n, stop, told := newNoticeSender(platform.Addr().String()), make(chan struct{}), make(chan struct{}, 10)
+	n, stop, acknowledged := newNoticeSender(platform.Addr().String()), make(chan struct{}), make(chan struct{}, 10)
 	defer close(stop)
 	go n.run(stop)
 	for i := range 5 {
-		n.enqueue(notice{id: fmt.Sprint("x", i), verdict: discarded, onAcknowledged: func() { told <- struct{}{} }})
+		n.enqueue(notice{id: fmt.Sprint("x", i), resolution: discarded, onAcknowledged: func() { acknowledged <- struct{}{} }})
 		select {
-		case <-told:
+		case <-acknowledged:
 		case <-time.After(testTimeout):
 			t.Fatal("the notice was never acknowledged")
 		}
@@ -226,37 +226,37 @@
 
 // Guards against a notice that waits for a new connection while none can be opened although a used one is still open.
 func TestNoticeUsesOldConnectionWhenDialFails(t *testing.T) {
-	heard := make(chan string, 10)
+	posts := make(chan string, 10)
 	platform := newTestEndpoint(t, func(conn net.Conn, body string) bool {
-		heard <- body
+		posts <- body
 		return respond("HTTP/1.1 204 No Content\r\n\r\n")(conn, body)
 	})
-	n, stop, told := newNoticeSender(platform.Addr().String()), make(chan struct{}), make(chan struct{}, 10)
+	n, stop, acknowledged := newNoticeSender(platform.Addr().String()), make(chan struct{}), make(chan struct{}, 10)
 	defer close(stop)
 	const timeout = 50 * time.Millisecond
 	n.setTimeouts(timeout, time.Millisecond)
 	go n.run(stop)
 	post := func(id string) {
-		n.enqueue(notice{id: id, verdict: discarded, onAcknowledged: func() { told <- struct{}{} }})
+		n.enqueue(notice{id: id, resolution: discarded, onAcknowledged: func() { acknowledged <- struct{}{} }})
 	}
 	post("first")
-	<-heard
-	<-told
+	<-posts
+	<-acknowledged
 	w := &testEnv{t: t}
 	w.waitFor("the spare connection is open", func() bool { n.mu.Lock(); defer n.mu.Unlock(); return n.spare != nil })
 	platform.Listener.Close() // no further connection can be opened
 	post("second")
-	<-heard
-	<-told
+	<-posts
+	<-acknowledged
 	time.Sleep(2 * timeout) // the connection is idle for longer than a response may take
 	post("third")
 	select {
-	case <-heard:
+	case <-posts:
 	case <-time.After(testTimeout):
 		t.Error("the notice was never posted")
 	}
 	select {
-	case <-told:
+	case <-acknowledged:
 		t.Error("the notice counts as acknowledged by a response that may be a copy")
 	case <-time.After(50 * time.Millisecond):
 	}
@@ -361,12 +361,12 @@
 // Guards against closing the spare connection because a write temporarily fails, at a time when no other connection can be
 // opened.
 func TestNoticeWriteFailureKeepsConnection(t *testing.T) {
-	heard := make(chan string, 10)
+	posts := make(chan string, 10)
 	platform := newTestEndpoint(t, func(conn net.Conn, body string) bool {
-		heard <- body
+		posts <- body
 		return respond("HTTP/1.1 204 No Content\r\n\r\n")(conn, body)
 	})
-	n, stop, told := newNoticeSender(platform.Addr().String()), make(chan struct{}), make(chan struct{}, 10)
+	n, stop, acknowledged := newNoticeSender(platform.Addr().String()), make(chan struct{}), make(chan struct{}, 10)
 	defer close(stop)
 	n.setTimeouts(30*time.Millisecond, time.Millisecond)
 	n.ensureSpare()
@@ -374,9 +374,9 @@
 	spare.Conn = &faultyConn{TCPConn: spare.Conn.(*net.TCPConn), errno: syscall.ENOMEM, failWrites: 10, writeNothing: true}
 	platform.Listener.Close()
 	go n.run(stop)
-	n.enqueue(notice{id: "x", verdict: discarded, onAcknowledged: func() { told <- struct{}{} }})
+	n.enqueue(notice{id: "x", resolution: discarded, onAcknowledged: func() { acknowledged <- struct{}{} }})
 	select {
-	case <-told:
+	case <-acknowledged:
 	case <-time.After(testTimeout):
 		t.Fatal("the notice was never acknowledged although its connection is open")
 	}
--- a/node/call.go
+++ b/node/call.go
@@ -135,20 +135,20 @@
 
 // finishWithoutResponse ends a call that was abandoned or failed before or while its last byte was written.
 func (c *call) finishWithoutResponse(conn *endpointConn, incomplete bool, err error) {
-	var wait int64
+	var retryAfter int64
 	reason := closeBroken
 	switch {
 	case err == nil:
 		reason = closeGivenUp
 	case errors.Is(err, errEarlyAnswer): // belongs to no call: an endpoint starts a call only once its last byte has arrived
-		reason, wait = closeUnread, conn.reader.readResponse(c.attempts).results[0].retryAfter
+		reason, retryAfter = closeUnread, conn.reader.readResponse(c.attempts).results[0].retryAfter
 	}
 	c.pool.closeConn(conn, reason)
 	switch {
 	case errclass.Stream(err) == errclass.Transient: // a failure local to this machine; nothing was sent
 		c.finish(result{outcome: delivery.Unsent})
 	case incomplete: // the last byte was not written, so the call never ran
-		c.finish(result{outcome: delivery.ConnectFailed, retryAfter: wait})
+		c.finish(result{outcome: delivery.ConnectFailed, retryAfter: retryAfter})
 	default:
 		c.finish(result{outcome: delivery.Reset})
 	}
@@ -218,9 +218,9 @@
 }
 
 // recordAttempts writes the call's attempts to the journal just before the request is written: the process may end while
-// an attempt is in flight, and an attempt that was still connecting at a restart has not run. No lock is held meanwhile,
-// since the disk may be slow; abandon and recall only set a flag that this goroutine acts on. It returns false if the
-// call has ended.
+// an attempt is in flight, and after a restart an attempt without a record counts as not run. No lock is held meanwhile,
+// since the disk may be slow; abandon and recall leave ending the call or dropping the attempt to this goroutine. It
+// returns false if the call has ended.
 func (c *call) recordAttempts() bool {
 	c.mu.Lock()
 	if c.ended {
@@ -367,18 +367,18 @@
 
 // abandon stops waiting for a call by closing its connection; the protocol has no other way to cancel one. A call with
 // several attempts is abandoned as a whole: the endpoint alone would decide what becomes of the remaining ones.
-func (c *call) abandon(how delivery.Outcome) {
+func (c *call) abandon(outcome delivery.Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.ended || c.abandoned {
 		return
 	}
-	if how == delivery.TimedOut && c.progress == progressWritten && !c.timeoutExtended && c.conn.answerStarted() { // the response has started to arrive
+	if outcome == delivery.TimedOut && c.progress == progressWritten && !c.timeoutExtended && c.conn.answerStarted() { // the response has started to arrive
 		c.timeoutExtended = true
 		time.AfterFunc(responseReadTimeout, func() { c.abandon(delivery.TimedOut) })
 		return
 	}
-	c.abandoned, c.abandonOutcome = true, how
+	c.abandoned, c.abandonOutcome = true, outcome
 	if c.cancelDial != nil {
 		c.cancelDial()
 	}
--- a/node/call_test.go
+++ b/node/call_test.go
@@ -100,13 +100,13 @@
 
 func noResponse(conn net.Conn, _ string) bool { return true }
 
-func newTestPool(t *testing.T, dial string) *endpointPool {
+func newTestPool(t *testing.T, address string) *endpointPool {
 	t.Helper()
 	j, _ := reopenJournal(t, t.TempDir(), 3)
 	t.Cleanup(j.close)
 	p := &endpointPool{clock: clock{start: time.Now()}, journal: j, dial: newDialer(500 * ms),
 		idleTimeout: 15000 * ms, maxIdle: 10}
-	p.updateEndpoint(0, "e0", "zone", dial)
+	p.updateEndpoint(0, "e0", "zone", address)
 	return p
 }
 
@@ -137,8 +137,8 @@
 func awaitResult(t *testing.T, a *attempt) result {
 	t.Helper()
 	select {
-	case st := <-a.event.updates:
-		return st.result
+	case update := <-a.event.updates:
+		return update.result
 	case <-time.After(testTimeout):
 		t.Fatal("attempt did not finish")
 		return result{}
@@ -327,12 +327,12 @@
 	if r := awaitResult(t, b); r.outcome != delivery.Acked {
 		t.Errorf("the other attempt of the call: %+v", r)
 	}
-	whole := newTestPool(t, endpoint.Addr().String()) // then a call whose only attempt is recalled
+	secondPool := newTestPool(t, endpoint.Addr().String()) // then a call whose only attempt is recalled
 	up = make(chan struct{})
-	dialing = delayDial(t, whole, up)
-	c = &call{pool: whole}
+	dialing = delayDial(t, secondPool, up)
+	c = &call{pool: secondPool}
 	c.attempts = []*attempt{newTestAttempt(t, c, "c", testTimeout)}
-	go whole.execute(c)
+	go secondPool.execute(c)
 	<-dialing
 	only := c.attempts[0]
 	c.recall(only)
@@ -344,12 +344,12 @@
 		t.Errorf("%d calls reached the endpoint, want 1 with the attempt that was not recalled", calls)
 	}
 	p.journal.close()
-	j, owed := reopenJournal(t, folder, 3)
+	j, pending := reopenJournal(t, folder, 3)
 	defer j.close()
-	if len(owed) != 2 {
-		t.Errorf("%d events are pending, want 2", len(owed))
+	if len(pending) != 2 {
+		t.Errorf("%d events are pending, want 2", len(pending))
 	}
-	for _, e := range owed {
+	for _, e := range pending {
 		if len(e.pastSends) > 0 != (e.id == "b") {
 			t.Errorf("the journal has %d attempts of %s; only b was sent", len(e.pastSends), e.id)
 		}
@@ -357,19 +357,19 @@
 }
 
 func TestWrittenCallIsNotRecalled(t *testing.T) {
-	came, answer := make(chan struct{}), make(chan struct{})
+	received, sendResponse := make(chan struct{}), make(chan struct{})
 	endpoint := newTestEndpoint(t, func(conn net.Conn, body string) bool {
-		came <- struct{}{}
-		<-answer
+		received <- struct{}{}
+		<-sendResponse
 		return respond(httpResponse("200 OK", "", ""))(conn, body)
 	})
 	p := newTestPool(t, endpoint.Addr().String())
 	c := &call{pool: p}
 	c.attempts = []*attempt{newTestAttempt(t, c, "a", testTimeout)}
 	go p.execute(c)
-	<-came
+	<-received
 	c.recall(c.attempts[0])
-	close(answer)
+	close(sendResponse)
 	if r := awaitResult(t, c.attempts[0]); r.outcome != delivery.Acked {
 		t.Errorf("got %+v", r)
 	}
@@ -379,7 +379,7 @@
 	endpoint := newTestEndpoint(t, respond(httpResponse("200 OK", "", "")))
 	p := newTestPool(t, endpoint.Addr().String())
 	executeCall(t, p, testTimeout)
-	settle := func(idle int) {
+	waitForIdle := func(idle int) {
 		t.Helper()
 		for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 			p.mu.Lock()
@@ -393,14 +393,14 @@
 			}
 		}
 	}
-	settle(1)
+	waitForIdle(1)
 	executeCall(t, p, testTimeout)
-	settle(1)
+	waitForIdle(1)
 	if calls, conns := endpoint.counts(); calls != 2 || conns != 1 {
 		t.Errorf("%d calls on %d connections", calls, conns)
 	}
 	p.closeExpired(p.clock.now() + p.idleTimeout - idleMargin)
-	settle(0)
+	waitForIdle(0)
 	// The endpoint closes the connection after its response: the next call uses a new connection and is not reset.
 	closing := newTestEndpoint(t, func(conn net.Conn, _ string) bool {
 		io.WriteString(conn, httpResponse("200 OK", "", ""))
@@ -422,21 +422,21 @@
 	})
 	p.updateEndpoint(0, "e0", "zone", surplus.Addr().String())
 	executeCall(t, p, testTimeout)
-	settle(1)
+	waitForIdle(1)
 	time.Sleep(50 * time.Millisecond)
 	p.closeExpired(p.clock.now())
-	settle(0)
+	waitForIdle(0)
 	// When the endpoint moves, connections to its old address are closed.
 	executeCall(t, p, testTimeout)
 	p.updateEndpoint(0, "e0", "zone", endpoint.Addr().String())
-	settle(0)
+	waitForIdle(0)
 	executeCall(t, p, testTimeout)
 	if calls, _ := endpoint.counts(); calls != 3 {
 		t.Errorf("the new address received %d calls, want 3 in all", calls)
 	}
-	settle(1)
+	waitForIdle(1)
 	p.closeIdle(0)
-	settle(0)
+	waitForIdle(0)
 }
 
 // bulkIDs returns the ids in the body of a bulk call.
@@ -505,9 +505,9 @@
 // Guards against a race when the first attempt of a call times out just as the response arrives: the response was taken for
 // the remaining attempts, and nothing reported their outcome.
 func TestBulkCallTimesOutAsAWhole(t *testing.T) {
-	came := make(chan struct{})
+	received := make(chan struct{})
 	endpoint := newTestEndpoint(t, func(conn net.Conn, body string) bool {
-		came <- struct{}{}
+		received <- struct{}{}
 		return true
 	})
 	p := newTestPool(t, endpoint.Addr().String())
@@ -516,7 +516,7 @@
 		c.attempts = append(c.attempts, newTestAttempt(t, c, fmt.Sprint("id", timeout), timeout))
 	}
 	go p.execute(c)
-	<-came
+	<-received
 	if a, b := awaitResult(t, c.attempts[0]), awaitResult(t, c.attempts[1]); a.outcome != delivery.TimedOut || b.outcome != delivery.TimedOut {
 		t.Errorf("abandoned: %+v %+v", a, b)
 	}
--- a/node/confirmation.go
+++ b/node/confirmation.go
@@ -222,45 +222,45 @@
 
 // provisionalCompletion is the completion of an event by a response that may belong to another call.
 type provisionalCompletion struct {
-	node    *Node
-	id      string
-	came    uint64
-	due     int64
-	request *lifecycle.Request
-	record  *store.PendingWrite
+	node       *Node
+	id         string
+	arrivalSeq uint64
+	deadline   int64
+	request    *lifecycle.Request
+	record     *store.PendingWrite
 }
 
-// settle completes the event. If the response is confirmed as its own, nothing more is owed; otherwise the platform is sent
-// a notice, which does no harm if the event was delivered after all.
-func (e *provisionalCompletion) settle(confirmed bool) {
+// settle completes the event. If the response is confirmed as its own, nothing more is to be done; otherwise the
+// platform is sent a notice, which does no harm if the event was delivered after all.
+func (p *provisionalCompletion) settle(confirmed bool) {
 	if confirmed {
-		e.request.ConfirmEnd()
-		e.node.journal.completeByID(e.id, e.came)
+		p.request.ConfirmEnd()
+		p.node.journal.completeByID(p.id, p.arrivalSeq)
 		return
 	}
-	if e.request.FailConfirmation() != nil {
+	if p.request.FailConfirmation() != nil {
 		return
 	}
-	e.node.unreportedEnds.Add(1)
-	go e.notifyUndeliverable()
+	p.node.unreportedEnds.Add(1)
+	go p.notifyUndeliverable()
 }
 
 // notifyUndeliverable notifies the platform that the event was not delivered. It waits until this is recorded or the event's
 // deadline has passed, so that a restart cannot send the event again after the notice.
-func (e *provisionalCompletion) notifyUndeliverable() {
+func (p *provisionalCompletion) notifyUndeliverable() {
 	written := false
-	if !e.request.MayReportEnd(e.node.clock.now(), false) {
+	if !p.request.MayReportEnd(p.node.clock.now(), false) {
 		select {
-		case <-e.record.Written():
+		case <-p.record.Written():
 			written = true
-		case <-time.After(time.Duration(e.due - e.node.clock.now())):
+		case <-time.After(time.Duration(p.deadline - p.node.clock.now())):
 		}
 	}
-	if e.request.ReportEnd(e.node.clock.now(), written) != nil {
+	if p.request.ReportEnd(p.node.clock.now(), written) != nil {
 		return
 	}
-	e.node.notices.enqueue(notice{id: e.id, verdict: discarded, onAcknowledged: func() {
-		e.node.unreportedEnds.Add(-1)
-		e.node.journal.completeByID(e.id, e.came)
+	p.node.notices.enqueue(notice{id: p.id, resolution: discarded, onAcknowledged: func() {
+		p.node.unreportedEnds.Add(-1)
+		p.node.journal.completeByID(p.id, p.arrivalSeq)
 	}})
 }
--- a/node/endpointpool.go
+++ b/node/endpointpool.go
@@ -179,12 +179,12 @@
 	return p.sites[ep]
 }
 
-// putIdle returns a connection to the pool after a call that took the given time. The connection is closed instead if the
+// putIdle returns a connection to the pool after a call of the given duration. The connection is closed instead if the
 // endpoint has moved, or if the pool is full: more idle connections would take the file descriptors that clients need.
-func (p *endpointPool) putIdle(c *endpointConn, took int64) {
+func (p *endpointPool) putIdle(c *endpointConn, duration int64) {
 	p.mu.Lock()
 	defer p.unlockAndSettle()
-	p.reuse[c.endpoint].RecordAnswer(took)
+	p.reuse[c.endpoint].RecordAnswer(duration)
 	switch {
 	case c.address != p.addresses[c.endpoint]:
 		p.closeLocked(c, closeMoved)
--- a/node/eventtask.go
+++ b/node/eventtask.go
@@ -205,7 +205,7 @@
 	if !l.request.EndProvisionally() {
 		return
 	}
-	end := &provisionalCompletion{node: l.node, id: l.id, came: l.arrivalSeq, due: l.monoDeadline, request: l.request,
+	end := &provisionalCompletion{node: l.node, id: l.id, arrivalSeq: l.arrivalSeq, deadline: l.monoDeadline, request: l.request,
 		record: l.node.journal.recordVerdictAndTrim(l.event, discarded)}
 	c.whenSettled(end.settle)
 }
@@ -226,7 +226,7 @@
 // newNotice is the newNotice of the event's end; its life hears when the platform has it.
 func (l *eventTask) newNotice() notice {
 	e := l.event
-	return notice{id: e.id, verdict: e.resolution, retryAfter: e.retryAfter, onAcknowledged: func() { e.updates <- eventUpdate{kind: updateNoticeAcknowledged} }}
+	return notice{id: e.id, resolution: e.resolution, retryAfter: e.retryAfter, onAcknowledged: func() { e.updates <- eventUpdate{kind: updateNoticeAcknowledged} }}
 }
 
 // endUndelivered ends an event that is not delivered. Where its client still waits, a refusal is all it needs to hear; else
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -997,7 +997,7 @@
 	defer close(stop)
 	o.setTimeouts(testTimeout, noticeRetryInterval)
 	go o.run(stop)
-	o.enqueue(notice{id: "x", verdict: discarded, onAcknowledged: func() { told <- struct{}{} }})
+	o.enqueue(notice{id: "x", resolution: discarded, onAcknowledged: func() { told <- struct{}{} }})
 	(&testEnv{t: t}).waitFor("it is out", func() bool { calls, _ := hangs.counts(); return calls == 1 })
 	o.setAddress(after.Addr().String())
 	select {
--- a/node/notices.go
+++ b/node/notices.go
@@ -40,7 +40,7 @@
 // notice tells the platform how an event ended that was accepted but not delivered.
 type notice struct {
 	id             string
-	verdict        resolution
+	resolution     resolution
 	retryAfter     int64  // ns after which the client may retry, 0 if none is given
 	onAcknowledged func() // called once the platform has certainly read the notice
 }
@@ -363,7 +363,7 @@
 	for _, next := range batch {
 		body = append(body, `{"id":`...)
 		body = strconv.AppendQuote(body, next.id)
-		if next.verdict == discarded {
+		if next.resolution == discarded {
 			body = append(body, `,"status":"undeliverable"}`...)
 		} else {
 			body = append(body, `,"status":"deferred"`...)
--- a/node/recentrequests.go
+++ b/node/recentrequests.go
@@ -19,18 +19,18 @@
 	"Requests that came again under their id, which were answered as the first one and not taken on.")
 
 // recentRequests deduplicates requests by id. A client gives each request an id of its own, so a second request with the
-// same id is a copy made by the network: it gets the answer to the first one and is not processed.
+// same id is a copy made by the network: it gets the response to the first one and is not processed.
 type recentRequests struct {
 	mu            sync.Mutex
 	byID          map[string]*recentRequest
-	answeredOrder []*recentRequest // answered requests, in the order of their answers
+	answeredOrder []*recentRequest // answered requests, in the order they were answered
 }
 
-// recentRequest is a received request. Its answer may be read once done is closed.
+// recentRequest is a received request. Its response may be read once done is closed.
 type recentRequest struct {
 	id        string
 	done      chan struct{}
-	answer    clientResponse
+	response  clientResponse
 	expiresAt time.Time
 }
 
@@ -50,12 +50,12 @@
 	return request, true
 }
 
-// complete stores the answer to a request, and evicts expired requests and those beyond the maximum.
-func (r *recentRequests) complete(request *recentRequest, a clientResponse) {
+// complete stores the response to a request, and evicts expired requests and those beyond the maximum.
+func (r *recentRequests) complete(request *recentRequest, response clientResponse) {
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	request.answer, request.expiresAt = a, now.Add(recentRequestTTL)
+	request.response, request.expiresAt = response, now.Add(recentRequestTTL)
 	close(request.done)
 	r.answeredOrder = append(r.answeredOrder, request)
 	for len(r.answeredOrder) > maxRecentRequests || now.After(r.answeredOrder[0].expiresAt) {
