--- a/node/call.go
+++ b/node/call.go
@@ -140,7 +140,7 @@
 	switch {
 	case err == nil:
 		reason = closeGivenUp
-	case errors.Is(err, errEarlyAnswer): // belongs to no call: an endpoint starts a call only once its last byte has arrived
+	case errors.Is(err, errEarlyResponse): // belongs to no call: an endpoint starts a call only once its last byte has arrived
 		reason, retryAfter = closeUnread, conn.reader.readResponse(c.attempts).results[0].retryAfter
 	}
 	c.pool.closeConn(conn, reason)
@@ -306,7 +306,7 @@
 		return false
 	}
 	c.conn, c.progress, c.sentAt = conn, progressWriting, now
-	conn.expectAnswer()
+	conn.expectResponse()
 	for _, a := range c.attempts {
 		c.logAttempt(a, "sending attempt", nil)
 	}
@@ -373,7 +373,7 @@
 	if c.ended || c.abandoned {
 		return
 	}
-	if outcome == delivery.TimedOut && c.progress == progressWritten && !c.timeoutExtended && c.conn.answerStarted() { // the response has started to arrive
+	if outcome == delivery.TimedOut && c.progress == progressWritten && !c.timeoutExtended && c.conn.responseStarted() { // the response has started to arrive
 		c.timeoutExtended = true
 		time.AfterFunc(responseReadTimeout, func() { c.abandon(delivery.TimedOut) })
 		return
@@ -447,7 +447,7 @@
 	} else {
 		a.event.request.FinishAttempt(r.outcome.MayHaveRun() && c.progress != progressNone && c.progress != progressRecording)
 	}
-	a.event.updates <- eventUpdate{kind: updateSendEnded, send: a, result: r}
+	a.event.updates <- eventUpdate{kind: updateAttemptEnded, attempt: a, result: r}
 }
 
 // logAttempt logs a message about an attempt, with the connection that carries it.
--- a/node/call_test.go
+++ b/node/call_test.go
@@ -350,8 +350,8 @@
 		t.Errorf("%d events are pending, want 2", len(pending))
 	}
 	for _, e := range pending {
-		if len(e.pastSends) > 0 != (e.id == "b") {
-			t.Errorf("the journal has %d attempts of %s; only b was sent", len(e.pastSends), e.id)
+		if len(e.pastAttempts) > 0 != (e.id == "b") {
+			t.Errorf("the journal has %d attempts of %s; only b was sent", len(e.pastAttempts), e.id)
 		}
 	}
 }
--- a/node/endpointconn.go
+++ b/node/endpointconn.go
@@ -59,7 +59,7 @@
 	address    string // the remote address
 	lastUsedAt int64  // when its last call ended
 	callCount  int
-	responses  lifecycle.AnswerTracker
+	responses  lifecycle.ResponseTracker
 
 	// The fields below are guarded by endpointPool.mu.
 	idle        bool            // it is in the pool's list of idle connections
--- a/node/iofaults_test.go
+++ b/node/iofaults_test.go
@@ -622,8 +622,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	conn := (&call{pool: p, attempts: nil}).connect(ctx, at.Addr().String())
-	conn.expectAnswer()
-	if conn.answerStarted() {
+	conn.expectResponse()
+	if conn.responseStarted() {
 		t.Error("an answer before its call")
 	}
 	io.WriteString(conn, "POST /inbox HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -96,7 +96,7 @@
 	s.Directory.RequiresWatch = true
 	module := scheduler.New(1, s.Types, s.Partners, s.Room, s.Recovery, s.Directory, s.Fleet, s.OrderPause)
 	w.Node, err = Open(Config{Listen: "127.0.0.1:0", Directory: directory.Addr().String(), StateFolder: w.folder,
-		KnownEndpoints: []byte(list), disk: w.disk, machine: w.timeSource}, Limits{DiskMB: w.diskMB}, ClientTimeouts{}, s, module)
+		KnownEndpoints: []byte(list), disk: w.disk, timeSource: w.timeSource}, Limits{DiskMB: w.diskMB}, ClientTimeouts{}, s, module)
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -391,7 +391,7 @@
 	d.partnerOf = []int{0}
 	for i, size := range []int{40 << 10, 20 << 10, 20 << 10, 10, 10} {
 		d.eventIndex.Take(&event{id: fmt.Sprint(i), body: make([]byte, size)})
-		d.activeSends = append(d.activeSends, nil)
+		d.activeAttempts = append(d.activeAttempts, nil)
 		d.Send(int32(i), 0, ms)
 	}
 	got := ""
