--- a/node/eventtask.go
+++ b/node/eventtask.go
@@ -208,7 +208,7 @@
 	if !t.request.EndProvisionally() {
 		return
 	}
-	end := &provisionalCompletion{node: t.node, id: t.id, came: t.arrivalSeq, due: t.monoDeadline, request: t.request,
+	end := &provisionalCompletion{node: t.node, id: t.id, arrivalSeq: t.arrivalSeq, deadline: t.monoDeadline, request: t.request,
 		record: t.node.journal.recordVerdictAndTrim(t.event, discarded)}
 	c.whenSettled(end.settle)
 }
@@ -229,7 +229,7 @@
 // newNotice returns the notice of the event's end. The event's task is informed once the platform has received it.
 func (t *eventTask) newNotice() notice {
 	e := t.event
-	return notice{id: e.id, verdict: e.verdict, retryAfter: e.retryAfter,
+	return notice{id: e.id, resolution: e.verdict, retryAfter: e.retryAfter,
 		onAcknowledged: func() { e.updates <- eventUpdate{kind: updateNoticeAcknowledged} }}
 }
 
