--- a/node/attribution_test.go
+++ b/node/attribution_test.go
@@ -64,38 +64,38 @@
 	return n
 }
 
-func (w *world) hasNotice(id string) bool {
-	return slices.ContainsFunc(w.noticed(), func(n string) bool { return strings.Contains(n, fmt.Sprintf("%q", id)) })
+func (w *testEnv) hasNotice(id string) bool {
+	return slices.ContainsFunc(w.receivedNotices(), func(n string) bool { return strings.Contains(n, fmt.Sprintf("%q", id)) })
 }
 
 // Guards against a copy of a delivery that is believed of the next request, which was refused and never ends.
 func TestACopyOfADeliveryEndsNoOtherRequest(t *testing.T) {
-	w := newWorld(t)
+	w := newTestEnv(t)
 	at := &copier{first: answerOf("200 OK", "", ""), truth: answerOf("503 Full", "", ""), late: 50 * time.Millisecond}
-	w.endpoint(1, at.act)
-	w.run()
+	w.addEndpoint(1, at.act)
+	w.startNode()
 	c := w.dial()
-	c.hand(request("first", "alert", "1", 1000, "first"))
-	w.until("the first came", func() bool { return at.count("first") == 1 })
+	c.submit(submitRequest("first", "alert", "1", 1000, "first"))
+	w.waitFor("the first came", func() bool { return at.count("first") == 1 })
 	time.Sleep(20 * time.Millisecond)
-	c.hand(request("second", "alert", "1", 1000, "second"))
-	w.until("the second came", func() bool { return at.count("second") == 1 })
-	w.until("its end is told", func() bool { return w.hasNotice("second") })
-	w.until("nothing is owed", w.journal.empty)
+	c.submit(submitRequest("second", "alert", "1", 1000, "second"))
+	w.waitFor("the second came", func() bool { return at.count("second") == 1 })
+	w.waitFor("its end is told", func() bool { return w.hasNotice("second") })
+	w.waitFor("nothing is owed", w.journal.empty)
 }
 
 // Guards against a copy of a refusal that is believed of the next request, which ran and runs again.
 func TestACopyOfARefusalRepeatsNoOtherRequest(t *testing.T) {
-	w := newWorld(t)
+	w := newTestEnv(t)
 	at := &copier{first: answerOf("503 Full", "", ""), truth: answerOf("200 OK", "", ""), late: 50 * time.Millisecond}
-	w.endpoint(1, at.act)
-	w.run()
+	w.addEndpoint(1, at.act)
+	w.startNode()
 	c := w.dial()
-	c.hand(request("first", "alert", "1", 3000, "first"))
-	w.until("the first came", func() bool { return at.count("first") == 1 })
+	c.submit(submitRequest("first", "alert", "1", 3000, "first"))
+	w.waitFor("the first came", func() bool { return at.count("first") == 1 })
 	time.Sleep(200 * time.Millisecond)
-	c.hand(request("second", "charge", "1", 3000, "second"))
-	w.until("nothing is owed", w.journal.empty)
+	c.submit(submitRequest("second", "charge", "1", 3000, "second"))
+	w.waitFor("nothing is owed", w.journal.empty)
 	if n := at.count("second"); n != 1 {
 		t.Errorf("it ran %d times", n)
 	}
@@ -103,40 +103,40 @@
 
 // Guards against an outcome in doubt that a kill makes certain: the record of a delivery that may be another's.
 func TestAKillWhileADeliveryIsInDoubtOwesItsNotice(t *testing.T) {
-	w := newWorld(t)
+	w := newTestEnv(t)
 	at := &copier{first: answerOf("200 OK", "", ""), truth: answerOf("503 Full", "", ""), late: long}
-	w.endpoint(1, at.act)
-	w.run()
+	w.addEndpoint(1, at.act)
+	w.startNode()
 	c := w.dial()
-	c.hand(request("first", "alert", "1", 8000, "first"))
-	w.until("the first came", func() bool { return at.count("first") == 1 })
+	c.submit(submitRequest("first", "alert", "1", 8000, "first"))
+	w.waitFor("the first came", func() bool { return at.count("first") == 1 })
 	time.Sleep(20 * time.Millisecond)
-	c.hand(request("second", "alert", "1", 8000, "second"))
-	w.until("the second came", func() bool { return at.count("second") == 1 })
-	w.until("its record says how it ends", func() bool {
-		e := afterKill(t, w.folder)["second"]
+	c.submit(submitRequest("second", "alert", "1", 8000, "second"))
+	w.waitFor("the second came", func() bool { return at.count("second") == 1 })
+	w.waitFor("its record says how it ends", func() bool {
+		e := recoverAfterKill(t, w.folder)["second"]
 		return e != nil && e.Verdict == store.Discarded
 	})
 }
 
 // Guards against a copy that comes while an attempt's record is written and passes for its answer.
 func TestACopyThatComesWhileAnAttemptIsRecordedIsNoAnswer(t *testing.T) {
-	w := newWorld(t)
+	w := newTestEnv(t)
 	disk := &faultyDisk{Dir: store.Dir(w.folder)}
 	w.disk = disk
 	at := &copier{first: answerOf("200 OK", "", ""), truth: answerOf("503 Full", "", ""), copyNow: make(chan struct{})}
-	w.endpoint(1, at.act)
-	w.run()
+	w.addEndpoint(1, at.act)
+	w.startNode()
 	c := w.dial()
-	c.hand(request("first", "alert", "1", 1500, "first"))
-	w.until("the first came", func() bool { return at.count("first") == 1 })
+	c.submit(submitRequest("first", "alert", "1", 1500, "first"))
+	w.waitFor("the first came", func() bool { return at.count("first") == 1 })
 	time.Sleep(20 * time.Millisecond)
-	disk.slow.Store(int64(30 * time.Millisecond))
-	c.hand(request("second", "alert", "1", 1500, "second"))
+	disk.writeDelay.Store(int64(30 * time.Millisecond))
+	c.submit(submitRequest("second", "alert", "1", 1500, "second"))
 	time.Sleep(15 * time.Millisecond) // its attempt is being recorded
 	close(at.copyNow)
-	disk.slow.Store(0)
-	w.until("its end is told", func() bool { return w.hasNotice("second") })
+	disk.writeDelay.Store(0)
+	w.waitFor("its end is told", func() bool { return w.hasNotice("second") })
 }
 
 // Guards against an answer to half a call that is believed of the whole: the endpoint begins it with its last byte.
@@ -235,8 +235,8 @@
 	post("first")
 	<-heard
 	<-told
-	w := &world{t: t}
-	w.until("the next connection stands", func() bool { n.mu.Lock(); defer n.mu.Unlock(); return n.spare != nil })
+	w := &testEnv{t: t}
+	w.waitFor("the next connection stands", func() bool { n.mu.Lock(); defer n.mu.Unlock(); return n.spare != nil })
 	platform.Listener.Close() // from now on none can be opened
 	post("second")
 	<-heard
@@ -258,36 +258,36 @@
 // Guards against a request that a path repeats: on its connection, on another one, while it is owed, after its end, after a
 // refusal and after a restart it is taken on once, and answered each time.
 func TestARequestThatComesAgainIsTakenOnOnceAndAnsweredEachTime(t *testing.T) {
-	w := newWorld(t)
-	at := w.endpoint(1, say(answerOf("200 OK", "", "")))
-	w.run()
-	taken, refused := request("taken", "charge", "1", 8000, ""), request("refused", "charge", "7", 8000, "")
+	w := newTestEnv(t)
+	at := w.addEndpoint(1, say(answerOf("200 OK", "", "")))
+	w.startNode()
+	taken, refused := submitRequest("taken", "charge", "1", 8000, ""), submitRequest("refused", "charge", "7", 8000, "")
 	c := w.dial()
 	io.WriteString(c, taken+taken)
 	for range 2 {
-		if status, _ := c.hear(""); status != statusTaken {
+		if status, _ := c.readResponse(""); status != statusAccepted {
 			t.Errorf("on one connection: %d", status)
 		}
 	}
-	w.until("it has ended", w.journal.empty)
-	if status, _ := w.dial().hand(taken); status != statusTaken {
+	w.waitFor("it has ended", w.journal.empty)
+	if status, _ := w.dial().submit(taken); status != statusAccepted {
 		t.Errorf("after its end: %d", status)
 	}
-	c.hand(refused)
+	c.submit(refused)
 	w.directory.mu.Lock()
-	w.directory.dests[7] = struct{}{} // it would be taken on now, though its client may have handed it in anew
+	w.directory.knownDests[7] = struct{}{} // it would be taken on now, though its client may have handed it in anew
 	w.directory.mu.Unlock()
-	if status, _ := w.dial().hand(refused); status != statusDeclined {
+	if status, _ := w.dial().submit(refused); status != statusDeclined {
 		t.Errorf("after a refusal: %d", status)
 	}
 	if calls, _ := at.calls(); calls != 1 || !w.journal.empty() {
 		t.Errorf("%d calls", calls)
 	}
 	folder := killed(t, w.folder)
-	next := newWorld(t)
+	next := newTestEnv(t)
 	next.folder, next.hosts = folder, w.hosts
-	next.run()
-	if status, _ := next.dial().hand(taken); status != statusTaken {
+	next.startNode()
+	if status, _ := next.dial().submit(taken); status != statusAccepted {
 		t.Errorf("after a restart: %d", status)
 	}
 	time.Sleep(50 * time.Millisecond)
@@ -304,7 +304,7 @@
 		if !first {
 			t.Fatal("one that never came is known")
 		}
-		r.answer(request, answer{status: statusTaken})
+		r.answer(request, answer{status: statusAccepted})
 	}
 	if len(r.byID) != receivedMost || len(r.oldest) != receivedMost {
 		t.Errorf("%d are known, %d in order", len(r.byID), len(r.oldest))
@@ -336,18 +336,18 @@
 		}
 		return first
 	})
-	d, r := listen(t, at.Addr().String())
-	d.watch(true)
+	d, r := newTestDirectory(t, at.Addr().String())
+	d.setWatching(true)
 	want := "whole=true 0/0/2/2/2/0 ; whole=false 0/0/2/2/1/0 ; whole=false ; whole=false 0/0/2/2/1/0 ;"
-	w := &world{t: t}
-	w.until("the first watch is read", func() bool { return len(r.all()) >= len(want) })
-	if got := r.all(); got != want {
+	w := &testEnv{t: t}
+	w.waitFor("the first watch is read", func() bool { return len(r.joined()) >= len(want) })
+	if got := r.joined(); got != want {
 		t.Errorf("got  %s\nwant %s", got, want)
 	}
-	d.watch(true)
-	w.until("a watch that begins with an older list fails", func() bool { return r.all() == want+" failed" })
-	d.watch(true)
-	w.until("the second one is believed", func() bool { return strings.HasPrefix(r.all(), want+" failed whole=true 0/0/2/2/2/0 ;") })
+	d.setWatching(true)
+	w.waitFor("a watch that begins with an older list fails", func() bool { return r.joined() == want+" failed" })
+	d.setWatching(true)
+	w.waitFor("the second one is believed", func() bool { return strings.HasPrefix(r.joined(), want+" failed whole=true 0/0/2/2/2/0 ;") })
 }
 
 // Guards against an unused connection that is given up because nothing can be written for a moment, when no other can be
@@ -363,7 +363,7 @@
 	n.times(30*time.Millisecond, time.Millisecond)
 	n.renewSpare()
 	spare := n.spare
-	spare.Conn = &faultyConn{TCPConn: spare.Conn.(*net.TCPConn), errno: syscall.ENOMEM, writes: 10, none: true}
+	spare.Conn = &faultyConn{TCPConn: spare.Conn.(*net.TCPConn), errno: syscall.ENOMEM, failWrites: 10, writeNothing: true}
 	platform.Listener.Close()
 	go n.run(stop)
 	n.post(notice{id: "x", verdict: discarded, told: func() { told <- struct{}{} }})
--- a/node/desk.go
+++ b/node/desk.go
@@ -19,7 +19,7 @@
 	perCall   []int // events in one call, by partner
 	endpoints *endpoints
 	directory *directory
-	peers     *peers
+	peers     *peerMessenger
 
 	mu   sync.Mutex
 	news []func(port.Intake) // what came in since the last round
@@ -157,7 +157,7 @@
 	ranAgo, zone, mayRun := int64(0), 0, false
 	for _, s := range e.past {
 		if !mayRun && s.MayHaveRun() {
-			mayRun, ranAgo, zone = true, max(0, d.clock.day()-s.At), d.directory.zone(s.Zone)
+			mayRun, ranAgo, zone = true, max(0, d.clock.timeOfDay()-s.At), d.directory.zoneIndex(s.Zone)
 		}
 	}
 	to.Resumed(e.index, len(e.past), mayRun, ranAgo, zone)
@@ -219,7 +219,7 @@
 	d.current[evt] = s
 	most := d.perCall[min(d.partner[ep], len(d.perCall)-1)]
 	for _, c := range d.calls {
-		if c.endpoint == ep && len(c.sends) < most && c.size+bulkSize(e) <= mostBody {
+		if c.endpoint == ep && len(c.sends) < most && c.size+bulkSize(e) <= maxBodyBytes {
 			s.call, c.sends, c.size = c, append(c.sends, s), c.size+bulkSize(e)
 			return
 		}
@@ -254,10 +254,10 @@
 }
 
 func (d *desk) Wake(after int64)   { d.wakeAt = d.clock.now() + max(after, 1) }
-func (d *desk) Watch(on bool)      { d.directory.watch(on) }
+func (d *desk) Watch(on bool)      { d.directory.setWatching(on) }
 func (d *desk) CloseIdle(ep int32) { d.endpoints.closeIdle(ep) }
 func (d *desk) Forget(ep int32)    { d.left = append(d.left, ep) }
-func (d *desk) TellGood(ep int32)  { d.peers.tellGood(d.eps.ID(ep)) }
+func (d *desk) TellGood(ep int32)  { d.peers.sendGood(d.eps.ID(ep)) }
 
 // Probe is never asked for: the module sends none, and the protocol has no call for it.
 func (d *desk) Probe(ep int32) {
--- a/node/endpointconn.go
+++ b/node/endpointconn.go
@@ -54,7 +54,7 @@
 	*retryConn
 	id       uint64
 	endpoint int32
-	in       *replyReader
+	in       *responseReader
 	dial     string // the address it goes to
 	used     int64  // when its last call ended
 	calls    int
@@ -68,7 +68,7 @@
 
 func newEndpointConn(conn *retryConn, endpoint int32, address string) *endpointConn {
 	connectionsOpened.Add()
-	return &endpointConn{retryConn: conn, id: newConnectionID(), endpoint: endpoint, in: newReplyReader(conn), dial: address}
+	return &endpointConn{retryConn: conn, id: newConnectionID(), endpoint: endpoint, in: newResponseReader(conn), dial: address}
 }
 
 // begins notes a call on the connection.
@@ -82,9 +82,9 @@
 }
 
 // attribute tells how sure it is that an answer is the newest call's. One that could not be read decides nothing.
-func (c *endpointConn) attribute(answer reply) lifecycle.Attribution {
+func (c *endpointConn) attribute(answer callResponse) lifecycle.Attribution {
 	switch {
-	case answer.cut:
+	case answer.truncated:
 		return c.answers.ReadCut()
 	case answer.identity.Digest == 0:
 		return lifecycle.Certain
--- a/node/journal_bench_test.go
+++ b/node/journal_bench_test.go
@@ -37,7 +37,7 @@
 		wg.Wait()
 		b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "events/s")
 	}
-	j, _, err := openJournal(b.TempDir(), store.Dir(b.TempDir()), wall, 64, 6, anyName)
+	j, _, err := openJournal(b.TempDir(), store.Dir(b.TempDir()), wallClock, 64, 6, anyName)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/node/journal_test.go
+++ b/node/journal_test.go
@@ -21,7 +21,7 @@
 // reopen opens a folder as the next process does.
 func reopen(t *testing.T, folder string, limitMB float64) (*journal, []*event) {
 	t.Helper()
-	j, owed, err := openJournal(folder, store.Dir(folder), wall, limitMB, 6, anyName)
+	j, owed, err := openJournal(folder, store.Dir(folder), wallClock, limitMB, 6, anyName)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -123,13 +123,13 @@
 	if j.began(owed[0], 3, 80, "zone") != nil || !errors.Is(j.began(&event{id: "e0"}, 0, 0, ""), errOver) {
 		t.Error("a send of an owed event must begin, and one of an event that is over must not")
 	}
-	if _, _, err := openJournal(folder, store.Dir(folder), wall, 3, 6, anyName); err == nil {
+	if _, _, err := openJournal(folder, store.Dir(folder), wallClock, 3, 6, anyName); err == nil {
 		t.Error("a second process may open the folder")
 	}
 }
 
 func TestJournalKeepsToItsRoomAndRefusesBeforeTakingOn(t *testing.T) {
-	for _, size := range []int{0, 300, 8 << 10, mostBody} {
+	for _, size := range []int{0, 300, 8 << 10, maxBodyBytes} {
 		folder, limit := t.TempDir(), 1.0
 		j, _ := reopen(t, folder, limit)
 		var live []*event
@@ -205,7 +205,7 @@
 
 func TestJournalTellsEventsOfOneIdApart(t *testing.T) {
 	folder, ahead := t.TempDir(), int64(0)
-	day := func() int64 { return wall() + ahead }
+	day := func() int64 { return wallClock() + ahead }
 	j, _, err := openJournal(folder, store.Dir(folder), day, 3, 6, anyName)
 	if err != nil {
 		t.Fatal(err)
@@ -288,7 +288,7 @@
 		}
 	}
 	write(folder)
-	if r, err := ReadJournal(folder); err != nil || len(r.Owed) != 3 {
+	if r, err := ReadJournal(folder); err != nil || len(r.Pending) != 3 {
 		t.Errorf("before it is carried over: %+v, %v", r, err)
 	}
 	j, owed := reopen(t, folder, 3)
@@ -331,7 +331,7 @@
 		}
 		before := folderSize(t, folder)
 		r, err := ReadJournal(folder)
-		if err != nil || len(r.Owed) != owed || (r.Torn > 0) != torn || r.Lost != lost ||
+		if err != nil || len(r.Pending) != owed || (r.TruncatedBytes > 0) != torn || r.RecordsMissing != lost ||
 			(len(r.Faults) > 0) != faults {
 			t.Errorf("%s: %+v, %v", what, r, err)
 		}
--- a/node/life.go
+++ b/node/life.go
@@ -83,7 +83,7 @@
 	l.node.held.Add(-1)
 	switch {
 	case errors.Is(err, errKnown), errors.Is(err, errEnded): // it came before a restart
-		l.answerClient(statusTaken, 0)
+		l.answerClient(statusAccepted, 0)
 		return false
 	case errors.Is(err, errFull):
 		logRefusal(l.id, refusedFull)
@@ -129,7 +129,7 @@
 		case <-shut: // its client must hear, though nothing is decided any more: the journal has it
 			shut = nil
 			if l.end.written == nil {
-				l.answerClient(statusTaken, 0)
+				l.answerClient(statusAccepted, 0)
 			}
 		}
 	}
@@ -141,7 +141,7 @@
 func (l *life) step(s step) {
 	switch s.what {
 	case stepHeld:
-		l.answerClient(statusTaken, 0)
+		l.answerClient(statusAccepted, 0)
 	case stepBegun:
 		l.out++
 	case stepOutcome:
@@ -201,7 +201,7 @@
 		return
 	}
 	l.finish()
-	l.answerClient(statusTaken, 0)
+	l.answerClient(statusAccepted, 0)
 	if !l.request.EndProvisionally() {
 		return
 	}
@@ -217,7 +217,7 @@
 		return
 	}
 	l.finish()
-	l.answerClient(statusTaken, 0)
+	l.answerClient(statusAccepted, 0)
 	l.request.Decide()
 	l.node.journal.over(l.event)
 	l.request.Tell(l.node.clock.now(), true) // the endpoint knows
@@ -242,7 +242,7 @@
 	if l.client && v == declined {
 		l.end = pendingEnd{record: l.node.journal.over(l.event), toClient: true, handOver: time.After(refusalWithin)}
 	} else {
-		l.answerClient(statusTaken, 0)
+		l.answerClient(statusAccepted, 0)
 		l.end = pendingEnd{record: l.node.journal.decide(l.event)}
 	}
 	l.end.written = l.end.record.Written()
@@ -280,5 +280,5 @@
 // handOverEnd has the platform hear of a refusal whose record takes too long for its client to wait.
 func (l *life) handOverEnd() {
 	l.end.toClient, l.end.handOver = false, nil
-	l.answerClient(statusTaken, 0)
+	l.answerClient(statusAccepted, 0)
 }
--- a/node/node.go
+++ b/node/node.go
@@ -22,7 +22,7 @@
 	Known                     []byte // the list of endpoints as it was last had
 
 	disk    store.Folder // tests put one that fails in place of Folder
-	machine *machine     // and one whose wall clock steps in place of this one
+	machine *timeSource  // and one whose wall clock steps in place of this one
 }
 
 // ClientTimes is how long clients' connections may take; 0 for the usual time.
@@ -66,17 +66,17 @@
 	endpoints *endpoints
 	directory *directory
 	notices   *notices
-	peers     *peers
-	clients   *clients
+	peers     *peerMessenger
+	clients   *clientServer
 }
 
 // Open opens the journal and the sockets of a delivery node; Run starts it.
 func Open(at Place, most Limits, times ClientTimes, s start.Start, module port.Decider) (*Node, error) {
 	if at.machine == nil {
-		m := thisMachine()
+		m := systemTimeSource()
 		at.machine = &m
 	}
-	c := startClock(at.Folder, *at.machine)
+	c := newClock(at.Folder, *at.machine)
 	n := &Node{clock: c, most: int64(s.Room.Events), types: s.Types, typeNames: s.TypeNames,
 		owners: s.CustomerNames}
 	n.Drain(drainRest, drainChoose, drainEnd)
@@ -85,7 +85,7 @@
 	if at.disk == nil {
 		at.disk = store.Dir(at.Folder)
 	}
-	if n.journal, n.owed, err = openJournal(at.Folder, at.disk, c.day, most.DiskMB, s.Room.Sends, n.find); err != nil {
+	if n.journal, n.owed, err = openJournal(at.Folder, at.disk, c.timeOfDay, most.DiskMB, s.Room.Sends, n.find); err != nil {
 		return nil, err
 	}
 	sockets := most.Sockets
@@ -102,24 +102,24 @@
 	n.desk = newDesk(c, module, s.Tick, append(perCall, 1))
 	n.endpoints = &endpoints{clock: c, journal: n.journal, dial: dialer(s.ConnectWithin),
 		idleFor: s.IdleFor, mostIdle: idle}
-	n.directory = &directory{address: at.Directory, open: make(map[*watch]struct{}),
-		dests: make(map[uint32]struct{}), desk: n.desk, endpoints: n.endpoints,
-		partners: s.PartnerNames, zones: s.ZoneNames, rated: s.Rated,
-		answers: trouble{part: "directory", what: "watching the list"}}
+	n.directory = &directory{address: at.Directory, openWatches: make(map[*watch]struct{}),
+		knownDests: make(map[uint32]struct{}), desk: n.desk, endpoints: n.endpoints,
+		partnerNames: s.PartnerNames, zoneNames: s.ZoneNames, useRates: s.Rated,
+		watchErrors: trouble{part: "directory", what: "watching the list"}}
 	n.notices = openNotices(at.Directory)
-	if n.peers, err = openPeers(at.PeerListen, at.PeersAll, at.Peers, s.Fleet.Me, n.desk, c.day()); err != nil {
+	if n.peers, err = newPeerMessenger(at.PeerListen, at.PeersAll, at.Peers, s.Fleet.Me, n.desk, c.timeOfDay()); err != nil {
 		n.journal.close()
 		return nil, err
 	}
-	n.Silence(silentAfter)
+	n.Silence(defaultWatchSilence)
 	n.desk.endpoints, n.desk.directory, n.desk.peers = n.endpoints, n.directory, n.peers
 	if len(at.Known) > 0 {
-		if err = n.directory.list(nil, at.Known); err != nil {
+		if err = n.directory.applyList(nil, at.Known); err != nil {
 			err = fmt.Errorf("known: %w", err)
 		}
 	}
 	if err == nil {
-		n.clients, err = openClients(n, at.Listen, times, max(fewClients, sockets-idle-s.Room.Slots), keep)
+		n.clients, err = newClientServer(n, at.Listen, times, max(fewClients, sockets-idle-s.Room.Slots), keep)
 	}
 	if err != nil {
 		n.peers.close()
@@ -135,14 +135,14 @@
 func (n *Node) Drain(rest, choose, end time.Duration) { n.drain.Store(&drainTimes{rest, choose, end}) }
 
 // Silence sets for how long a call to the directory may show no sign of life.
-func (n *Node) Silence(most time.Duration) { n.directory.silence.Store(int64(most)) }
+func (n *Node) Silence(most time.Duration) { n.directory.silenceTimeout.Store(int64(most)) }
 
 // Notices sets how long the platform has to answer a notice, and when one that failed is told again.
 func (n *Node) Notices(within, again time.Duration) { n.notices.times(within, again) }
 
 // Move tells that the directory, which takes the notices too, is at another address from now on.
 func (n *Node) Move(directory string) {
-	n.directory.move(directory)
+	n.directory.setAddress(directory)
 	n.notices.move(directory)
 }
 
@@ -150,7 +150,7 @@
 func (n *Node) restore() {
 	n.held.Add(int64(len(n.owed)))
 	for _, e := range n.owed {
-		e.due = n.clock.now() + e.deadline - n.clock.day()
+		e.due = n.clock.now() + e.deadline - n.clock.timeOfDay()
 		e.safety = n.safety(e.typ)
 		e.request = lifecycle.RestoredRequest(e.id, e.due, n.repeatable(e.typ), e.mayHaveRun())
 		if e.verdict == open {
@@ -165,7 +165,7 @@
 // later.
 func (n *Node) refuses(e *event) (reason string) {
 	switch {
-	case !n.directory.knows(e.dest):
+	case !n.directory.isKnownDest(e.dest):
 		return refusedUnlisted
 	case !n.admit():
 		return refusedNoRoom
--- a/node/notices.go
+++ b/node/notices.go
@@ -339,7 +339,7 @@
 	}
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
-	if err := resp.ReadLimitBody(conn.in, mostReply); err != nil {
+	if err := resp.ReadLimitBody(conn.in, maxResponseBytes); err != nil {
 		return true, err
 	}
 	if resp.StatusCode() != fasthttp.StatusNoContent {
--- a/node/sends.go
+++ b/node/sends.go
@@ -141,7 +141,7 @@
 	case err == nil:
 		reason = closeGivenUp
 	case errors.Is(err, errEarlyAnswer): // to no call: an endpoint begins one when its last byte has come
-		reason, wait = closeUnread, conn.in.read(c.sends).results[0].wait
+		reason, wait = closeUnread, conn.in.readResponse(c.sends).results[0].wait
 	}
 	c.of.close(conn, reason)
 	switch {
@@ -158,7 +158,7 @@
 func (c *call) readAnswer(conn *endpointConn) {
 	dest := c.sends[0].event.dest
 	conn.stalls = func(on bool) { c.of.stalls(dest, on) }
-	answer := conn.in.read(c.sends)
+	answer := conn.in.readResponse(c.sends)
 	again := conn.answers.Refused() && answer.identity.NotRun
 	attribution := conn.attribute(answer)
 	switch {
@@ -182,7 +182,7 @@
 
 // followAnswer has the outcomes followed that it would do harm to act on if the answer is another call's: those that end
 // their event, and those that say that an event never ran which must not run twice.
-func (c *call) followAnswer(conn *endpointConn, answer reply) {
+func (c *call) followAnswer(conn *endpointConn, answer callResponse) {
 	for i := range answer.results {
 		r := &answer.results[i] // of several sends, an answer that says the same of all has one for each
 		over := r.how == port.Acked || r.over
@@ -252,7 +252,7 @@
 		return false
 	}
 	for {
-		err := c.of.journal.began(s.event, s.number, c.of.clock.day(), c.of.site(c.endpoint))
+		err := c.of.journal.began(s.event, s.number, c.of.clock.timeOfDay(), c.of.site(c.endpoint))
 		if err == nil {
 			return true
 		}
@@ -372,7 +372,7 @@
 	}
 	if how == port.TimedOut && c.bytes == all && !c.extended && c.conn.answerBegun() { // its answer has begun to come
 		c.extended = true
-		time.AfterFunc(restWithin, func() { c.giveUp(port.TimedOut) })
+		time.AfterFunc(responseReadTimeout, func() { c.giveUp(port.TimedOut) })
 		return
 	}
 	c.gaveUp, c.how = true, how
--- a/node/sends_test.go
+++ b/node/sends_test.go
@@ -279,7 +279,7 @@
 		c.sends = append(c.sends, s)
 	}
 	go p.carry(c)
-	(&world{t: t}).until("it is being written", func() bool {
+	(&testEnv{t: t}).waitFor("it is being written", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return c.bytes == some
