--- a/node/clientconn.go
+++ b/node/clientconn.go
@@ -15,110 +15,113 @@
 )
 
 const (
-	lingerTimeout      = 300 * time.Millisecond // a client that heard of the end closes too: there and back
+	lingerTimeout      = 300 * time.Millisecond // enough for one round trip: a client that sees the end of the stream closes too
 	lingerPollInterval = 10 * time.Millisecond
 )
 
-// clientConn is a client's connection. It waits in rest, is busy from the first byte of a request until
-// idle, and ends with end. What may end its waiting for bytes is decided under the listener's lock.
+// clientConn is a client's connection. It waits for a request in awaitRequest, is busy from the first byte of a
+// request until markIdle, and is closed by closeGracefully. The state that decides whether waiting for bytes may be
+// interrupted is guarded by the listener's lock.
 type clientConn struct {
 	*retryConn
 	id              uint64
-	requests        int               // that were read
-	closeReason     clientCloseReason // why it ends, empty while it goes on
+	requests        int               // number of requests read
+	closeReason     clientCloseReason // empty while the connection is in use
 	listener        *listener
 	state           lifecycle.Connection
 	acceptedAt      time.Time
-	stateSince      time.Time // of its first byte, or of its last answer
-	firstByte       [1]byte   // the first byte of a request
-	firstByteUnread bool      // that byte was not read on yet
-	responseWritten bool      // something was answered
-	framingLost     bool      // what was read last is no request: what follows it is none either
+	stateSince      time.Time // time of its last state change, such as the first byte of a request or the last response
+	firstByte       [1]byte   // first byte of a request, read while waiting for one
+	firstByteUnread bool      // firstByte was not yet returned by Read
+	responseWritten bool      // at least part of a response was written
+	framingLost     bool      // the last input was not a valid request, so no request can be parsed from what follows
 
-	busy            bool // bytes of a request have been read and its answer is not written
-	requestRead     bool // all of them
-	hadValidRequest bool // it has brought an event, or asked how we are
-	closing         bool // asked to close, or closing
-	lingering       bool // its answers are written, and what still comes is read out
-	evicted         bool // it has no more time
+	busy            bool // a request has started to arrive and its response is not yet written
+	requestRead     bool // that request was read completely
+	hadValidRequest bool // it has carried at least one request to submit an event or check readiness
+	closing         bool // asked to close, or being closed
+	lingering       bool // its responses are written and it waits for the client to close
+	evicted         bool // its remaining time was cut to make room for other connections
 }
 
-// clientCloseReason is why a client's connection ends.
+// clientCloseReason is the reason for closing a client connection, as the metrics and logs name it.
 type clientCloseReason string
 
 const (
-	clientCloseRequested  clientCloseReason = "asked"       // others need its place, or the node drains
-	clientCloseIdle       clientCloseReason = "idle"        // no request came for so long
-	clientCloseByClient   clientCloseReason = "client"      // its client closed it, or it broke
-	clientCloseUnreadable clientCloseReason = "unreadable"  // what came is no request
-	clientCloseByHeader   clientCloseReason = "header"      // the request, or the protocol's version, says that it ends
-	clientCloseDraining   clientCloseReason = "draining"    // it carried its last request while the node drains
-	clientCloseNotWritten clientCloseReason = "not_written" // the answer could not be written
+	clientCloseRequested  clientCloseReason = "asked"       // to make room for other connections, or because the node drains
+	clientCloseIdle       clientCloseReason = "idle"        // no request arrived within the idle timeout
+	clientCloseByClient   clientCloseReason = "client"      // closed by the client, or broken
+	clientCloseUnreadable clientCloseReason = "unreadable"  // the input was not a valid HTTP request
+	clientCloseByHeader   clientCloseReason = "header"      // required by the Connection header or the HTTP version
+	clientCloseDraining   clientCloseReason = "draining"    // the node is draining and this was the last request
+	clientCloseNotWritten clientCloseReason = "not_written" // the response could not be written
 )
 
 var clientConnectionsClosed = metrics.NewFamily("jaspersill_client_connections_closed_total",
-	"Clients' connections that ended, by reason.", "reason", string(clientCloseRequested), string(clientCloseIdle), string(clientCloseByClient),
-	string(clientCloseUnreadable), string(clientCloseByHeader), string(clientCloseDraining), string(clientCloseNotWritten))
+	"Clients' connections that ended, by reason.", "reason", string(clientCloseRequested), string(clientCloseIdle),
+	string(clientCloseByClient), string(clientCloseUnreadable), string(clientCloseByHeader), string(clientCloseDraining),
+	string(clientCloseNotWritten))
 
-// setCloseReason notes why the connection ends; the first reason counts.
-func (g *clientConn) setCloseReason(reason clientCloseReason) {
-	if g.closeReason == "" {
-		g.closeReason = reason
+// setCloseReason records why the connection closes; the first reason wins.
+func (c *clientConn) setCloseReason(reason clientCloseReason) {
+	if c.closeReason == "" {
+		c.closeReason = reason
 	}
 }
 
-// recordClose counts the end of the connection, and writes a line about it.
-func (g *clientConn) recordClose() {
-	clientConnectionsClosed.With(string(g.closeReason)).Add()
+// recordClose counts the closed connection and logs it at debug level.
+func (c *clientConn) recordClose() {
+	clientConnectionsClosed.With(string(c.closeReason)).Add()
 	if logs.Debugging() {
-		logs.Part("clients").WithFields(logrus.Fields{"connection": g.id, "requests": g.requests, "reason": string(g.closeReason)}).
-			Debug("a client's connection ends")
+		logs.Part("clients").WithFields(logrus.Fields{"connection": c.id, "requests": c.requests,
+			"reason": string(c.closeReason)}).Debug("client connection closed")
 	}
 }
 
-// requestClose asks a connection between requests to close: its reader does, unless a request comes first.
-func (g *clientConn) requestClose() {
-	g.closing = true
-	g.SetReadDeadline(pastDeadline)
+// requestClose asks an idle connection to close. Its reader does so, unless a request arrives first. The listener's
+// lock is held.
+func (c *clientConn) requestClose() {
+	c.closing = true
+	c.SetReadDeadline(pastDeadline)
 }
 
-// awaitRequest waits for the first byte of the next request. It tells false if none came in time, or if the
-// connection was asked to close before: the byte or the asking, whichever the listener's lock sees first.
-func (g *clientConn) awaitRequest() bool {
-	g.listener.mu.Lock()
-	if g.closing {
-		g.listener.mu.Unlock()
-		g.setCloseReason(clientCloseRequested)
+// awaitRequest waits for the first byte of the next request. It returns false if none arrived in time, or if the
+// connection was asked to close first. The listener's lock orders the two events.
+func (c *clientConn) awaitRequest() bool {
+	c.listener.mu.Lock()
+	if c.closing {
+		c.listener.mu.Unlock()
+		c.setCloseReason(clientCloseRequested)
 		return false
 	}
-	g.setReadTimeout(g.listener.idleTimeout)
-	if g.responseWritten {
-		g.delayedSince = time.Time{}
+	c.setReadTimeout(c.listener.idleTimeout)
+	if c.responseWritten {
+		c.delayedSince = time.Time{}
 	}
-	g.listener.mu.Unlock()
-	n, err := g.retryConn.Read(g.firstByte[:])
-	g.listener.mu.Lock()
-	defer g.listener.mu.Unlock()
-	if n == 0 && g.hasUnread() { // it stands there already: closed over it, its client would hear nothing
-		g.markRequestStarted()
-		g.listener.mu.Unlock()
-		n, _ = g.retryConn.Read(g.firstByte[:])
-		g.listener.mu.Lock()
+	c.listener.mu.Unlock()
+	n, err := c.retryConn.Read(c.firstByte[:])
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	if n == 0 && c.hasUnread() { // a request has already arrived; closing now would leave it unanswered
+		c.markRequestStarted()
+		c.listener.mu.Unlock()
+		n, _ = c.retryConn.Read(c.firstByte[:])
+		c.listener.mu.Lock()
 	}
 	if n == 0 {
-		g.setCloseReason(g.idleCloseReason(err))
-		g.busy, g.closing = false, true
+		c.setCloseReason(c.idleCloseReason(err))
+		c.busy, c.closing = false, true
 		return false
 	}
-	g.firstByteUnread = true
-	g.markRequestStarted()
+	c.firstByteUnread = true
+	c.markRequestStarted()
 	return true
 }
 
-// idleCloseReason is why a connection ends on which no request came; the listener's lock is held.
-func (g *clientConn) idleCloseReason(err error) clientCloseReason {
+// idleCloseReason returns why a connection closes on which no request arrived. The listener's lock is held.
+func (c *clientConn) idleCloseReason(err error) clientCloseReason {
 	switch {
-	case g.closing:
+	case c.closing:
 		return clientCloseRequested
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return clientCloseIdle
@@ -126,121 +129,128 @@
 	return clientCloseByClient
 }
 
-// markRequestStarted marks that a request comes: closed after its request was read, the connection would leave that unanswered.
-func (g *clientConn) markRequestStarted() {
-	g.busy, g.requestRead, g.closing, g.stateSince = true, false, false, time.Now()
-	g.setReadTimeout(g.listener.requestTimeout)
+// markRequestStarted records that a request has started to arrive and withdraws any demand to close, because closing
+// now would leave the request unanswered. The listener's lock is held.
+func (c *clientConn) markRequestStarted() {
+	c.busy, c.requestRead, c.closing, c.stateSince = true, false, false, time.Now()
+	c.setReadTimeout(c.listener.requestTimeout)
 }
 
-// startNextRequest marks that one more request has begun to come behind the last.
-func (g *clientConn) startNextRequest() {
-	g.listener.mu.Lock()
-	defer g.listener.mu.Unlock()
-	g.markRequestStarted()
+// startNextRequest records that a pipelined request follows the last one.
+func (c *clientConn) startNextRequest() {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	c.markRequestStarted()
 }
 
-// setReadTimeout gives the client so long for what comes next, and for its first request no more than is left of
-// the time since it connected: by a byte now and then, or none, it would keep its connection for good.
-func (g *clientConn) setReadTimeout(d time.Duration) {
-	t := time.Now().Add(d)
-	if first := g.acceptedAt.Add(g.listener.firstRequestTimeout); !g.hadValidRequest && t.After(first) {
-		t = first
+// setReadTimeout limits the time that the client has for its next input. Until its first valid request, the limit is
+// also firstRequestTimeout from accepting the connection; otherwise a client that sends a byte now and then, or
+// nothing, would hold its connection for good.
+func (c *clientConn) setReadTimeout(timeout time.Duration) {
+	deadline := time.Now().Add(timeout)
+	if first := c.acceptedAt.Add(c.listener.firstRequestTimeout); !c.hadValidRequest && deadline.After(first) {
+		deadline = first
 	}
-	g.SetReadDeadline(t)
+	c.SetReadDeadline(deadline)
 }
 
-// Read reads on from the byte that ended the rest.
-func (g *clientConn) Read(b []byte) (int, error) {
-	if g.firstByteUnread && len(b) > 0 {
-		g.firstByteUnread = false
-		b[0] = g.firstByte[0]
+// Read implements net.Conn. It first returns the byte that awaitRequest has read.
+func (c *clientConn) Read(b []byte) (int, error) {
+	if c.firstByteUnread && len(b) > 0 {
+		c.firstByteUnread = false
+		b[0] = c.firstByte[0]
 		return 1, nil
 	}
-	return g.retryConn.Read(b)
+	return c.retryConn.Read(b)
 }
 
-// markRequestRead marks that a request has come whole; good tells whether it was one.
-func (g *clientConn) markRequestRead(good bool) {
-	g.listener.mu.Lock()
-	defer g.listener.mu.Unlock()
-	g.requestRead, g.hadValidRequest = true, g.hadValidRequest || good
-	g.requests++
-	g.state.ReadRequest()
+// markRequestRead records that a request was read completely; valid says whether it was correctly framed and sent to
+// a known path for clients.
+func (c *clientConn) markRequestRead(valid bool) {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	c.requestRead, c.hadValidRequest = true, c.hadValidRequest || valid
+	c.requests++
+	c.state.ReadRequest()
 }
 
-// markIdle marks that the answer was written.
-func (g *clientConn) markIdle() {
-	g.listener.mu.Lock()
-	defer g.listener.mu.Unlock()
-	g.busy, g.stateSince = false, time.Now()
-	g.listener.trimIdle()
-	if len(g.listener.conns) >= g.listener.maxConns {
-		g.listener.connClosed.Signal()
+// markIdle records that the response was written, and that the connection may now be closed to make room.
+func (c *clientConn) markIdle() {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	c.busy, c.stateSince = false, time.Now()
+	c.listener.trimIdle()
+	if len(c.listener.conns) >= c.listener.maxConns {
+		c.listener.connClosed.Signal()
 	}
 }
 
-// Write notes that there are answers which the end of the connection must not take along.
-func (g *clientConn) Write(b []byte) (int, error) {
-	g.responseWritten = true
-	return g.retryConn.Write(b)
+// Write implements net.Conn. It records that a response was written, which closing the connection must not discard.
+func (c *clientConn) Write(b []byte) (int, error) {
+	c.responseWritten = true
+	return c.retryConn.Write(b)
 }
 
-// closeGracefully closes a connection whose answers are written. Closed over unread bytes it is reset, which takes along the
-// answers that are still on their way. So it is half closed, and stays until the client closes too or has had time to
-// read. Nothing is read from it any more: a request that crosses the closeGracefully, unread, is handed in again by its client.
-// Only what follows bytes that are no request is read out, since no request can be told from it.
-func (g *clientConn) closeGracefully() {
-	g.listener.mu.Lock()
-	g.busy, g.closing, g.lingering, g.stateSince = false, true, true, time.Now()
-	g.SetReadDeadline(g.stateSince.Add(lingerTimeout))
-	gently := g.responseWritten && !g.evicted
-	g.listener.mu.Unlock()
-	if gently && g.CloseWrite() == nil {
-		if g.framingLost {
-			g.discardInput()
+// closeGracefully closes a connection whose responses are written. Closing a socket that has unread input resets the
+// connection, which discards responses in flight. The connection is therefore half closed and lingers until the client
+// closes too or has had time to read. Nothing more is read from it: a request that crosses the close stays unread, and
+// its client submits it again. Only after invalid input the rest is read and discarded, since no request can be parsed
+// from it.
+func (c *clientConn) closeGracefully() {
+	c.listener.mu.Lock()
+	c.busy, c.closing, c.lingering, c.stateSince = false, true, true, time.Now()
+	c.SetReadDeadline(c.stateSince.Add(lingerTimeout))
+	linger := c.responseWritten && !c.evicted
+	c.listener.mu.Unlock()
+	if linger && c.CloseWrite() == nil {
+		if c.framingLost {
+			c.discardInput()
 		} else {
-			g.awaitPeerClose()
+			c.awaitPeerClose()
 		}
 	}
-	g.state.Close(g.RemoteAddr().String())
-	g.recordClose()
-	g.Conn.Close()
-	g.listener.mu.Lock()
-	defer g.listener.mu.Unlock()
-	delete(g.listener.conns, g)
-	g.listener.connClosed.Signal()
+	c.state.Close(c.RemoteAddr().String())
+	c.recordClose()
+	c.Conn.Close()
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	delete(c.listener.conns, c)
+	c.listener.connClosed.Signal()
 }
 
-func (g *clientConn) discardInput() {
-	var rest [512]byte
+func (c *clientConn) discardInput() {
+	var buf [512]byte
 	for {
-		if _, err := g.retryConn.Read(rest[:]); err != nil {
+		if _, err := c.retryConn.Read(buf[:]); err != nil {
 			return
 		}
 	}
 }
 
-// receiveDelay is how long ago the request that was read last may have come, beyond the time that reading it took.
-func (g *clientConn) receiveDelay() time.Duration {
-	if g.delayedSince.IsZero() {
+// receiveDelay returns how long the last request may have waited before it was read, or 0 if reading and accepting
+// were not delayed.
+func (c *clientConn) receiveDelay() time.Duration {
+	if c.delayedSince.IsZero() {
 		return 0
 	}
-	return time.Since(g.delayedSince)
+	return time.Since(c.delayedSince)
 }
 
-// awaitPeerClose waits until the client has closed its side, or has no more time. It takes no byte off the connection.
-func (g *clientConn) awaitPeerClose() {
-	for g.waitReadable() {
-		if time.Since(g.stateSince) >= lingerTimeout || g.isEvicted() {
+// awaitPeerClose waits until the client has closed its side, the linger timeout has passed or the connection is
+// evicted. It consumes no input.
+func (c *clientConn) awaitPeerClose() {
+	for c.waitReadable() {
+		if time.Since(c.stateSince) >= lingerTimeout || c.isEvicted() {
 			return
 		}
 		time.Sleep(lingerPollInterval)
 	}
 }
 
-// waitReadable waits until something can be read, and tells whether it is bytes, which it leaves there.
-func (g *clientConn) waitReadable() (unread bool) {
-	raw, err := g.SyscallConn()
+// waitReadable waits until the connection is readable, and reports whether input is available, which it does not
+// consume. End of stream and errors that are not momentary give false.
+func (c *clientConn) waitReadable() (unread bool) {
+	raw, err := c.SyscallConn()
 	if err != nil {
 		return false
 	}
@@ -253,8 +263,8 @@
 	return unread
 }
 
-func (g *clientConn) isEvicted() bool {
-	g.listener.mu.Lock()
-	defer g.listener.mu.Unlock()
-	return g.evicted
+func (c *clientConn) isEvicted() bool {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	return c.evicted
 }
--- a/node/clients.go
+++ b/node/clients.go
@@ -22,15 +22,15 @@
 )
 
 const (
-	maxHeaderBytes             = 4096                    // bytes of a request's head; a longer one is answered 431
-	defaultRequestTimeout      = 2 * time.Second         // a request not whole by then is nobody's: its client waits 400 ms
-	defaultFirstRequestTimeout = 2500 * time.Millisecond // the first counts from the connection: an error is owed within 3 s
-	defaultClientIdleTimeout   = 5 * time.Second         // clients open another when they come again; some never do
-	clientWriteTimeout         = 2 * time.Second         // a client that does not read is long gone: it waits 400 ms
-	maxIDBytes                 = 64                      // bytes; the journal counts on it
-	maxIdempotencyKeyBytes     = 256                     // bytes
-	maxClientDeadline          = 24 * time.Hour          // no event may be delivered for longer
-	retryAfterDecimals         = 3                       // Retry-After is told to the millisecond
+	maxHeaderBytes             = 4096                    // a longer request header is answered with 431
+	defaultRequestTimeout      = 2 * time.Second         // well above the 400 ms that a client waits for its response
+	defaultFirstRequestTimeout = 2500 * time.Millisecond // counts from accepting the connection: an error response is due within 3 s
+	defaultClientIdleTimeout   = 5 * time.Second         // clients reconnect for later requests, and some send only one
+	clientWriteTimeout         = 2 * time.Second         // well above the 400 ms that a client waits for its response
+	maxIDBytes                 = 64                      // the journal relies on this limit
+	maxIdempotencyKeyBytes     = 256
+	maxClientDeadline          = 24 * time.Hour // longest time that an event may remain deliverable
+	retryAfterDecimals         = 3              // Retry-After has millisecond resolution
 	contentTypeText            = "text/plain; charset=utf-8"
 	pathReady                  = "/up"
 	pathSubmit                 = "/api"
@@ -39,36 +39,39 @@
 	envelopeDestKey            = "dest"
 )
 
-// clientServer serves those who hand events in.
+// clientServer is the HTTP server that clients submit events to.
 type clientServer struct {
 	node           *Node
 	listener       *listener
-	handler        func(*fasthttp.RequestCtx) // a request that could be read
+	handler        func(*fasthttp.RequestCtx) // handles each request that was read successfully
 	badRequests    tally
 	recentRequests received
 }
 
-// Buffers are only held while a request is read and answered: most connections rest most of the time.
+// Buffers are pooled and held only while a request is read and answered, since most connections are idle most of
+// the time.
 var (
 	readerPool  = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, maxHeaderBytes) }}
 	contextPool = sync.Pool{New: func() any { return new(fasthttp.RequestCtx) }}
 )
 
-// fasthttpLogger takes fasthttp's lines, one for each connection that fails. Danger: bad clients would fill the log.
+// fasthttpLogger writes the log lines of fasthttp at debug level: fasthttp logs one for each failing connection, so
+// misbehaving clients could otherwise flood the log.
 type fasthttpLogger struct{}
 
 func (fasthttpLogger) Printf(format string, args ...any) {
 	logs.Part("clients").Debugf(format, args...)
 }
 
-func newClientServer(n *Node, address string, times ClientTimes, most, keep int) (*clientServer, error) {
+func newClientServer(n *Node, address string, times ClientTimes, maxConns, maxIdle int) (*clientServer, error) {
 	l, err := openSocket(func() (net.Listener, error) { return net.Listen("tcp", address) })
 	if err != nil {
 		return nil, err
 	}
-	c := &clientServer{node: n, listener: newListener(l, most, keep),
-		badRequests: tally{part: "clients", what: "refused what is no event"}}
-	c.listener.firstRequestTimeout, c.listener.idleTimeout = cmp.Or(times.First, defaultFirstRequestTimeout), cmp.Or(times.Between, defaultClientIdleTimeout)
+	c := &clientServer{node: n, listener: newListener(l, maxConns, maxIdle),
+		badRequests: tally{part: "clients", what: "rejected invalid requests"}}
+	c.listener.firstRequestTimeout, c.listener.idleTimeout = cmp.Or(times.First, defaultFirstRequestTimeout),
+		cmp.Or(times.Between, defaultClientIdleTimeout)
 	c.listener.requestTimeout = cmp.Or(times.Whole, defaultRequestTimeout)
 	c.handler = c.handle
 	return c, nil
@@ -77,56 +80,56 @@
 // serve accepts connections until the listener closes.
 func (c *clientServer) serve() error {
 	for {
-		g, err := c.listener.acceptConn()
+		conn, err := c.listener.acceptConn()
 		if err != nil {
 			return err
 		}
-		go c.serveConn(g)
+		go c.serveConn(conn)
 	}
 }
 
-// serveConn serves one connection to its end.
-func (c *clientServer) serveConn(g *clientConn) {
-	defer g.closeGracefully()
-	for g.awaitRequest() && c.serveBuffered(g) {
-		g.markIdle()
+// serveConn serves one connection until it closes.
+func (c *clientServer) serveConn(conn *clientConn) {
+	defer conn.closeGracefully()
+	for conn.awaitRequest() && c.serveBuffered(conn) {
+		conn.markIdle()
 	}
 }
 
-// serveBuffered answers a request that begins to come, and those that were read along with it: what was read is
-// not left unanswered. It tells whether the connection stays open.
-func (c *clientServer) serveBuffered(g *clientConn) bool {
+// serveBuffered answers the request that has started to arrive and any pipelined requests that were read into the
+// buffer with it, so that no request that was read is left unanswered. It reports whether the connection stays open.
+func (c *clientServer) serveBuffered(conn *clientConn) bool {
 	in, ctx := readerPool.Get().(*bufio.Reader), contextPool.Get().(*fasthttp.RequestCtx)
 	defer readerPool.Put(in)
 	defer contextPool.Put(ctx)
-	in.Reset(g)
+	in.Reset(conn)
 	defer in.Reset(nil)
-	ctx.Init2(g, fasthttpLogger{}, true)
+	ctx.Init2(conn, fasthttpLogger{}, true)
 	for {
-		if !c.serveRequest(ctx, in, g) {
+		if !c.serveRequest(ctx, in, conn) {
 			return false
 		}
 		if in.Buffered() == 0 {
 			return true
 		}
-		g.startNextRequest()
+		conn.startNextRequest()
 	}
 }
 
-// serveRequest reads and answers one request. It tells whether the connection stays open: one that is busy
-// while the delivery node drains ends with the last request that was read from it.
-func (c *clientServer) serveRequest(ctx *fasthttp.RequestCtx, in *bufio.Reader, g *clientConn) bool {
+// serveRequest reads and answers one request. It reports whether the connection stays open. While the node drains,
+// a connection closes after the last request that was already read from it.
+func (c *clientServer) serveRequest(ctx *fasthttp.RequestCtx, in *bufio.Reader, conn *clientConn) bool {
 	ctx.Request.Reset()
 	ctx.Response.Reset()
-	switch err := readRequest(&ctx.Request, in, g); {
+	switch err := readRequest(&ctx.Request, in, conn); {
 	case err == nil:
 		c.handler(ctx)
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, syscall.ECONNRESET):
-		g.setCloseReason(clientCloseByClient)
+		conn.setCloseReason(clientCloseByClient)
 		return false
 	default:
-		g.setCloseReason(clientCloseUnreadable)
-		g.framingLost = true
+		conn.setCloseReason(clientCloseUnreadable)
+		conn.framingLost = true
 		c.rejectUnreadable(ctx, err)
 		ctx.SetConnectionClose()
 	}
@@ -138,32 +141,32 @@
 	out := bytebufferpool.Get()
 	defer bytebufferpool.Put(out)
 	if _, err := ctx.Response.WriteTo(out); err != nil {
-		logs.Part("clients").WithError(err).Error("an answer cannot be written as HTTP")
+		logs.Part("clients").WithError(err).Error("failed to serialize the HTTP response")
 		return false
 	}
-	g.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
-	_, err := g.Write(out.B)
-	g.state.Answer() // whole, or its client has gone
+	conn.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
+	_, err := conn.Write(out.B)
+	conn.state.Answer() // either the response was written in full or the client is gone
 	switch {
 	case err != nil:
-		g.setCloseReason(clientCloseNotWritten)
+		conn.setCloseReason(clientCloseNotWritten)
 	case !ctx.Response.ConnectionClose():
 		return true
 	case draining:
-		g.setCloseReason(clientCloseDraining)
+		conn.setCloseReason(clientCloseDraining)
 	default:
-		g.setCloseReason(clientCloseByHeader)
+		conn.setCloseReason(clientCloseByHeader)
 	}
 	return false
 }
 
-// readRequest reads a request whole; a client that asks first whether it may send its body is told to.
-func readRequest(req *fasthttp.Request, in *bufio.Reader, g *clientConn) error {
+// readRequest reads a complete request. It answers "Expect: 100-continue" with 100 Continue.
+func readRequest(req *fasthttp.Request, in *bufio.Reader, conn *clientConn) error {
 	if err := req.Header.Read(in); err != nil {
 		return err
 	}
 	if req.MayContinue() {
-		if _, err := io.WriteString(g, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
+		if _, err := io.WriteString(conn, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 			return err
 		}
 	}
@@ -172,14 +175,15 @@
 
 func (c *clientServer) handle(ctx *fasthttp.RequestCtx) {
 	path, framed := string(ctx.Path()), hasValidFraming(ctx.Request.Header.RawHeaders())
-	if g, ok := ctx.Conn().(*clientConn); ok {
-		g.markRequestRead(framed && (path == pathReady || path == pathSubmit))
+	if conn, ok := ctx.Conn().(*clientConn); ok {
+		conn.markRequestRead(framed && (path == pathReady || path == pathSubmit))
 	}
 	switch {
 	case !framed:
-		// What stands behind it may be of its body, and pass for a request that nobody made.
-		if g, ok := ctx.Conn().(*clientConn); ok {
-			g.framingLost = true
+		// The bytes that follow may belong to this request's body and must not be parsed as another request
+		// (request smuggling).
+		if conn, ok := ctx.Conn().(*clientConn); ok {
+			conn.framingLost = true
 		}
 		ctx.SetConnectionClose()
 		c.rejectRequest(ctx, fasthttp.StatusBadRequest, "the request has two lengths, or one that cannot be read")
@@ -201,25 +205,25 @@
 	}
 }
 
-// hasValidFraming tells whether a head names its body's length in one way only, and as HTTP/1.1 has it. fasthttp
-// refuses all else that is wrong with lengths, but takes the coding where both are given.
-func hasValidFraming(head []byte) bool {
-	length, coding := false, false
-	for line := range bytes.Lines(head) {
+// hasValidFraming reports whether a header states the body's length in only one way that HTTP/1.1 allows. fasthttp
+// rejects all other faulty lengths, but accepts Transfer-Encoding where Content-Length is given as well.
+func hasValidFraming(header []byte) bool {
+	hasLength, hasCoding := false, false
+	for line := range bytes.Lines(header) {
 		name, value, _ := bytes.Cut(line, []byte(":"))
 		switch {
 		case bytes.EqualFold(name, []byte("Content-Length")):
-			length = true
+			hasLength = true
 		case bytes.EqualFold(name, []byte("Transfer-Encoding")):
-			if coding = true; !bytes.EqualFold(bytes.TrimSpace(value), []byte("chunked")) {
+			if hasCoding = true; !bytes.EqualFold(bytes.TrimSpace(value), []byte("chunked")) {
 				return false
 			}
 		}
 	}
-	return !length || !coding
+	return !hasLength || !hasCoding
 }
 
-// submit reads an event and answers its client.
+// submit parses an event, processes it unless its id was submitted recently, and responds to the client.
 func (c *clientServer) submit(ctx *fasthttp.RequestCtx) {
 	e, status, problem := c.node.parseEvent(ctx)
 	if problem != "" {
@@ -234,20 +238,20 @@
 	c.respond(ctx, request.answer)
 }
 
-// acceptEvent takes an event on, or refuses it, and returns what its client hears.
+// acceptEvent starts processing an event or refuses it, and returns the answer for the client.
 func (c *clientServer) acceptEvent(ctx *fasthttp.RequestCtx, e *event) answer {
 	if reason := c.node.refuses(e); reason != "" {
 		logRefusal(e.id, reason)
 		return answer{status: statusDeclined, comeBack: c.node.desk.full()}
 	}
-	if g, ok := ctx.Conn().(*clientConn); ok && logs.Debugging() {
-		logs.Event("clients", e.id).WithField("connection", g.id).Debug("a request came")
+	if conn, ok := ctx.Conn().(*clientConn); ok && logs.Debugging() {
+		logs.Event("clients", e.id).WithField("connection", conn.id).Debug("request received")
 	}
 	go c.node.life(e)
 	return <-e.answer
 }
 
-// respond tells a client that its event is taken on, or when to come back.
+// respond tells the client that its event was accepted, or when to retry.
 func (c *clientServer) respond(ctx *fasthttp.RequestCtx, a answer) {
 	ctx.SetStatusCode(a.status)
 	if a.status == statusDeclined {
@@ -255,7 +259,7 @@
 	}
 }
 
-// rejectUnreadable answers what is no request.
+// rejectUnreadable responds to input that could not be read as a request.
 func (c *clientServer) rejectUnreadable(ctx *fasthttp.RequestCtx, err error) {
 	var small *fasthttp.ErrSmallBuffer
 	var timeout net.Error
@@ -271,7 +275,7 @@
 	}
 }
 
-// rejectRequest answers a client's mistake.
+// rejectRequest responds to an invalid request and counts it for the log.
 func (c *clientServer) rejectRequest(ctx *fasthttp.RequestCtx, status int, text string) {
 	c.badRequests.note(text)
 	respondText(ctx, status, text)
@@ -283,16 +287,17 @@
 	ctx.SetBodyString(text + "\n")
 }
 
-// parseEvent takes out of a request what decisions and the journal need; the body is kept as it came.
+// parseEvent extracts from a request what the policy and the journal need. The body is kept unchanged. Where the
+// request is invalid, it returns an HTTP status and a non-empty problem.
 func (n *Node) parseEvent(ctx *fasthttp.RequestCtx) (e *event, status int, problem string) {
-	head := func(name string) string { return string(ctx.Request.Header.Peek(name)) }
+	header := func(name string) string { return string(ctx.Request.Header.Peek(name)) }
 	bad := fasthttp.StatusBadRequest
-	e = &event{id: head(headerID), mark: head(headerIdempotencyKey)}
+	e = &event{id: header(headerID), mark: header(headerIdempotencyKey)}
 	if !isValidIdentifier(e.id, maxIDBytes) {
 		return nil, bad, headerID + ": want 1 to 64 plain characters"
 	}
 	var ok bool
-	if e.typ, e.customer, ok = n.find(head(headerKind), head(headerOwner)); !ok {
+	if e.typ, e.customer, ok = n.find(header(headerKind), header(headerOwner)); !ok {
 		return nil, bad, headerKind + " or " + headerOwner + " is unknown"
 	}
 	if e.mark != "" && !isValidIdentifier(e.mark, maxIdempotencyKeyBytes) {
@@ -301,16 +306,16 @@
 	if e.mark == "" && n.marked(e.typ) {
 		return nil, bad, headerIdempotencyKey + " is missing"
 	}
-	left, err := strconv.ParseUint(head(headerDeadline), 10, 63)
+	left, err := strconv.ParseUint(header(headerDeadline), 10, 63)
 	if err != nil || left > uint64(maxClientDeadline/time.Millisecond) {
 		return nil, bad, headerDeadline + ": want whole milliseconds"
 	}
-	if e.dest, ok = parseDest(head(headerEnvelope)); !ok {
+	if e.dest, ok = parseDest(header(headerEnvelope)); !ok {
 		return nil, bad, headerEnvelope + ": want dest=NUMBER"
 	}
 	e.body = append([]byte(nil), ctx.PostBody()...)
-	if g, ok := ctx.Conn().(*clientConn); ok { // the time counts from when the request came
-		left -= uint64(min(g.receiveDelay().Milliseconds(), int64(left)))
+	if conn, ok := ctx.Conn().(*clientConn); ok { // the deadline counts from the arrival of the request
+		left -= uint64(min(conn.receiveDelay().Milliseconds(), int64(left)))
 	}
 	e.due, e.deadline = n.clock.now()+int64(left)*1e6, n.clock.timeOfDay()+int64(left)*1e6
 	e.safety = n.safety(e.typ)
@@ -320,8 +325,8 @@
 }
 
 func parseDest(envelope string) (uint32, bool) {
-	between := func(r rune) bool { return strings.ContainsRune(",; ", r) }
-	for part := range strings.FieldsFuncSeq(envelope, between) {
+	isSeparator := func(r rune) bool { return strings.ContainsRune(",; ", r) }
+	for part := range strings.FieldsFuncSeq(envelope, isSeparator) {
 		if value, ok := strings.CutPrefix(part, envelopeDestKey+"="); ok {
 			dest, err := strconv.ParseUint(value, 10, 32)
 			return uint32(dest), err == nil
@@ -330,12 +335,13 @@
 	return 0, false
 }
 
-// isValidIdentifier: danger: ids and marks go into lines and JSON, where other characters would mean something else.
-func isValidIdentifier(text string, most int) bool {
+// isValidIdentifier reports whether an id or idempotency key has 1 to maxBytes allowed characters. Both are written
+// into line-based formats and JSON, where space, quotes, backslashes and control characters have a meaning of their own.
+func isValidIdentifier(text string, maxBytes int) bool {
 	for i := range len(text) {
 		if b := text[i]; b <= ' ' || b > '~' || b == '"' || b == '\\' {
 			return false
 		}
 	}
-	return len(text) > 0 && len(text) <= most
+	return len(text) > 0 && len(text) <= maxBytes
 }
--- a/node/clock.go
+++ b/node/clock.go
@@ -16,33 +16,34 @@
 	"jaspersill/logs"
 )
 
-// clock tells two times that never step. The module's counts from the start of the process. The time of day outlasts
-// the process: it is the wall clock as it stood when the machine's own clock was first seen with the folder, and goes
-// on with the machine's clock from then, whatever the wall clock does.
+// clock provides two times that never step. The time of the policy counts from the start of the process. The time of day
+// is valid across processes: it starts as the wall clock when a state folder is first used in a boot of the machine, and
+// from then on advances with the monotonic clock, whatever the wall clock does.
 type clock struct {
 	start            time.Time
 	timeOfDayAtStart int64
 }
 
+// now returns the time of the policy in ns since the start of the process.
 func (c clock) now() int64 { return int64(time.Since(c.start)) }
 
-// timeOfDay is the time of timeOfDay in ns, as what is written into the journal has it.
+// timeOfDay returns the time of day in ns, as the journal records it.
 func (c clock) timeOfDay() int64 { return c.timeOfDayAtStart + c.now() }
 
 const (
-	clockFile            = "clock" // the file that says how the machine's clock and the time of day go together
+	clockFile            = "clock" // relates the monotonic clock to the time of day
 	clockTempFile        = "clock.new"
 	clockFileMode        = 0o600
-	clockWriteTimeout    = 5 * time.Second // for a file that cannot be written for a moment
+	clockWriteTimeout    = 5 * time.Second // covers momentary failures to write the file
 	clockWriteRetryDelay = 20 * time.Millisecond
 	bootIDFile           = "/proc/sys/kernel/random/boot_id"
 )
 
-// timeSource is what a timeSource tells of time.
+// timeSource provides the clocks of a machine.
 type timeSource struct {
-	wallClock func() int64          // time of day in ns, which may step
-	monotonic func() (int64, error) // ns since some moment of this boot, which never step
-	bootID    func() string         // tells one boot from another; empty if it cannot be told
+	wallClock func() int64          // ns since the Unix epoch; may step
+	monotonic func() (int64, error) // ns since an arbitrary moment of this boot; never steps
+	bootID    func() string         // identifies the boot of the machine; empty if unknown
 }
 
 func systemTimeSource() timeSource {
@@ -67,11 +68,11 @@
 	return strings.TrimSpace(string(text))
 }
 
-// anchor is what the clock's file says: on one boot, the time of day is the machine's clock and this much.
+// anchor is the content of the clock file: during the boot bootID, the time of day is the monotonic clock plus offset.
 type anchor struct {
 	bootID        string
 	offset        int64
-	lastTimeOfDay int64 // a time of day that has been
+	lastTimeOfDay int64 // a time of day that has passed
 }
 
 func (a anchor) String() string {
@@ -83,30 +84,30 @@
 	return a, err
 }
 
-// newClock begins a clock for a folder. After another boot nothing tells how long the machine was off but its wall
-// clock: it is believed, but for going back behind what has been.
+// newClock starts the clock of a state folder. After a reboot only the wall clock tells how long the machine was off, so
+// it is used, but never to go back behind the recorded time of day.
 func newClock(folder string, m timeSource) clock {
-	start, now := time.Now(), m.wallClock()
-	steady, err := m.monotonic()
-	boot := m.bootID()
-	if err != nil || boot == "" {
-		logs.Part("node").WithError(err).Warn("the machine tells no clock that outlasts a process: the wall clock is used")
-		return clock{start, now}
+	start, wallNow := time.Now(), m.wallClock()
+	monotonicNow, err := m.monotonic()
+	currentBoot := m.bootID()
+	if err != nil || currentBoot == "" {
+		logs.Part("node").WithError(err).Warn("no monotonic clock or boot id available: using the wall clock")
+		return clock{start, wallNow}
 	}
-	before, err := loadAnchor(folder)
-	day := max(now, before.lastTimeOfDay)
-	if err == nil && before.bootID == boot {
-		day = steady + before.offset
+	previous, err := loadAnchor(folder)
+	timeOfDay := max(wallNow, previous.lastTimeOfDay)
+	if err == nil && previous.bootID == currentBoot {
+		timeOfDay = monotonicNow + previous.offset
 	}
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
-		logs.Part("node").WithError(err).Warn("the clock's file cannot be read: the wall clock is used")
+		logs.Part("node").WithError(err).Warn("cannot read the clock file: using the wall clock")
 	}
-	if err := storeAnchor(folder, anchor{bootID: boot, offset: day - steady, lastTimeOfDay: day}); err != nil {
-		logs.Part("node").WithError(err).Warn("the clock's file cannot be written: a step of the wall clock before the next start counts")
+	if err := storeAnchor(folder, anchor{bootID: currentBoot, offset: timeOfDay - monotonicNow, lastTimeOfDay: timeOfDay}); err != nil {
+		logs.Part("node").WithError(err).Warn("cannot write the clock file: a step of the wall clock before the next start will shift deadlines")
 	}
-	logs.Part("node").WithFields(logrus.Fields{"boot": boot, "same_boot": before.bootID == boot,
-		"ahead_of_wall_ms": (day - now) / int64(time.Millisecond)}).Info("the time of day was taken up")
-	return clock{start, day}
+	logs.Part("node").WithFields(logrus.Fields{"boot": currentBoot, "same_boot": previous.bootID == currentBoot,
+		"ahead_of_wall_ms": (timeOfDay - wallNow) / int64(time.Millisecond)}).Info("time of day initialized")
+	return clock{start, timeOfDay}
 }
 
 func loadAnchor(folder string) (a anchor, err error) {
--- a/node/directory.go
+++ b/node/directory.go
@@ -27,20 +27,21 @@
 )
 
 const (
-	watchHeartbeatInterval = 2 * time.Second                               // a watch shows a sign of life so often: the protocol's
-	defaultWatchSilence    = watchHeartbeatInterval + 500*time.Millisecond // without one for longer it is broken
+	watchHeartbeatInterval = 2 * time.Second                               // the protocol sends data or an empty line at least this often
+	defaultWatchSilence    = watchHeartbeatInterval + 500*time.Millisecond // a watch that is silent for longer has failed
 	hostsPath              = "/discovery/hosts"
-	maxListBytes           = 16 << 20 // bytes of one list: far above the largest fleet
+	maxListBytes           = 16 << 20 // far more than the list of the largest fleet needs
 
-	// directoryConnectTimeout is how long a connection to the directory may take to come up. What is missed counts as told 6 s
-	// after a watch fell silent: silence, two delays and two connects that never come up fit in, and an answer.
+	// directoryConnectTimeout limits connecting to the directory. The node is expected to know any change 6 s after a watch
+	// fell silent: that leaves time for the silence timeout, two retry delays, two connects that time out, and a response.
 	directoryConnectTimeout = time.Second
 )
 
-// directory follows the list of endpoints: a watch while the module wants one, and the whole list when asked.
+// directory keeps the list of endpoints up to date from the discovery service. It holds a watch open while the policy
+// wants one.
 type directory struct {
 	address        string
-	silenceTimeout atomic.Int64 // ns; without a sign for so long, a call is broken
+	silenceTimeout atomic.Int64 // ns; a call that receives nothing for this long has failed
 	desk           *desk
 	endpoints      *endpoints
 	partnerNames   []string
@@ -51,20 +52,20 @@
 
 	mu          sync.Mutex
 	seq         uint64
-	olderStarts int                 // watches in a row that began with an older version than is known
-	newest      *watch              // nil for none wanted
-	openWatches map[*watch]struct{} // the newest, and those before it until it stands
-	knownDests  map[uint32]struct{} // destinations that were ever listed
+	olderStarts int                 // consecutive watches that started with an older version than the known one
+	newest      *watch              // nil if no watch is wanted
+	openWatches map[*watch]struct{} // the newest, and earlier ones until the newest has received something
+	knownDests  map[uint32]struct{} // all destinations that have ever been listed
 }
 
-// watch is one call for changes, with what ends it.
+// watch is one long-lived call to the discovery service.
 type watch struct {
 	cancel       context.CancelFunc
-	connectionID uint64 // its connection's id in the log
-	receivedList bool   // it brought a list
+	connectionID uint64 // identifies its connection in logs
+	receivedList bool   // it has received at least one list
 }
 
-// zoneIndex maps a zoneIndex's name to its index; an unknown one is one more.
+// zoneIndex maps the name of a zone to its index. Unknown zones share the index after the last.
 func (d *directory) zoneIndex(name string) int {
 	if i := slices.Index(d.zoneNames, start.Name(name)); i >= 0 {
 		return i
@@ -72,7 +73,7 @@
 	return len(d.zoneNames)
 }
 
-// setWatching opens a setWatching or ends all. One that is asked for again replaces the one before.
+// setWatching opens a watch, which replaces any earlier one, or ends all watches.
 func (d *directory) setWatching(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -84,7 +85,7 @@
 	d.cancelOlderWatches()
 }
 
-// setAddress asks at another address from now on.
+// setAddress changes the address of the discovery service, and opens a watch there if it is a new one.
 func (d *directory) setAddress(address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -94,8 +95,9 @@
 	}
 }
 
-// openWatch opens a watch from the version that is known. Danger: nothing is told while none stands, and the one
-// before, or the call for it, may hang. Each goes by itself, and the others end only once the newest stands.
+// openWatch opens a watch that starts from the known version. Each watch runs in its own goroutine, because an earlier
+// one may hang, and earlier watches end only once the newest has received something, so that no change is missed in
+// between. The lock is held.
 func (d *directory) openWatch() {
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &watch{cancel: cancel, connectionID: newConnectionID()}
@@ -111,14 +113,14 @@
 		failed := d.newest == w
 		d.mu.Unlock()
 		logs.Part("directory").WithError(err).WithFields(logrus.Fields{"connection": w.connectionID, "replaced": !failed}).
-			Debug("a call ended")
-		if failed { // one that was replaced, or ended on purpose, tells nothing
+			Debug("discovery call ended")
+		if failed { // the end of a watch that was replaced or cancelled is no failure
 			d.reportFailure(err)
 		}
 	}()
 }
 
-// cancelOlderWatches ends all watches but the newest.
+// cancelOlderWatches ends all watches except the newest. The lock is held.
 func (d *directory) cancelOlderWatches() {
 	for w := range d.openWatches {
 		if w != d.newest {
@@ -128,8 +130,8 @@
 	}
 }
 
-// isKnownDest tells whether a destination was ever listed; before there is a list, all may be. Danger: an event for
-// one that does not exist would be held for all its time.
+// isKnownDest reports whether a destination was ever listed, or no list was received yet. An event for a destination
+// that does not exist would be held until its deadline.
 func (d *directory) isKnownDest(dest uint32) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -137,84 +139,84 @@
 	return known || len(d.knownDests) == 0
 }
 
-// reportFailure tells the module that a call reportFailure or the watch broke.
+// reportFailure tells the policy that a discovery call failed.
 func (d *directory) reportFailure(err error) {
 	d.watchErrors.note(err)
 	d.desk.hear(func(to port.Intake) { to.ListFailed() })
 }
 
-// follow makes one call and hands in each list that it brings, until it ends.
+// follow makes one discovery call and applies each list that it receives, until the call ends.
 func (d *directory) follow(ctx context.Context, w *watch, address, path string, silence time.Duration) error {
-	connecting, connected := context.WithTimeout(ctx, min(directoryConnectTimeout, silence))
-	defer connected()
+	connectCtx, cancelConnect := context.WithTimeout(ctx, min(directoryConnectTimeout, silence))
+	defer cancelConnect()
 	dialer := net.Dialer{KeepAlive: -1}
 	connect := func(ctx context.Context, address string) (net.Conn, error) {
 		return dialer.DialContext(ctx, "tcp", address)
 	}
-	conn, err := dialAgain(connecting, connect, address)
+	conn, err := dialAgain(connectCtx, connect, address)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 
-	// Danger: a directory that vanished gives no sign. Nothing is waited for longer than a sign of life takes.
+	// A directory whose machine vanished closes no connection, so the deadline is extended only by what is received.
 	conn.SetDeadline(time.Now().Add(silence))
 	if _, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: directory\r\n\r\n", path); err != nil {
 		return err
 	}
-	in := bufio.NewReaderSize(conn, 4096)
-	var head fasthttp.ResponseHeader
-	if err := head.Read(in); err != nil {
+	reader := bufio.NewReaderSize(conn, 4096)
+	var header fasthttp.ResponseHeader
+	if err := header.Read(reader); err != nil {
 		return err
 	}
-	if head.StatusCode() != fasthttp.StatusOK {
-		return fmt.Errorf("status %d", head.StatusCode())
+	if header.StatusCode() != fasthttp.StatusOK {
+		return fmt.Errorf("discovery service answered with status %d", header.StatusCode())
 	}
-	var body io.Reader = in
-	switch size := head.ContentLength(); {
+	var body io.Reader = reader
+	switch size := header.ContentLength(); {
 	case size == -1:
-		body = httputil.NewChunkedReader(in)
+		body = httputil.NewChunkedReader(reader)
 	case size >= 0:
-		body = io.LimitReader(in, int64(size))
+		body = io.LimitReader(reader, int64(size))
 	}
-	signs := &heartbeatReader{body: body, remaining: maxListBytes, onRead: func(alone bool) {
+	heartbeats := &heartbeatReader{body: body, remaining: maxListBytes, onRead: func(blank bool) {
 		conn.SetDeadline(time.Now().Add(silence))
-		if alone {
+		if blank {
 			d.mu.Lock()
 			defer d.mu.Unlock()
 			d.markAlive(w)
 		}
 	}}
-	// Danger: lists may be indented, over many lines, and may be cut anywhere. Each is taken once it is whole.
-	lists := json.NewDecoder(signs)
+	// A list may span several lines and may be split at any byte, so each is applied once it is complete.
+	decoder := json.NewDecoder(heartbeats)
 	for ctx.Err() == nil {
 		var list json.RawMessage
-		if err := lists.Decode(&list); err == io.EOF {
-			return errors.New("the watch ended")
+		if err := decoder.Decode(&list); err == io.EOF {
+			return errors.New("watch ended by the discovery service")
 		} else if err != nil {
-			return fmt.Errorf("a list cannot be read: %w", err)
+			return fmt.Errorf("cannot parse the list of endpoints: %w", err)
 		}
 		if err := d.applyList(w, list); err != nil {
-			return fmt.Errorf("a list cannot be read: %w", err)
+			return fmt.Errorf("cannot parse the list of endpoints: %w", err)
 		}
-		signs.remaining = maxListBytes
+		heartbeats.remaining = maxListBytes
 		d.watchErrors.note(nil)
 	}
 	return ctx.Err()
 }
 
-// heartbeatReader tells of the heartbeatReader of life on a watch, and of those with nothing but an empty line. Danger: a list
-// that never ends would fill the memory, so there is an end to what is read of one.
+// heartbeatReader calls onRead after each read, and tells it whether the data were only white space, as a heartbeat is. It
+// fails once remaining bytes are read, so that a list that never ends cannot exhaust the memory.
 type heartbeatReader struct {
 	body      io.Reader
 	remaining int
-	onRead    func(alone bool)
+	onRead    func(blank bool)
 }
 
 func (s *heartbeatReader) Read(b []byte) (int, error) {
 	if s.remaining <= 0 {
-		return 0, errors.New("it does not end")
+		return 0, errors.New("list exceeds the size limit")
 	}
 	n, err := s.body.Read(b[:min(len(b), s.remaining)])
 	s.remaining -= n
@@ -224,16 +226,16 @@
 	return n, err
 }
 
-// applyList reads one version of the applyList, or what changed since the last, and hands it in; of is nil for the
-// applyList that is known at the start.
-func (d *directory) applyList(of *watch, text []byte) error {
+// applyList parses a full list or a list of changes and passes it to the policy. The watch is nil for the list that is
+// known at startup.
+func (d *directory) applyList(w *watch, text []byte) error {
 	v, err := fastjson.ParseBytes(text)
 	if err != nil {
 		return err
 	}
 	hosts := v.Get("hosts")
 	if hosts == nil || hosts.Type() != fastjson.TypeArray {
-		return errors.New("no hosts in it")
+		return errors.New("no array \"hosts\"")
 	}
 	whole := v.GetBool("whole")
 	type entry struct {
@@ -249,9 +251,9 @@
 		e := entry{host: string(h.GetStringBytes("host")), dial: string(h.GetStringBytes("dial")),
 			dest: uint32(h.GetUint64("block")), site: string(h.GetStringBytes("site")),
 			partner: slices.Index(d.partnerNames, start.Name(string(h.GetStringBytes("class"))))}
-		if e.host == "" || !h.Exists("block") { // danger: for the sake of one, no other would be known
+		if e.host == "" || !h.Exists("block") { // skipping one bad entry keeps the others usable
 			logs.Part("directory").WithField("entry", fmt.Sprintf("%.200s", h)).
-				Warn("passed over an entry without a name or a destination")
+				Warn("skipped a list entry without a host or a block")
 			continue
 		}
 		if e.partner < 0 {
@@ -265,25 +267,25 @@
 			e.state = port.Ready
 		case "Gone":
 			e.state = port.Gone
-		default: // danger: what is not known to be ready may want nothing new
+		default: // an endpoint not known to be ready may not accept new events
 			e.state = port.Draining
 		}
 		list = append(list, e)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.isOpen(of) { // what a watch says that was replaced may be older than what the new one said
+	if !d.isOpen(w) { // a watch that was replaced may deliver older data than the new one has
 		return nil
 	}
-	switch seq := v.GetUint64("seq"); d.checkVersion(of, seq, whole) {
+	switch seq := v.GetUint64("seq"); d.checkVersion(w, seq, whole) {
 	case applyListed:
 		d.seq, d.olderStarts = seq, 0
-	case ignoreOlder: // it came again behind a later one
+	case ignoreOlder: // a copy that arrived after a later version
 		list, whole = nil, false
 	case rejectUnconfirmed:
 		return errOlderList
 	}
-	d.markAlive(of)
+	d.markAlive(w)
 	for _, e := range list {
 		d.knownDests[e.dest] = struct{}{}
 	}
@@ -294,7 +296,7 @@
 			if e.dial != "" || fresh {
 				d.endpoints.listed(ep, e.host, e.site, e.dial)
 			}
-			if e.state == port.Gone { // danger: what answers there from now on may be another
+			if e.state == port.Gone { // another endpoint may answer at this address from now on
 				d.endpoints.listed(ep, e.host, e.site, "")
 			}
 			dest, _ := d.desk.dests.Take(e.dest)
@@ -305,34 +307,36 @@
 	return nil
 }
 
-// listDecision is what becomes of a list, by its version.
+// listDecision says what to do with a received list, according to its version.
 type listDecision uint8
 
 const (
 	applyListed       listDecision = iota
-	ignoreOlder                    // it is a copy: its watch told a later version before
-	rejectUnconfirmed              // a new watch begins with an older version: a copy, or discovery has gone back
+	ignoreOlder                    // a copy: the same watch has delivered a later version before
+	rejectUnconfirmed              // a new watch starts with an older version: either a copy, or the discovery service was set back
 )
 
-// olderStartsToAccept is how many watches in a row have to begin with an older version until that counts as discovery's own.
+// olderStartsToAccept is the number of consecutive watches that must start with an older version before the discovery
+// service is taken to have gone back to it.
 const olderStartsToAccept = 2
 
 var (
-	errOlderList = errors.New("a new watch begins with an older list")
+	errOlderList = errors.New("new watch starts with an older version of the list")
 	olderLists   = metrics.New("jaspersill_older_lists_total", "Lists from discovery that were passed over, as a later one had come.")
 )
 
-// checkVersion decides by its version what becomes of a list. The version of a watch never goes back, so an older one on it is a
-// copy. Where a new watch begins with an older whole list, the next one has to say so too. The lock is held.
-func (d *directory) checkVersion(of *watch, seq uint64, whole bool) listDecision {
-	fresh := of == nil || !of.receivedList
-	if of != nil {
-		of.receivedList = true
+// checkVersion decides what to do with a list by its version. Versions never decrease within a watch, so a list with an
+// older version is a copy. A new watch may start with an older full list; it is applied once the next watch has confirmed
+// it. The lock is held.
+func (d *directory) checkVersion(w *watch, seq uint64, whole bool) listDecision {
+	isFirst := w == nil || !w.receivedList
+	if w != nil {
+		w.receivedList = true
 	}
-	if seq >= d.seq || of == nil {
+	if seq >= d.seq || w == nil {
 		return applyListed
 	}
-	if fresh && whole {
+	if isFirst && whole {
 		if d.olderStarts++; d.olderStarts >= olderStartsToAccept {
 			return applyListed
 		}
@@ -343,15 +347,15 @@
 	return ignoreOlder
 }
 
-// isOpen tells whether a watch was not ended, or what it told is the list from before the start.
-func (d *directory) isOpen(of *watch) bool {
-	_, open := d.openWatches[of]
-	return of == nil || open
+// isOpen reports whether a watch has not been ended. It is true for nil, the list known at startup.
+func (d *directory) isOpen(w *watch) bool {
+	_, open := d.openWatches[w]
+	return w == nil || open
 }
 
-// markAlive notes a sign of life of a watch: the newest replaces those before it.
-func (d *directory) markAlive(of *watch) {
-	if of != nil && of == d.newest && d.isOpen(of) {
+// markAlive records that a watch received something. If it is the newest, it replaces the earlier ones. The lock is held.
+func (d *directory) markAlive(w *watch) {
+	if w != nil && w == d.newest && d.isOpen(w) {
 		d.cancelOlderWatches()
 	}
 }
--- a/node/journalreport.go
+++ b/node/journalreport.go
@@ -9,34 +9,34 @@
 	"jaspersill/store"
 )
 
-// PendingEvent is one event that a folder still owes an end.
+// PendingEvent is an event in a state folder that has not been completed.
 type PendingEvent struct {
 	ID, Kind, Owner, IdempotencyKey string
 	Dest                            uint32
 	Deadline                        time.Time
 	Attempts                        int
-	MayHaveRun                      bool   // a send is out, or ended without telling
+	MayHaveRun                      bool   // an attempt is open, or ended without a known result
 	Verdict                         string // open, declined or discarded
-	BodyBytes                       int    // bytes
+	BodyBytes                       int
 }
 
-// JournalReport is what a folder holds. Reading it changes nothing.
+// JournalReport describes the content of a state folder.
 type JournalReport struct {
 	Pending        []PendingEvent
-	SizeBytes      int64    // bytes of the files
-	Records        int      // that could be read
-	TruncatedBytes int      // bytes at the end that were cut off
-	RecordsMissing bool     // records are missing, so that what stood before them counts as possibly run
-	Faults         []string // file, offset and reason of what is damaged, missing or foreign
+	SizeBytes      int64    // total size of the files
+	Records        int      // number of readable records
+	TruncatedBytes int      // bytes of an incomplete record at the end, which are ignored
+	RecordsMissing bool     // events recorded before the missing records count as possibly run
+	Faults         []string // file, offset and reason of each damaged, missing or foreign part
 }
 
 func (v verdict) String() string { return [...]string{"open", "declined", "discarded"}[v] }
 
-// ReadJournal reads what a folder holds, of a node that runs or not, in the form of this version or the one
-// before. Damage is told in the report; the error is for a folder that cannot be read or holds nothing.
+// ReadJournal reads the journal of a state folder, in the current or the previous format. It changes nothing, and the
+// node may be running. Damage is part of the report; an error means that the folder cannot be read or has no journal.
 func ReadJournal(folder string) (*JournalReport, error) {
 	if !hasJournal(folder) {
-		return nil, fmt.Errorf("%s: nothing that a node owes: %w", folder, fs.ErrNotExist)
+		return nil, fmt.Errorf("%s: no journal found: %w", folder, fs.ErrNotExist)
 	}
 	found, err := store.Recover(store.Dir(folder))
 	if err != nil {
@@ -46,19 +46,19 @@
 	for _, fault := range found.Faults {
 		r.Faults = append(r.Faults, filepath.Join(folder, fault))
 	}
-	damaged := func(offset int, reason string) {
+	addFault := func(offset int, reason string) {
 		r.Faults = append(
 			r.Faults,
 			fmt.Sprintf("%s: offset %d: %s", filepath.Join(folder, oldName), offset, reason),
 		)
 	}
 	list := found.Events
-	old, err := readOld(folder, damaged)
+	old, err := readOld(folder, addFault)
 	if err != nil {
 		return nil, err
 	}
 	if old != nil {
-		for _, e := range old.events(damaged) {
+		for _, e := range old.events(addFault) {
 			list = append(list, &e)
 		}
 	}
--- a/node/listener.go
+++ b/node/listener.go
@@ -9,27 +9,28 @@
 )
 
 const (
-	acceptRetryDelay  = 20 * time.Millisecond  // a connection asked to close has gone by then
-	backlogAcceptTime = 100 * time.Millisecond // in which all that gathered while accepting failed is accepted
-	firstByteGrace    = 10 * time.Millisecond  // when short: so long may a connection stand before its first byte,
-	requestReadGrace  = 100 * time.Millisecond // and a request take to come: usual ones come in one piece;
-	idleGrace         = 150 * time.Millisecond // and so long is an idle one spared for one that may prove worse
+	acceptRetryDelay  = 20 * time.Millisecond  // enough for a connection that was asked to close to be gone
+	backlogAcceptTime = 100 * time.Millisecond // within which the connections that queued up while accepting failed are accepted
+	firstByteGrace    = 10 * time.Millisecond  // when at the limit: a connection without a first byte is spared for this long,
+	requestReadGrace  = 100 * time.Millisecond // an incomplete request for this long, as requests usually arrive in one piece,
+	idleGrace         = 150 * time.Millisecond // and an idle connection for this long while another may prove a better candidate
 )
 
-// listener accepts clients' connections, up to a limit. When short it closes first those that never asked for
-// anything that could be read, then those whose request does not come whole, then those that wait between
-// requests, the longest first each. If there are none, new ones wait for one.
+// listener accepts client connections up to a limit. At the limit it evicts, in this order: lingering connections,
+// connections that never sent a valid request, those with an incomplete request, and idle ones; within each group the
+// one that has been in its state longest. If there is none to evict, new connections wait.
 type listener struct {
 	net.Listener
-	maxConns int // connections in all
-	maxIdle  int // of them, between requests
+	maxConns int // connections in total
+	maxIdle  int // connections that wait between requests
 
-	// until the firstRequestTimeout requestTimeout is whole; from a later one's firstRequestTimeout byte until it is; idleTimeout two
+	// firstRequestTimeout runs from accepting a connection until its first request is read, requestTimeout from the first
+	// byte of a later request until it is read, and idleTimeout between two requests.
 	firstRequestTimeout, requestTimeout, idleTimeout time.Duration
 
 	acceptErrors trouble
-	delayedSince time.Time // when accepting began to fail or to wait for room: what is accepted since may have stood
-	delayedUntil time.Time // there as long, until what had gathered is accepted
+	delayedSince time.Time // when accepting began to fail or to wait for room; connections accepted since may have
+	delayedUntil time.Time // queued since then, until the backlog of that time is accepted
 
 	mu         sync.Mutex
 	connClosed sync.Cond
@@ -37,147 +38,154 @@
 	closed     bool
 }
 
+// pastDeadline is a read deadline that has passed, which interrupts a read.
 var pastDeadline = time.Unix(1, 0)
 
-func newListener(l net.Listener, most, keep int) *listener {
-	d := &listener{Listener: l, maxConns: most, maxIdle: keep, firstRequestTimeout: defaultFirstRequestTimeout, requestTimeout: defaultRequestTimeout,
+func newListener(socket net.Listener, maxConns, maxIdle int) *listener {
+	l := &listener{Listener: socket, maxConns: maxConns, maxIdle: maxIdle,
+		firstRequestTimeout: defaultFirstRequestTimeout, requestTimeout: defaultRequestTimeout,
 		idleTimeout:  defaultClientIdleTimeout,
 		acceptErrors: trouble{part: "clients", what: "accepting connections"},
 		conns:        make(map[*clientConn]struct{})}
-	d.connClosed.L = &d.mu
-	return d
+	l.connClosed.L = &l.mu
+	return l
 }
 
-// acceptConn returns the next connection. It waits while there is no room for one. An error is that of a closed listener:
-// any other says nothing of the listener, or concerns one connection that broke before it was accepted.
-func (d *listener) acceptConn() (*clientConn, error) {
-	c, err := d.Listener.Accept()
+// acceptConn returns the next connection. It waits while the limit is reached. It returns an error only for a closed
+// listener and retries after all others: those are shortages of this machine, or concern a single connection that broke
+// before it was accepted.
+func (l *listener) acceptConn() (*clientConn, error) {
+	socket, err := l.Listener.Accept()
 	for err != nil {
-		d.markDelayed(time.Now())
+		l.markDelayed(time.Now())
 		if errclass.Socket(err) == errclass.Closed {
 			return nil, err
 		}
-		d.acceptErrors.note(err)
+		l.acceptErrors.note(err)
 		momentaryFailures.With("accept").Add()
 		if errclass.ShortOfDescriptors(err) {
-			d.mu.Lock()
-			d.evictOne(time.Now())
-			d.mu.Unlock()
+			l.mu.Lock()
+			l.evictOne(time.Now())
+			l.mu.Unlock()
 		}
 		time.Sleep(acceptRetryDelay)
-		c, err = d.Listener.Accept()
+		socket, err = l.Listener.Accept()
 	}
-	d.acceptErrors.note(nil)
+	l.acceptErrors.note(nil)
 	now := time.Now()
-	if now.Sub(d.delayedUntil) > acceptRetryDelay+backlogAcceptTime {
-		d.delayedSince = time.Time{}
+	if now.Sub(l.delayedUntil) > acceptRetryDelay+backlogAcceptTime {
+		l.delayedSince = time.Time{}
 	}
-	g := &clientConn{retryConn: &retryConn{Conn: c}, id: newConnectionID(), listener: d, acceptedAt: now, stateSince: now}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for len(d.conns) >= d.maxConns && !d.closed {
-		d.markDelayed(time.Now())
-		d.evictOne(time.Now()) // danger: past the limit of descriptors nothing can be sent any more
-		look := time.AfterFunc(firstByteGrace, d.connClosed.Broadcast)
-		d.connClosed.Wait()
-		look.Stop()
+	c := &clientConn{retryConn: &retryConn{Conn: socket}, id: newConnectionID(), listener: l, acceptedAt: now, stateSince: now}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for len(l.conns) >= l.maxConns && !l.closed {
+		l.markDelayed(time.Now())
+		l.evictOne(time.Now()) // beyond the limit, there would be no descriptors left for calls to endpoints
+		recheck := time.AfterFunc(firstByteGrace, l.connClosed.Broadcast)
+		l.connClosed.Wait()
+		recheck.Stop()
 	}
-	g.delayedSince, g.stateSince = d.delayedSince, time.Now()
-	d.conns[g] = struct{}{}
-	return g, nil
+	c.delayedSince, c.stateSince = l.delayedSince, time.Now()
+	l.conns[c] = struct{}{}
+	return c, nil
 }
 
-// markDelayed notes that nothing can be accepted just now.
-func (d *listener) markDelayed(now time.Time) {
-	if d.delayedSince.IsZero() {
-		d.delayedSince = now
+// markDelayed records that connections cannot be accepted at present.
+func (l *listener) markDelayed(now time.Time) {
+	if l.delayedSince.IsZero() {
+		l.delayedSince = now
 	}
-	d.delayedUntil = now
+	l.delayedUntil = now
 }
 
-// evictOne hurries a connection that is ending, or asks one to close. Danger: hundreds that say nothing, or
-// begin requests and never end them, keep the usual clients out.
-func (d *listener) evictOne(now time.Time) {
-	var worst *clientConn
-	rank, soon := 0, false
-	for g := range d.conns {
-		r := 0
+// evictOne makes room for a connection: it cuts short a lingering connection or an incomplete request, or asks a
+// connection to close. Otherwise hundreds of connections that send nothing, or that never complete a request, would
+// keep well-behaved clients out. The lock is held.
+func (l *listener) evictOne(now time.Time) {
+	var victim *clientConn
+	victimRank, sparedByGrace := 0, false
+	for c := range l.conns {
+		candidateRank := 0
 		switch {
-		case g.lingering && !g.evicted && now.Sub(g.stateSince) < firstByteGrace:
-			soon = true
-		case g.lingering && !g.evicted:
-			r = 4
-		case g.closing || g.evicted:
-		case !g.busy && !g.hadValidRequest && now.Sub(g.stateSince) < firstByteGrace:
-			soon = true
-		case !g.busy && !g.hadValidRequest:
-			r = 3
-		case g.busy && !g.requestRead && now.Sub(g.stateSince) < requestReadGrace:
-			soon = true
-		case g.busy && !g.requestRead:
-			r = 2
-		case !g.busy && g.hadValidRequest:
-			r = 1
+		case c.lingering && !c.evicted && now.Sub(c.stateSince) < firstByteGrace:
+			sparedByGrace = true
+		case c.lingering && !c.evicted:
+			candidateRank = 4
+		case c.closing || c.evicted:
+		case !c.busy && !c.hadValidRequest && now.Sub(c.stateSince) < firstByteGrace:
+			sparedByGrace = true
+		case !c.busy && !c.hadValidRequest:
+			candidateRank = 3
+		case c.busy && !c.requestRead && now.Sub(c.stateSince) < requestReadGrace:
+			sparedByGrace = true
+		case c.busy && !c.requestRead:
+			candidateRank = 2
+		case !c.busy && c.hadValidRequest:
+			candidateRank = 1
 		}
-		if r > rank || (r > 0 && r == rank && g.stateSince.Before(worst.stateSince)) {
-			worst, rank = g, r
+		if candidateRank > victimRank ||
+			(candidateRank > 0 && candidateRank == victimRank && c.stateSince.Before(victim.stateSince)) {
+			victim, victimRank = c, candidateRank
 		}
 	}
 	switch {
-	case worst == nil || (rank == 1 && soon && now.Sub(worst.stateSince) < idleGrace):
-	case worst.busy, worst.lingering:
-		worst.evicted = true
-		worst.SetReadDeadline(pastDeadline) // a busy one is answered that its request did not come
+	case victim == nil || (victimRank == 1 && sparedByGrace && now.Sub(victim.stateSince) < idleGrace):
+	case victim.busy, victim.lingering:
+		victim.evicted = true
+		victim.SetReadDeadline(pastDeadline) // a busy connection is answered with 408 Request Timeout
 	default:
-		worst.requestClose()
+		victim.requestClose()
 	}
 }
 
-// closeIdle asks up to so many connections to close that wait between requests.
-func (d *listener) closeIdle(most int) {
-	for g := range d.conns {
-		if most > 0 && !g.busy && !g.closing {
-			g.requestClose()
-			most--
+// closeIdle asks up to limit connections to close that wait for a request. The lock is held.
+func (l *listener) closeIdle(limit int) {
+	for c := range l.conns {
+		if limit > 0 && !c.busy && !c.closing {
+			c.requestClose()
+			limit--
 		}
 	}
 }
 
-// closeAllIdle closes all connections that wait between requests.
-func (d *listener) closeAllIdle() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.closeIdle(len(d.conns))
+// closeAllIdle asks all connections to close that wait for a request.
+func (l *listener) closeAllIdle() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.closeIdle(len(l.conns))
 }
 
-// isEmpty tells whether all connections are closed.
-func (d *listener) isEmpty() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return len(d.conns) == 0
+// isEmpty reports whether all connections are closed.
+func (l *listener) isEmpty() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.conns) == 0
 }
 
-func (d *listener) Close() error {
-	d.mu.Lock()
-	d.closed = true
-	d.connClosed.Broadcast()
-	d.mu.Unlock()
-	return d.Listener.Close()
+// Close implements net.Listener. It also wakes an acceptConn that waits for room.
+func (l *listener) Close() error {
+	l.mu.Lock()
+	l.closed = true
+	l.connClosed.Broadcast()
+	l.mu.Unlock()
+	return l.Listener.Close()
 }
 
-// trimIdle closes the connection idle longest when more wait between requests than are kept. Danger: clients may
-// hold so many; where many ask once and keep theirs, the next one cannot connect and is refused.
-func (d *listener) trimIdle() {
+// trimIdle asks the longest idle connection to close when more than maxIdle wait between requests. Clients may hold
+// only a limited number of connections in total; if many sent one request and kept theirs, the next one could not connect.
+// The lock is held.
+func (l *listener) trimIdle() {
 	var oldest *clientConn
 	idle := 0
-	for g := range d.conns {
-		if !g.busy && !g.closing && g.hadValidRequest {
-			if idle++; oldest == nil || g.stateSince.Before(oldest.stateSince) {
-				oldest = g
+	for c := range l.conns {
+		if !c.busy && !c.closing && c.hadValidRequest {
+			if idle++; oldest == nil || c.stateSince.Before(oldest.stateSince) {
+				oldest = c
 			}
 		}
 	}
-	if idle > d.maxIdle {
+	if idle > l.maxIdle {
 		oldest.requestClose()
 	}
 }
--- a/node/peers.go
+++ b/node/peers.go
@@ -12,52 +12,54 @@
 	"jaspersill/port"
 )
 
-// peerMessenger trades notes with the other delivery nodes, by datagrams that may come late or never.
+// peerMessenger exchanges messages about healthy endpoints with the other delivery nodes. The messages are UDP datagrams,
+// which may be delayed, duplicated, reordered or lost.
 type peerMessenger struct {
 	conn          *net.UDPConn
 	broadcastAddr *net.UDPAddr
-	peerIndex     map[string]int // of each peer, by its address
+	peerIndex     map[string]int // by the peer's address
 	desk          *desk
 
-	processStart uint64 // that this process sends under
+	processStart uint64 // sent with each datagram, so that peers can order them across restarts
 	sequence     atomic.Uint32
-	lastReceived map[int]receivedDatagram // by peer; of the goroutine that hears
+	lastReceived map[int]receivedDatagram // by peer; owned by the goroutine that runs receive
 }
 
-// receivedDatagram is the newest datagram of a peer, and when it came.
+// receivedDatagram is the position of a peer's latest datagram and the time it was received.
 type receivedDatagram struct {
 	order      note.Order
 	receivedAt time.Time
 }
 
-// maxDatagramDelay is how long a datagram may be on its way. A peer whose process seems older than the one before, after a longer
-// silence, has had its clock set back.
+// maxDatagramDelay is the longest time that a datagram may spend in the network. If a peer seems to run an older process
+// than before after a longer silence, its clock was set back.
 const maxDatagramDelay = 10 * time.Second
 
 var lateDatagrams = metrics.New("jaspersill_late_peer_datagrams_total", "Datagrams of peers that came again, or behind a later one.")
 
-func newPeerMessenger(address, all string, list []string, me int, d *desk, day int64) (*peerMessenger, error) {
-	p := &peerMessenger{peerIndex: make(map[string]int), desk: d, processStart: uint64(day), lastReceived: make(map[int]receivedDatagram)}
-	if address == "" || all == "" {
-		return p, nil // the deployment has no notes
+func newPeerMessenger(address, broadcast string, list []string, me int, d *desk, timeOfDay int64) (*peerMessenger, error) {
+	p := &peerMessenger{peerIndex: make(map[string]int), desk: d, processStart: uint64(timeOfDay),
+		lastReceived: make(map[int]receivedDatagram)}
+	if address == "" || broadcast == "" {
+		return p, nil // peer messages are not configured
 	}
 	for i, address := range list {
-		if i != me { // its own notes come back to it
+		if i != me { // a node receives its own datagrams too
 			p.peerIndex[address] = i
 		}
 	}
-	at, err := net.ResolveUDPAddr("udp", address)
+	local, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
 		return nil, err
 	}
-	if p.broadcastAddr, err = net.ResolveUDPAddr("udp", all); err != nil {
+	if p.broadcastAddr, err = net.ResolveUDPAddr("udp", broadcast); err != nil {
 		return nil, err
 	}
-	p.conn, err = openSocket(func() (*net.UDPConn, error) { return net.ListenUDP("udp", at) })
+	p.conn, err = openSocket(func() (*net.UDPConn, error) { return net.ListenUDP("udp", local) })
 	return p, err
 }
 
-// receive hands in what peers tell until the socket closes.
+// receive passes the messages of peers to the policy until the socket closes.
 func (p *peerMessenger) receive() {
 	if p.conn == nil {
 		return
@@ -69,15 +71,15 @@
 			if errclass.Socket(err) == errclass.Closed {
 				return
 			}
-			time.Sleep(callAgainMost) // a peer's port is shut while it restarts; or this machine is short of something
+			time.Sleep(callAgainMost) // a peer's port is closed while it restarts, or this machine is short of a resource
 			continue
 		}
 		peer, known := p.peerIndex[from.String()]
 		host, order, ok := note.ReadGoodHost(buf[:size])
-		if !known || !ok { // a stray datagram must not bring an endpoint back
+		if !known || !ok { // a stray datagram must not mark an endpoint as healthy
 			continue
 		}
-		if !p.isNewer(peer, order, time.Now()) { // nor one from before its last outage
+		if !p.isNewer(peer, order, time.Now()) { // nor must one that was sent before the endpoint's last outage
 			lateDatagrams.Add()
 			continue
 		}
@@ -89,23 +91,25 @@
 	}
 }
 
-// isNewer tells whether a datagram of a peer is later than all that came of it, and notes it.
+// isNewer reports whether a datagram is later than all others received from its peer, and records it if so.
 func (p *peerMessenger) isNewer(peer int, order note.Order, now time.Time) bool {
-	newest, heard := p.lastReceived[peer]
-	if heard && !order.After(newest.order) && (order.Process == newest.order.Process || now.Sub(newest.receivedAt) < maxDatagramDelay) {
+	newest, known := p.lastReceived[peer]
+	if known && !order.After(newest.order) &&
+		(order.Process == newest.order.Process || now.Sub(newest.receivedAt) < maxDatagramDelay) {
 		return false
 	}
 	p.lastReceived[peer] = receivedDatagram{order, now}
 	return true
 }
 
+// sendGood tells all peers that an endpoint answers calls.
 func (p *peerMessenger) sendGood(host string) {
 	data := note.GoodHost(host, note.Order{Process: p.processStart, Number: p.sequence.Add(1)})
 	if p.conn == nil || len(data) > note.Longest {
 		return
 	}
 	if _, err := p.conn.WriteToUDP(data, p.broadcastAddr); err != nil {
-		logs.Part("peers").WithError(err).Debug("a note is not sent")
+		logs.Part("peers").WithError(err).Debug("failed to send a peer datagram")
 	}
 }
 
--- a/node/wire.go
+++ b/node/wire.go
@@ -36,21 +36,22 @@
 	statusDeclined = fasthttp.StatusServiceUnavailable
 
 	statusLineOK        = "HTTP/1.1 200"
-	statusLineInterim   = "HTTP/1.1 1" // more comes
+	statusLineInterim   = "HTTP/1.1 1" // start of an interim response, which another response follows
 	maxInterimResponses = 16
 
-	maxBodyBytes      = 64 << 10 // bytes of an event's body: the protocol's
-	bulkEventOverhead = 16       // bytes around an event in a bulk call: length, two spaces, two CRLFs, some to spare
-	maxResponseBytes  = 64 << 10 // bytes of an answer's body: a line for each event of a call fits many times
+	maxBodyBytes      = 64 << 10 // limit of an event's body in the protocol
+	bulkEventOverhead = 16       // framing of an event in a bulk call: length, two spaces and two CRLFs, with some to spare
+	maxResponseBytes  = 64 << 10 // far more than one line for each event of a bulk call needs
 
-	// responseReadTimeout is how long the rest of an answer may take once it has begun: it is written in one piece.
+	// responseReadTimeout limits reading the rest of a response after its first byte, as endpoints write it in one piece.
 	responseReadTimeout = 300 * time.Millisecond
 )
 
-// bulkSize is what an event takes of the body of a call of several.
+// bulkSize returns an upper bound of the bytes that an event takes in the body of a bulk call.
 func bulkSize(e *event) int { return len(e.id) + len(e.mark) + len(e.body) + bulkEventOverhead }
 
-// writeCall writes a call of one event, or of several. Id, mark and body go on as they came.
+// writeCall writes the HTTP request of a call with one event, or of a bulk call with several. The id, idempotency key and
+// body of each event are passed on unchanged. The deadline is wait, in ns.
 func writeCall(out *bytebufferpool.ByteBuffer, sends []*send, wait int64) error {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
@@ -87,14 +88,15 @@
 	return err
 }
 
-// callResponse is an endpoint's answer, taken apart.
+// callResponse is the parsed response of an endpoint to a call.
 type callResponse struct {
-	results   []result // of each send
+	results   []result // one for each attempt, or a single one for all
 	identity  lifecycle.Answer
-	truncated bool        // only its beginning came, which says that its one event is delivered
-	close     closeReason // why the connection ends with it, empty if it does not
+	truncated bool        // only its start was received, which confirms that the call's single event is delivered
+	close     closeReason // why the connection must close after it; empty if it can be reused
 }
 
+// responseReader reads responses from an endpoint's connection.
 type responseReader struct {
 	conn net.Conn
 	buf  *bufio.Reader
@@ -104,16 +106,17 @@
 	return &responseReader{conn, bufio.NewReaderSize(conn, replySize)}
 }
 
-// errUnreadableResponse: an answer came that cannot be read. What was sent has run, for all that is known.
-var errUnreadableResponse = errors.New("an answer cannot be read")
+// errUnreadableResponse means that a response was received that cannot be parsed. The events of its call may have been
+// processed.
+var errUnreadableResponse = errors.New("cannot parse the response")
 
-// readResponse reads the answer to a call: what it says of each send, or one result for all. Where it is not known
-// how the call fared, an answer was spoilt, or the connection broke before it was whole.
+// readResponse reads the response to a call. It returns a result for each attempt, or one for all where the outcome of the
+// call is unknown: the response was corrupted, or the connection broke before it was complete.
 func (r *responseReader) readResponse(sends []*send) callResponse {
 	if _, err := r.buf.Peek(1); err != nil {
 		return callResponse{results: []result{{how: port.Reset}}, close: closeBroken}
 	}
-	// Danger: an answer that never ends would hold its slot, and what it says, for all the send's time.
+	// A response that never ends would otherwise hold its slot, and delay its result, for the whole attempt time-out.
 	r.conn.SetReadDeadline(time.Now().Add(responseReadTimeout))
 	defer r.conn.SetReadDeadline(time.Time{})
 	resp := fasthttp.AcquireResponse()
@@ -130,16 +133,16 @@
 	}
 	switch {
 	case err == nil:
-	case delivered: // its first line has delivered a single event, whatever becomes of the rest
+	case delivered: // the status line alone confirms the delivery of a single event, even if the rest is lost
 		return callResponse{results: []result{{how: port.Acked, over: true, wait: r.retryAfter(resp)}}, truncated: true, close: closeAnswer}
 	case errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET):
 		return callResponse{results: []result{{how: port.Reset, wait: r.retryAfter(resp)}}, close: closeAnswer}
 	default:
 		return callResponse{results: []result{{how: port.Spoilt, wait: r.retryAfter(resp)}}, close: closeAnswer}
 	}
-	var all result
-	all.left, all.limit = parseLoad(string(resp.Header.Peek(headerLoad)))
-	all.wait = parseRetryAfter(string(resp.Header.Peek(headerRetryAfter)))
+	var common result
+	common.left, common.limit = parseLoad(string(resp.Header.Peek(headerLoad)))
+	common.wait = parseRetryAfter(string(resp.Header.Peek(headerRetryAfter)))
 	out := callResponse{results: make([]result, len(sends))}
 	out.identity.Digest = responseDigest(resp)
 	if resp.ConnectionClose() {
@@ -150,25 +153,26 @@
 	}
 	status := resp.StatusCode()
 	if len(sends) > 1 && status == fasthttp.StatusOK {
-		if parseBulkResults(resp.Body(), sends, all, out.results) {
+		if parseBulkResults(resp.Body(), sends, common, out.results) {
 			out.identity.Named = true
 		} else {
-			out.close = closeSurplus // it is another call's, or none
+			out.close = closeSurplus // the response belongs to another call, or is malformed
 		}
 		return out
 	}
-	all.how, all.over = classifyStatus(status, len(resp.Header.Peek(headerNoSlot)) > 0, len(sends) > 1)
-	out.identity.NotRun = !all.how.MayHaveRun()
+	common.how, common.over = classifyStatus(status, len(resp.Header.Peek(headerNoSlot)) > 0, len(sends) > 1)
+	out.identity.NotRun = !common.how.MayHaveRun()
 	for i := range out.results {
-		out.results[i] = all
+		out.results[i] = common
 	}
 	return out
 }
 
-// digestSeed is the same for all answers of a process.
+// digestSeed is shared by all digests, so that they can be compared within the process.
 var digestSeed = maphash.MakeSeed()
 
-// responseDigest stands for all that an answer means. Fields that a path might add to a copy have no part in it.
+// responseDigest hashes the parts of a response that carry meaning. Header fields that an intermediary might add to a
+// duplicate are left out.
 func responseDigest(resp *fasthttp.Response) uint64 {
 	var hash maphash.Hash
 	hash.SetSeed(digestSeed)
@@ -181,9 +185,9 @@
 	return hash.Sum64()
 }
 
-// retryAfter finds the wait that an answer tells. Danger: of an answer that cannot be read to its end, the
-// wait that stands in it binds all the same, and its sender holds us to it. A head that was not taken in is
-// still unread.
+// retryAfter returns the Retry-After of a response that may be incomplete, in ns, or 0 if there is none. The endpoint
+// expects its Retry-After to be respected even if the rest of the response is lost. A header that could not be parsed is
+// still in the buffer, and is searched there.
 func (r *responseReader) retryAfter(resp *fasthttp.Response) int64 {
 	if wait := parseRetryAfter(string(resp.Header.Peek(headerRetryAfter))); wait > 0 {
 		return wait
@@ -198,7 +202,7 @@
 	return 0
 }
 
-// nextIs tells whether what comes next is text, waiting only for as long as it may be.
+// nextIs reports whether the next input is text. It stops waiting for more input at the first difference.
 func (r *responseReader) nextIs(text string) bool {
 	for n := range len(text) {
 		if b, err := r.buf.Peek(n + 1); err != nil || b[n] != text[n] {
@@ -208,7 +212,8 @@
 	return true
 }
 
-// statusLineIsOK tells whether a first line comes that says 200. Danger: cut off within it, nothing is delivered yet.
+// statusLineIsOK reports whether the next input is a complete status line with 200. A truncated status line does not
+// confirm a delivery.
 func (r *responseReader) statusLineIsOK() bool {
 	if !r.nextIs(statusLineOK) {
 		return false
@@ -224,7 +229,8 @@
 	}
 }
 
-// classifyStatus maps an answer's status to how the send ended and whether its event is over.
+// classifyStatus maps the HTTP status of a response to the outcome of the attempt, and tells whether the event is
+// complete.
 func classifyStatus(status int, noSlot, bulk bool) (how port.Outcome, over bool) {
 	switch {
 	case status == fasthttp.StatusOK:
@@ -235,22 +241,23 @@
 		return port.Unsent, false
 	case status == fasthttp.StatusServiceUnavailable:
 		return port.Declined, false
-	case status == fasthttp.StatusGatewayTimeout: // all its sends are used up
+	case status == fasthttp.StatusGatewayTimeout: // the event has no attempts left
 		return port.Unsent, false
 	case status == fasthttp.StatusGone:
 		return port.Unsent, true
 	case bulk && (status == fasthttp.StatusBadRequest || status == fasthttp.StatusRequestEntityTooLarge):
-		return port.Unsent, false // none has run
+		return port.Unsent, false // none of the events was processed
 	}
-	return port.Errored, false // danger: what is not known may have run
+	return port.Errored, false // after an unknown status, the event may have been processed
 }
 
-// parseBulkResults reads the line of each event. An answer that leaves one out is not whole: it was cut short, or is another
-// call's, and what was sent may have run, all of it. It tells whether the answer names all events of the call.
-func parseBulkResults(body []byte, sends []*send, all result, results []result) (named bool) {
-	count := 0
+// parseBulkResults parses the body of a bulk response, which has a line for each event, and reports whether it names all
+// events of the call. If one is missing, the response was truncated or belongs to another call, so any of the events may
+// have been processed.
+func parseBulkResults(body []byte, sends []*send, common result, results []result) (named bool) {
+	matched := 0
 	for i := range results {
-		results[i] = all
+		results[i] = common
 		results[i].how = port.Spoilt
 	}
 	for line := range bytes.Lines(body) {
@@ -259,7 +266,7 @@
 			if s.event.id != id || !bytes.HasSuffix(line, []byte("\n")) {
 				continue
 			}
-			count++
+			matched++
 			switch strings.TrimSpace(word) {
 			case "done":
 				results[i].how, results[i].over = port.Acked, true
@@ -272,21 +279,22 @@
 			case "used_up":
 				results[i].how = port.Unsent
 			default:
-				count--
+				matched--
 			}
 		}
 	}
-	if count == len(sends) {
+	if matched == len(sends) {
 		return true
 	}
 	for i := range results {
-		results[i] = all // a wait that it told binds all the same
+		results[i] = common // a Retry-After is still respected
 		results[i].how = port.Spoilt
 	}
 	return false
 }
 
-// parseRetryAfter reads seconds, whole or decimal, as nanoseconds, rounded up: a wait must not end early.
+// parseRetryAfter converts a whole or decimal number of seconds to ns, rounded up so that a wait never ends early. It
+// returns 0 for anything else.
 func parseRetryAfter(text string) int64 {
 	f, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	if err != nil || !(f > 0) || f > 1e6 {
@@ -295,8 +303,9 @@
 	return int64(math.Ceil(f * 1e9))
 }
 
-// parseLoad reads a load report: the share of the limit that is left, and the limit in calls a second. Danger:
-// read in part, a spoilt one would say that nothing is left, or that there is no limit. It is no news.
+// parseLoad parses a load report: x0 is the share of the limit that is left, x1 the limit in calls per second. A report
+// with a malformed part is ignored as a whole, as its remaining parts could say that nothing is left or that there is no
+// limit.
 func parseLoad(text string) (left, limit float64) {
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
