--- a/node/clientconn.go
+++ b/node/clientconn.go
@@ -181,7 +181,7 @@
 	c.busy, c.stateSince = false, time.Now()
 	c.listener.trimIdle()
 	if len(c.listener.conns) >= c.listener.maxConns {
-		c.listener.connClosed.Signal()
+		c.listener.roomChanged.Signal()
 	}
 }
 
@@ -215,7 +215,7 @@
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	delete(c.listener.conns, c)
-	c.listener.connClosed.Signal()
+	c.listener.roomChanged.Signal()
 }
 
 func (c *clientConn) discardInput() {
--- a/node/listener.go
+++ b/node/listener.go
@@ -32,10 +32,10 @@
 	delayedSince time.Time // when accepting began to fail or to wait for room; connections accepted since may have
 	delayedUntil time.Time // queued since then, until the backlog of that time is accepted
 
-	mu         sync.Mutex
-	connClosed sync.Cond
-	conns      map[*clientConn]struct{}
-	closed     bool
+	mu          sync.Mutex
+	roomChanged sync.Cond
+	conns       map[*clientConn]struct{}
+	closed      bool
 }
 
 // pastDeadline is a read deadline that has passed, which interrupts a read.
@@ -47,7 +47,7 @@
 		idleTimeout:  defaultClientIdleTimeout,
 		acceptErrors: trouble{part: "clients", what: "accepting connections"},
 		conns:        make(map[*clientConn]struct{})}
-	l.connClosed.L = &l.mu
+	l.roomChanged.L = &l.mu
 	return l
 }
 
@@ -82,8 +82,8 @@
 	for len(l.conns) >= l.maxConns && !l.closed {
 		l.markDelayed(time.Now())
 		l.evictOne(time.Now()) // beyond the limit, there would be no descriptors left for calls to endpoints
-		recheck := time.AfterFunc(firstByteGrace, l.connClosed.Broadcast)
-		l.connClosed.Wait()
+		recheck := time.AfterFunc(firstByteGrace, l.roomChanged.Broadcast)
+		l.roomChanged.Wait()
 		recheck.Stop()
 	}
 	c.delayedSince, c.stateSince = l.delayedSince, time.Now()
@@ -167,7 +167,7 @@
 func (l *listener) Close() error {
 	l.mu.Lock()
 	l.closed = true
-	l.connClosed.Broadcast()
+	l.roomChanged.Broadcast()
 	l.mu.Unlock()
 	return l.Listener.Close()
 }
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -171,7 +171,7 @@
 	return c.readResponse(headerRetryAfter)
 }
 
-func TestEventsEndOnceEachWay(t *testing.T) {
+func TestEachEventHasOneOutcome(t *testing.T) {
 	w := newTestEnv(t)
 	w.noticesToRefuse = 2
 	good := w.addEndpoint(1, say(answerOf("200 OK", "", "")))
@@ -213,7 +213,7 @@
 	}
 }
 
-func TestAnIdThatComesAgain(t *testing.T) {
+func TestDuplicateID(t *testing.T) {
 	w := newTestEnv(t)
 	answer := make(chan string)
 	at := w.addEndpoint(1, func(conn net.Conn, body string) bool { return say(<-answer)(conn, body) })
@@ -243,7 +243,7 @@
 	}
 }
 
-func TestBadRequestsGetPlainAnswers(t *testing.T) {
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	w := newTestEnv(t)
 	w.addEndpoint(1, silent)
 	w.startNode()
@@ -308,7 +308,7 @@
 	}
 }
 
-func TestNoRoomIsToldBeforeTakingOn(t *testing.T) {
+func TestRequestIsRefusedWhenFull(t *testing.T) {
 	for _, c := range []struct {
 		open   int
 		diskMB float64
@@ -331,7 +331,7 @@
 	}
 }
 
-func TestRestartOwesWhatWasTakenOn(t *testing.T) {
+func TestRestartRecoversAcceptedEvents(t *testing.T) {
 	w := newTestEnv(t)
 	at := w.addEndpoint(1, silent)
 	w.addEndpoint(2, say(answerOf("429 Full", "Retry-After: 60\r\n", "")))
@@ -371,7 +371,7 @@
 	}
 }
 
-func TestRestoredEventsAreHandedInAsTheyCame(t *testing.T) {
+func TestRestoredEventsKeepTheirOrder(t *testing.T) {
 	r := &recordingModule{}
 	n := &Node{desk: newDesk(clock{start: time.Now()}, r, ms, []int{1})}
 	want := ""
@@ -386,7 +386,7 @@
 	}
 }
 
-func TestCallsOfSeveralKeepToTheBodyLimit(t *testing.T) {
+func TestBulkCallsRespectBodyLimit(t *testing.T) {
 	d := newDesk(clock{start: time.Now()}, nil, ms, []int{3})
 	d.partner = []int{0}
 	for i, size := range []int{40 << 10, 20 << 10, 20 << 10, 10, 10} {
@@ -407,7 +407,7 @@
 	}
 }
 
-func TestNoticeOwedAtARestartIsToldAndNothingSent(t *testing.T) {
+func TestPendingNoticeIsSentAfterRestartWithoutAttempts(t *testing.T) {
 	w := newTestEnv(t)
 	w.noticesToRefuse = 1 << 30
 	w.addEndpoint(1, say(answerOf("500 Error", "", "")))
@@ -424,7 +424,7 @@
 	}
 }
 
-func TestDrainAnswersEveryoneAndEndsWhatIsOut(t *testing.T) {
+func TestDrainAnswersAllRequestsAndFinishesAttempts(t *testing.T) {
 	w := newTestEnv(t)
 	answer := make(chan bool)
 	w.addEndpoint(1, func(conn net.Conn, body string) bool {
@@ -463,7 +463,7 @@
 	}
 }
 
-func TestClientIsAnsweredWhenNothingIsDecidedAnyMore(t *testing.T) {
+func TestClientIsAnsweredAfterDecisionsStop(t *testing.T) {
 	w := newTestEnv(t)
 	w.startNode()
 	w.desk.close()
@@ -510,7 +510,7 @@
 	return &testEnv{t: t, Node: n}
 }
 
-func TestDoormanClosesIdleConnectionsWhenShort(t *testing.T) {
+func TestListenerEvictsIdleConnectionsAtLimit(t *testing.T) {
 	hold := make(chan bool)
 	w := newListenerEnv(t, 2, func(path string) {
 		if path == "/hold" {
@@ -553,7 +553,7 @@
 	}
 }
 
-func TestClientsThatNeverEndTheirRequestsAreClosed(t *testing.T) {
+func TestIncompleteRequestsTimeOut(t *testing.T) {
 	w := newTestEnv(t)
 	w.addEndpoint(1, say(answerOf("200 OK", "", "")))
 	w.startNode()
@@ -580,7 +580,7 @@
 	}
 }
 
-func TestUsualClientsGetInWhileOthersFillTheDoor(t *testing.T) {
+func TestNewClientsConnectWhileSlowClientsFillTheLimit(t *testing.T) {
 	w := newTestEnv(t)
 	w.addEndpoint(1, say(answerOf("200 OK", "", "")))
 	w.startNode()
@@ -606,7 +606,7 @@
 	}
 }
 
-func TestClientsThatAskOnceAndStayLeaveRoomForOthers(t *testing.T) {
+func TestIdleConnectionsAreTrimmed(t *testing.T) {
 	w := newTestEnv(t)
 	w.addEndpoint(1, say(answerOf("200 OK", "", "")))
 	w.startNode()
@@ -633,7 +633,7 @@
 	}
 }
 
-func TestAConnectionAskedToCloseDoesUnlessARequestCameFirst(t *testing.T) {
+func TestRequestCloseYieldsToARequest(t *testing.T) {
 	w := newListenerEnv(t, 2, func(string) {})
 	d := w.clients.listener
 	c := w.dial()
@@ -679,7 +679,7 @@
 	}
 }
 
-func TestAClientMayConnectAheadAndHearsOfHalfARequest(t *testing.T) {
+func TestIdleConnectionIsServedAndIncompleteRequestGets408(t *testing.T) {
 	w := newListenerEnv(t, 2, func(string) {})
 	d := w.clients.listener
 	d.requestTimeout = 50 * time.Millisecond // from the first byte: far less than a client may rest
@@ -699,7 +699,7 @@
 	}
 }
 
-func TestAListThatNeverEndsIsCutOff(t *testing.T) {
+func TestHeartbeatReaderLimitsListSize(t *testing.T) {
 	s := &heartbeatReader{body: strings.NewReader(strings.Repeat("x", 100)), remaining: 10, onRead: func(bool) {}}
 	if got, err := io.ReadAll(s); len(got) != 10 || err == nil {
 		t.Errorf("read %d bytes, %v", len(got), err)
@@ -707,7 +707,7 @@
 }
 
 // A close over unread bytes resets the connection, and the answers on their way go with it.
-func TestARequestThatCrossesTheEndTakesNoAnswerAlong(t *testing.T) {
+func TestCloseDoesNotDiscardResponseInFlight(t *testing.T) {
 	w := newListenerEnv(t, 9, func(string) {})
 	d := w.clients.listener
 	for range 50 {
@@ -728,7 +728,7 @@
 	}
 }
 
-func TestRequestsReadTogetherAreAllAnswered(t *testing.T) {
+func TestPipelinedRequestsAreAllAnswered(t *testing.T) {
 	w := newTestEnv(t)
 	w.addEndpoint(1, say(answerOf("200 OK", "", "")))
 	w.startNode()
@@ -757,7 +757,7 @@
 	}
 }
 
-func TestRequestsInAllFramings(t *testing.T) {
+func TestRequestFramings(t *testing.T) {
 	w := newTestEnv(t)
 	at := w.addEndpoint(1, say(answerOf("200 OK", "", "")))
 	w.startNode()
@@ -851,7 +851,7 @@
 	return d.directory, r
 }
 
-func TestDirectoryIsFollowedHoweverItsLinesAreCut(t *testing.T) {
+func TestDirectoryWatchWithSplitChunks(t *testing.T) {
 	const first = `{"seq":7,"whole":true,"hosts":[{"host":"a","dial":"127.0.0.1:1","site":"there",` +
 		`"class":"small one","block":3,"health":"Ready","share":2.5},{"host":"b","dial":"127.0.0.1:2","site":"?",` +
 		`"class":"?","block":4,"health":"Terminating","share":1}]}` + "\n"
@@ -894,7 +894,7 @@
 	}
 }
 
-func TestListsMayBeIndentedAndAreTakenOnlyWhole(t *testing.T) {
+func TestListsMayBeIndentedAndMustBeComplete(t *testing.T) {
 	const first = "{\n  \"seq\": 7,\n  \"whole\": true,\n  \"hosts\": [\n    {\n\n" +
 		"      \"host\": \"a\",\n      \"block\": 3,\n" +
 		"      \"health\": \"Ready\"\n    }\n  ]\n}\n"
@@ -920,7 +920,7 @@
 	}
 }
 
-func TestDirectoryCallsThatFail(t *testing.T) {
+func TestDirectoryCallFailures(t *testing.T) {
 	for name, act := range map[string]func(net.Conn, string) bool{
 		"503":      say(answerOf("503 Down", "", "")),
 		"reset":    breakOff("HTTP/1.1 200"),
@@ -942,7 +942,7 @@
 	})
 }
 
-func TestDirectoryMovesWhileTheOldOneStands(t *testing.T) {
+func TestDirectoryAddressChangeKeepsOldWatchUntilReplaced(t *testing.T) {
 	line := func(seq int, host string) string {
 		return fmt.Sprintf(`{"seq":%d,"whole":false,"hosts":[{"host":"%s","dial":"x","block":1,"health":"Ready"}]}`+
 			"\n", seq, host)
@@ -985,7 +985,7 @@
 	}
 }
 
-func TestNoticesMoveAndDoNotWaitForTheOldAddress(t *testing.T) {
+func TestNoticesUseNewAddressWithoutWaitingForTheOld(t *testing.T) {
 	hangs, heard := newPeer(t, silent), make(chan string, 9)
 	after := newPeer(t, func(conn net.Conn, body string) bool {
 		heard <- body
@@ -1006,7 +1006,7 @@
 	<-told
 }
 
-func TestAForgottenEndpointsIndexWaitsForItsCalls(t *testing.T) {
+func TestForgottenEndpointKeepsIndexUntilItsCallsEnd(t *testing.T) {
 	d := newDesk(clock{start: time.Now()}, &recordingModule{}, ms, []int{1})
 	d.endpoints = newEndpoints(t, "127.0.0.1:1")
 	take := func(host string, want int32) {
@@ -1033,7 +1033,7 @@
 	take("d", 2)
 }
 
-func TestPeersTradeNotes(t *testing.T) {
+func TestPeerDatagrams(t *testing.T) {
 	sockets := make([]*net.UDPConn, 3)
 	var addresses []string
 	for i := range sockets {
