--- a/node/iofaults_test.go
+++ b/node/iofaults_test.go
@@ -19,11 +19,11 @@
 	"jaspersill/store"
 )
 
-// faultyDisk is a folder whose files cannot be written, or only slowly, while a test says so.
+// faultyDisk is a folder whose writes fail or are slow while a test demands it.
 type faultyDisk struct {
 	store.Dir
 	failing    atomic.Bool
-	writeDelay atomic.Int64 // ns for each write
+	writeDelay atomic.Int64 // added to each write, in ns
 	onWrite    func(text []byte)
 }
 
@@ -59,7 +59,7 @@
 	return f.File.Truncate(size)
 }
 
-// recoverAfterKill is what a restart would find in a folder, by id.
+// recoverAfterKill returns the events that a restart after a kill would find in a folder, by id.
 func recoverAfterKill(t *testing.T, folder string) map[string]*store.Event {
 	t.Helper()
 	found, err := store.Recover(store.Dir(killed(t, folder)))
@@ -73,96 +73,97 @@
 	return list
 }
 
-// Guards against a notice for a request that a restart would forward again, because the end is not on the disk.
+// Guards against a notice for an event that a restart would forward again, because its outcome is not yet on disk. A notice
+// may be sent once the record is written, or once the deadline has passed and the event cannot be forwarded any more.
 func TestNoticeWaitsForRecordOrDeadline(t *testing.T) {
 	for _, recovers := range []bool{true, false} {
-		w := newTestEnv(t)
-		disk := &faultyDisk{Dir: store.Dir(w.folder)}
-		w.disk = disk
+		env := newTestEnv(t)
+		disk := &faultyDisk{Dir: store.Dir(env.folder)}
+		env.disk = disk
 		answer := make(chan bool)
-		at := w.addEndpoint(1, func(conn net.Conn, body string) bool {
+		endpoint := env.addEndpoint(1, func(conn net.Conn, body string) bool {
 			<-answer
 			return say(answerOf("500 Error", "", ""))(conn, body)
 		})
-		w.startNode()
+		env.startNode()
 		sent := time.Now()
 		const left = 900 * time.Millisecond
-		if status, _ := w.dial().submit(submitRequest("x", "charge", "1", left.Milliseconds(), "")); status != statusAccepted {
+		if status, _ := env.dial().submit(submitRequest("x", "charge", "1", left.Milliseconds(), "")); status != statusAccepted {
 			t.Fatal(status)
 		}
-		w.waitFor("it is out", func() bool { calls, _ := at.calls(); return calls == 1 })
+		env.waitFor("the attempt is open", func() bool { calls, _ := endpoint.calls(); return calls == 1 })
 		disk.failing.Store(true)
 		answer <- true
 		time.Sleep(200 * time.Millisecond)
-		if len(w.receivedNotices()) > 0 && time.Since(sent) < left {
-			t.Errorf("the platform heard %q while a restart would still forward it", w.receivedNotices())
+		if len(env.receivedNotices()) > 0 && time.Since(sent) < left {
+			t.Errorf("notices %q were sent while a restart would still forward the event", env.receivedNotices())
 		}
 		if recovers {
 			disk.failing.Store(false)
 		}
-		w.waitFor("the platform hears of the end", func() bool { return len(w.receivedNotices()) > 0 })
+		env.waitFor("the platform has a notice", func() bool { return len(env.receivedNotices()) > 0 })
 		heard := time.Since(sent)
-		if e := recoverAfterKill(t, w.folder)["x"]; recovers && e != nil && e.Verdict == store.Undecided {
-			t.Error("told, and not on the disk")
+		if e := recoverAfterKill(t, env.folder)["x"]; recovers && e != nil && e.Verdict == store.Undecided {
+			t.Error("notice sent before its record was on disk")
 		}
 		if recovers && heard > left {
-			t.Errorf("told after %v though the disk had recovered", heard)
+			t.Errorf("notice sent after %v, though the disk had recovered", heard)
 		}
 		if !recovers && (heard < left || heard > left+300*time.Millisecond) {
-			t.Errorf("told after %v, though it may be told from %v on and is overdue 0.3 s later", heard, left)
+			t.Errorf("notice sent after %v, want at most 0.3 s after the deadline of %v", heard, left)
 		}
 		disk.failing.Store(false)
 	}
 }
 
-// Guards against a refusal that is told while a restart would still find the request and forward it.
+// Guards against a client that is told of a refusal while a restart would still find the event and forward it.
 func TestRefusalIsSentOnlyOnceItIsDurable(t *testing.T) {
-	w := newTestEnv(t)
-	disk := &faultyDisk{Dir: store.Dir(w.folder)}
+	env := newTestEnv(t)
+	disk := &faultyDisk{Dir: store.Dir(env.folder)}
 	disk.onWrite = func(text []byte) {
 		if bytes.Contains(text, []byte("refused")) && bytes.Contains(text, []byte("acme")) {
-			disk.failing.Store(true) // from its state on, nothing can be written
+			disk.failing.Store(true) // writes fail from the event's state record on
 			time.AfterFunc(150*time.Millisecond, func() { disk.failing.Store(false) })
 		}
 	}
-	w.disk = disk
-	w.startNode()
-	w.directory.mu.Lock()
-	w.directory.knownDests[9] = struct{}{} // listed once, and nobody is there
-	w.directory.mu.Unlock()
-	const left = 18 * time.Millisecond // so little that it is refused at once
+	env.disk = disk
+	env.startNode()
+	env.directory.mu.Lock()
+	env.directory.knownDests[9] = struct{}{} // a known destination without endpoints
+	env.directory.mu.Unlock()
+	const left = 18 * time.Millisecond // too short for an attempt, so the event is refused at once
 	sent := time.Now()
-	status, _ := w.dial().submit(submitRequest("refused", "alert", "9", left.Milliseconds(), ""))
+	status, _ := env.dial().submit(submitRequest("refused", "alert", "9", left.Milliseconds(), ""))
 	heard := time.Since(sent)
 	if status != statusDeclined {
-		t.Errorf("answered %d", status)
+		t.Errorf("status %d, want %d", status, statusDeclined)
 	}
-	if _, found := recoverAfterKill(t, w.folder)["refused"]; found && heard < left {
-		t.Error("refused, and a restart would forward it")
+	if _, found := recoverAfterKill(t, env.folder)["refused"]; found && heard < left {
+		t.Error("refused, but a restart would forward the event")
 	}
-	w.waitFor("nothing is owed", w.journal.empty)
+	env.waitFor("all events are complete", env.journal.empty)
 }
 
-// Guards against an attempt that goes out after its request's deadline because its record took long to write.
+// Guards against an attempt that is sent after the event's deadline because writing its record took long.
 func TestNoAttemptAfterDeadlineOnSlowDisk(t *testing.T) {
-	w := newTestEnv(t)
-	disk := &faultyDisk{Dir: store.Dir(w.folder)}
-	w.disk = disk
-	at := w.addEndpoint(1, say(answerOf("200 OK", "", "")))
-	w.startNode()
-	c := w.dial()
+	env := newTestEnv(t)
+	disk := &faultyDisk{Dir: store.Dir(env.folder)}
+	env.disk = disk
+	endpoint := env.addEndpoint(1, say(answerOf("200 OK", "", "")))
+	env.startNode()
+	c := env.dial()
 	c.submit(submitRequest("first", "charge", "1", 8000, ""))
-	w.waitFor("a connection is kept", func() bool { calls, _ := at.calls(); return calls == 1 })
+	env.waitFor("the first call has opened a connection", func() bool { calls, _ := endpoint.calls(); return calls == 1 })
 	disk.writeDelay.Store(int64(400 * time.Millisecond))
 	c.submit(submitRequest("second", "charge", "1", 600, ""))
 	disk.writeDelay.Store(int64(600 * time.Millisecond))
-	w.waitFor("it has its end", w.journal.empty)
-	if calls, _ := at.calls(); calls != 1 {
-		t.Errorf("%d calls: the second one goes out after its deadline", calls)
+	env.waitFor("the second event is complete", env.journal.empty)
+	if calls, _ := endpoint.calls(); calls != 1 {
+		t.Errorf("got %d calls, want 1: the second was sent after its deadline", calls)
 	}
 }
 
-// Guards against a slow write that holds whoever calls an attempt off: the event loop does.
+// Guards against a slow journal write that blocks the cancellation of an attempt, which the event loop performs.
 func TestCancellationDoesNotWaitForTheDisk(t *testing.T) {
 	folder := t.TempDir()
 	disk := &faultyDisk{Dir: store.Dir(folder)}
@@ -171,44 +172,44 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(j.close)
-	at := newPeer(t, say(answerOf("200 OK", "", "")))
+	endpoint := newPeer(t, say(answerOf("200 OK", "", "")))
 	for name, callOff := range map[string]func(*call){
-		"given up": func(c *call) { c.giveUp(port.Cancelled) },
-		"recalled": func(c *call) { c.recall(c.sends[0]) },
+		"cancelled": func(c *call) { c.giveUp(port.Cancelled) },
+		"recalled":  func(c *call) { c.recall(c.sends[0]) },
 	} {
-		p := newEndpoints(t, at.Addr().String())
+		p := newEndpoints(t, endpoint.Addr().String())
 		p.journal = j
 		c := &call{of: p}
 		s := newSend(t, c, name, 10*time.Second)
 		c.sends = []*send{s}
 		disk.writeDelay.Store(int64(time.Second))
 		go p.carry(c)
-		time.Sleep(200 * time.Millisecond) // it is being written
+		time.Sleep(200 * time.Millisecond) // the attempt's record is being written
 		began := time.Now()
 		callOff(c)
 		if took := time.Since(began); took > 100*time.Millisecond {
-			t.Errorf("%s: it took %v", name, took)
+			t.Errorf("%s: took %v", name, took)
 		}
 		if r := ending(t, s); r.how != port.Unsent {
 			t.Errorf("%s: ended as %v", name, r.how)
 		}
 		disk.writeDelay.Store(0)
 	}
-	if calls, _ := at.calls(); calls > 0 {
-		t.Errorf("%d calls went out", calls)
+	if calls, _ := endpoint.calls(); calls > 0 {
+		t.Errorf("%d calls were sent, want none", calls)
 	}
 }
 
-// faultyConn is a connection on which calls fail for a moment.
+// faultyConn is a connection whose first reads and writes fail with errno.
 type faultyConn struct {
 	*net.TCPConn
 	errno           syscall.Errno
 	mu              sync.Mutex
-	failReads       int  // so many fail
-	failWrites      int  // so many fail, the first after a byte
-	writeNothing    bool // not even that byte
+	failReads       int  // number of reads that fail
+	failWrites      int  // number of writes that fail, the first after a partial write of one byte
+	writeNothing    bool // failing writes write nothing at all
 	writeClosed     bool
-	bytesAfterClose int // bytes that were read after the half close
+	bytesAfterClose int // bytes read after CloseWrite
 }
 
 func (c *faultyConn) Read(b []byte) (int, error) {
@@ -249,7 +250,7 @@
 	return c.TCPConn.CloseWrite()
 }
 
-// faultyListener hands out faulty connections, after so many failures.
+// faultyListener fails acceptFailures times with errno, and wraps the connections it accepts.
 type faultyListener struct {
 	net.Listener
 	mu             sync.Mutex
@@ -273,39 +274,40 @@
 	return conn, err
 }
 
-// Guards against connections of clients that are closed with no answer because a read or a write failed for a moment.
+// Guards against client connections that are closed without a response because a read or write failed momentarily.
 func TestClientIsAnsweredDespiteMomentarySocketErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR, syscall.ETIMEDOUT,
 		syscall.EHOSTUNREACH} {
-		w := newTestEnv(t)
-		w.addEndpoint(1, say(answerOf("200 OK", "", "")))
-		w.beforeRun = func(n *Node) {
+		env := newTestEnv(t)
+		env.addEndpoint(1, say(answerOf("200 OK", "", "")))
+		env.beforeRun = func(n *Node) {
 			n.clients.listener.Listener = &faultyListener{Listener: n.clients.listener.Listener,
 				wrap: func(c *net.TCPConn) net.Conn {
 					return &faultyConn{TCPConn: c, errno: errno, failReads: 5, failWrites: 5}
 				}}
 		}
-		w.startNode()
-		c := w.dial()
+		env.startNode()
+		c := env.dial()
 		for i := range 2 {
 			if status, _ := c.submit(submitRequest(fmt.Sprint("x", i), "charge", "1", 8000, "body")); status != statusAccepted {
-				t.Errorf("%v: answered %d", errno, status)
+				t.Errorf("%v: status %d, want %d", errno, status, statusAccepted)
 			}
 		}
 	}
 }
 
-// Guards against attempts that count as failed by their endpoint because a call here failed for a moment.
+// Guards against attempts that count as failures of their endpoint because a system call on this machine failed
+// momentarily.
 func TestAttemptSurvivesMomentarySocketErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL, syscall.EINTR} {
-		at := newPeer(t, say(answerOf("200 OK", "", "")))
-		p := newEndpoints(t, at.Addr().String())
-		usual, fails := p.dial, 3
+		endpoint := newPeer(t, say(answerOf("200 OK", "", "")))
+		p := newEndpoints(t, endpoint.Addr().String())
+		dial, fails := p.dial, 3
 		p.dial = func(ctx context.Context, address string) (net.Conn, error) {
 			if fails--; fails >= 0 {
 				return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", errno)}
 			}
-			conn, err := usual(ctx, address)
+			conn, err := dial(ctx, address)
 			if err != nil {
 				return nil, err
 			}
@@ -314,13 +316,13 @@
 		if ends, _ := deliver(t, p, 5*time.Second); ends[0].how != port.Acked {
 			t.Errorf("%v: ended as %v", errno, ends[0].how)
 		}
-		if calls, _ := at.calls(); calls != 1 {
+		if calls, _ := endpoint.calls(); calls != 1 {
 			t.Errorf("%v: %d calls", errno, calls)
 		}
 	}
 }
 
-// Guards against an endpoint that counts as silent because this machine could not connect anywhere.
+// Guards against an endpoint that counts as unresponsive because this machine could not open a socket.
 func TestLocalFailureIsNotAttributedToEndpoint(t *testing.T) {
 	p := newEndpoints(t, "127.0.0.1:9")
 	p.dial = func(context.Context, string) (net.Conn, error) {
@@ -331,46 +333,46 @@
 	}
 }
 
-// Guards against resting connections that are closed, and requests that are hurried, when accepting fails for a
-// reason that closing them does not mend.
+// Guards against idle connections that are closed, and incomplete requests that are cut short, when accepting fails for a
+// reason that closing connections does not resolve.
 func TestAcceptErrorClosesNoConnection(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.EPROTO, syscall.ENETDOWN} {
-		w := newTestEnv(t)
-		w.addEndpoint(1, say(answerOf("200 OK", "", "")))
+		env := newTestEnv(t)
+		env.addEndpoint(1, say(answerOf("200 OK", "", "")))
 		var l *faultyListener
-		w.beforeRun = func(n *Node) {
+		env.beforeRun = func(n *Node) {
 			l = &faultyListener{Listener: n.clients.listener.Listener, errno: errno}
 			n.clients.listener.Listener = l
 		}
-		w.startNode()
-		resting, half := w.dial(), w.dial()
+		env.startNode()
+		resting, half := env.dial(), env.dial()
 		resting.submit(submitRequest("a", "charge", "1", 8000, ""))
 		text := submitRequest("b", "charge", "1", 8000, "body")
 		io.WriteString(half, text[:len(text)-1])
 		l.mu.Lock()
 		l.acceptFailures = 12
 		l.mu.Unlock()
-		next := w.dial()
+		next := env.dial()
 		if status, _ := next.submit(submitRequest("c", "charge", "1", 8000, "")); status != statusAccepted {
-			t.Errorf("%v: the next client hears %d", errno, status)
+			t.Errorf("%v: the next client got status %d", errno, status)
 		}
-		w.waitFor("accepting works again", func() bool { l.mu.Lock(); defer l.mu.Unlock(); return l.acceptFailures < 0 })
+		env.waitFor("accepting works again", func() bool { l.mu.Lock(); defer l.mu.Unlock(); return l.acceptFailures < 0 })
 		if status, _ := resting.submit(submitRequest("d", "charge", "1", 8000, "")); status != statusAccepted {
-			t.Errorf("%v: the resting one hears %d", errno, status)
+			t.Errorf("%v: the idle connection got status %d", errno, status)
 		}
 		io.WriteString(half, text[len(text)-1:])
 		if status, _ := half.readResponse(""); status != statusAccepted {
-			t.Errorf("%v: the one that was writing hears %d", errno, status)
+			t.Errorf("%v: the connection with an incomplete request got status %d", errno, status)
 		}
 	}
 }
 
-// Guards against a request that is read from a connection which can carry no answer any more.
+// Guards against a request that is read from a connection whose sending side is closed, so that it cannot be answered.
 func TestNothingIsReadAfterHalfClose(t *testing.T) {
-	w := newTestEnv(t)
-	w.addEndpoint(1, say(answerOf("200 OK", "", "")))
+	env := newTestEnv(t)
+	env.addEndpoint(1, say(answerOf("200 OK", "", "")))
 	conns := make(chan *faultyConn, 10)
-	w.beforeRun = func(n *Node) {
+	env.beforeRun = func(n *Node) {
 		n.clients.listener.Listener = &faultyListener{Listener: n.clients.listener.Listener,
 			wrap: func(c *net.TCPConn) net.Conn {
 				f := &faultyConn{TCPConn: c}
@@ -378,44 +380,44 @@
 				return f
 			}}
 	}
-	w.startNode()
-	c := w.dial()
+	env.startNode()
+	c := env.dial()
 	c.submit(submitRequest("a", "charge", "1", 8000, ""))
 	conn := <-conns
-	w.clients.listener.closeAllIdle()
-	w.waitFor("it is half closed", func() bool { conn.mu.Lock(); defer conn.mu.Unlock(); return conn.writeClosed })
+	env.clients.listener.closeAllIdle()
+	env.waitFor("the connection is half closed", func() bool { conn.mu.Lock(); defer conn.mu.Unlock(); return conn.writeClosed })
 	io.WriteString(c, submitRequest("crossing", "charge", "1", 8000, ""))
 	if _, err := c.reader.ReadByte(); err == nil {
-		t.Error("an answer behind the end")
+		t.Error("received data after the half close")
 	}
-	w.waitFor("it is closed", w.clients.listener.isEmpty)
+	env.waitFor("the connection is closed", env.clients.listener.isEmpty)
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	if conn.bytesAfterClose > 0 {
-		t.Errorf("%d bytes of a request were read and not answered", conn.bytesAfterClose)
+		t.Errorf("%d bytes of a request were read but not answered", conn.bytesAfterClose)
 	}
-	if strings.Contains(fmt.Sprint(recoverAfterKill(t, w.folder)), "crossing") {
-		t.Error("it was taken on")
+	if strings.Contains(fmt.Sprint(recoverAfterKill(t, env.folder)), "crossing") {
+		t.Error("the request was accepted")
 	}
 }
 
-// Guards against a request that is forwarded after its deadline, since reading it had failed for a while.
+// Guards against an event that is forwarded after its deadline because reading its request had failed for a while.
 func TestDeadlineCountsFromArrivalDespiteReadErrors(t *testing.T) {
-	w := newTestEnv(t)
-	at := w.addEndpoint(1, say(answerOf("200 OK", "", "")))
-	w.beforeRun = func(n *Node) {
+	env := newTestEnv(t)
+	endpoint := env.addEndpoint(1, say(answerOf("200 OK", "", "")))
+	env.beforeRun = func(n *Node) {
 		n.clients.listener.Listener = &faultyListener{Listener: n.clients.listener.Listener,
 			wrap: func(c *net.TCPConn) net.Conn { return &faultyConn{TCPConn: c, errno: syscall.ENOBUFS, failReads: 30} }}
 	}
-	w.startNode()
-	w.dial().submit(submitRequest("late", "charge", "1", 250, "")) // 30 failures take 0.5 s
-	w.waitFor("it has its end", w.journal.empty)
-	if calls, _ := at.calls(); calls > 0 {
-		t.Errorf("%d calls after the deadline", calls)
+	env.startNode()
+	env.dial().submit(submitRequest("late", "charge", "1", 250, "")) // 30 read errors delay the request by 0.5 s
+	env.waitFor("the event is complete", env.journal.empty)
+	if calls, _ := endpoint.calls(); calls > 0 {
+		t.Errorf("got %d calls after the deadline, want none", calls)
 	}
 }
 
-// Guards against a start that ends because a socket cannot be opened for a moment.
+// Guards against a start that fails because a socket momentarily cannot be opened.
 func TestOpenSocketRetriesMomentaryErrors(t *testing.T) {
 	fails := 3
 	l, err := openSocket(func() (net.Listener, error) {
@@ -430,18 +432,19 @@
 	l.Close()
 }
 
-// Guards against an attempt that goes out late, after a wait, its window or its deadline, because writing it failed.
+// Guards against an attempt that is sent late, after it was cancelled or recalled or its deadline has passed, because
+// writing it had failed for a while.
 func TestAttemptCanBeRecalledWhileWriteFails(t *testing.T) {
 	for name, callOff := range map[string]func(*call){
-		"given up": func(c *call) { c.giveUp(port.TimedOut) },
-		"recalled": func(c *call) { c.recall(c.sends[0]) },
-		"late":     func(c *call) {},
+		"timed out": func(c *call) { c.giveUp(port.TimedOut) },
+		"recalled":  func(c *call) { c.recall(c.sends[0]) },
+		"late":      func(c *call) {},
 	} {
-		at := newPeer(t, say(answerOf("200 OK", "", "")))
-		p := newEndpoints(t, at.Addr().String())
-		usual := p.dial
+		endpoint := newPeer(t, say(answerOf("200 OK", "", "")))
+		p := newEndpoints(t, endpoint.Addr().String())
+		dial := p.dial
 		p.dial = func(ctx context.Context, address string) (net.Conn, error) {
-			conn, err := usual(ctx, address)
+			conn, err := dial(ctx, address)
 			if err != nil {
 				return nil, err
 			}
@@ -459,24 +462,25 @@
 		if r := ending(t, s); r.how != port.Unsent {
 			t.Errorf("%s: ended as %v", name, r.how)
 		}
-		time.Sleep(400 * time.Millisecond) // 20 failures take 0.3 s
-		if calls, _ := at.calls(); calls > 0 {
-			t.Errorf("%s: %d calls went out", name, calls)
+		time.Sleep(400 * time.Millisecond) // 20 write errors take 0.3 s
+		if calls, _ := endpoint.calls(); calls > 0 {
+			t.Errorf("%s: %d calls were sent, want none", name, calls)
 		}
 	}
 }
 
-// Guards against an attempt that was recalled, and told to be unsent, and goes out in the bytes of a call of several.
+// Guards against an attempt that was recalled and reported as unsent, but is sent as part of a bulk call whose write was
+// delayed.
 func TestDelayedBulkCallOmitsRecalledEvents(t *testing.T) {
 	bodies := make(chan string, 10)
-	at := newPeer(t, func(conn net.Conn, body string) bool {
+	endpoint := newPeer(t, func(conn net.Conn, body string) bool {
 		bodies <- body
 		return say(answerOf("200 OK", "", "kept done\r\n"))(conn, body)
 	})
-	p := newEndpoints(t, at.Addr().String())
-	usual := p.dial
+	p := newEndpoints(t, endpoint.Addr().String())
+	dial := p.dial
 	p.dial = func(ctx context.Context, address string) (net.Conn, error) {
-		conn, err := usual(ctx, address)
+		conn, err := dial(ctx, address)
 		if err != nil {
 			return nil, err
 		}
@@ -484,29 +488,29 @@
 	}
 	c := &call{of: p}
 	kept, recalled := newSend(t, c, "kept", long), newSend(t, c, "recalled", long)
-	kept.event.body, recalled.event.body = []byte("of the one"), []byte("of the other")
+	kept.event.body, recalled.event.body = []byte("kept body"), []byte("recalled body")
 	c.sends = []*send{recalled, kept}
 	go p.carry(c)
-	time.Sleep(50 * time.Millisecond) // its first byte cannot be written
+	time.Sleep(50 * time.Millisecond) // the first byte of the call cannot be written
 	c.recall(recalled)
 	if r := ending(t, recalled); r.how != port.Unsent {
 		t.Errorf("recalled: %+v", r)
 	}
 	if r := ending(t, kept); r.how != port.Acked {
-		t.Errorf("the other: %+v", r)
+		t.Errorf("kept: %+v", r)
 	}
-	if body := <-bodies; strings.Contains(body, "of the other") || !strings.Contains(body, "of the one") {
-		t.Errorf("what went out: %q", body)
+	if body := <-bodies; strings.Contains(body, "recalled body") || !strings.Contains(body, "kept body") {
+		t.Errorf("body of the call: %q", body)
 	}
 }
 
-// Guards against an attempt that goes out while the answer which told to wait cannot be read.
+// Guards against an attempt that is sent while an earlier response, which may carry Retry-After, cannot be read.
 func TestNoCallWhileResponseCannotBeRead(t *testing.T) {
-	at := newPeer(t, say(answerOf("200 OK", "", "")))
-	p := newEndpoints(t, at.Addr().String())
-	usual := p.dial
+	endpoint := newPeer(t, say(answerOf("200 OK", "", "")))
+	p := newEndpoints(t, endpoint.Addr().String())
+	dial := p.dial
 	p.dial = func(ctx context.Context, address string) (net.Conn, error) {
-		conn, err := usual(ctx, address)
+		conn, err := dial(ctx, address)
 		if err != nil {
 			return nil, err
 		}
@@ -523,115 +527,117 @@
 	}
 	go p.carry(second)
 	time.Sleep(100 * time.Millisecond)
-	if calls, _ := at.calls(); calls != 1 {
-		t.Errorf("%d calls while the first answer cannot be read", calls)
+	if calls, _ := endpoint.calls(); calls != 1 {
+		t.Errorf("got %d calls while the first response cannot be read, want 1", calls)
 	}
 	second.recall(recalled)
 	if r := ending(t, recalled); r.how != port.Unsent {
 		t.Errorf("recalled: ended as %v", r.how)
 	}
 	if r := ending(t, first.sends[0]); r.how != port.Acked {
-		t.Errorf("the first ended as %v", r.how)
+		t.Errorf("the first call ended as %v", r.how)
 	}
 }
 
-// Guards against a request that is forwarded after its deadline, since it stood before a node whose places were taken.
+// Guards against an event that is forwarded after its deadline because its connection had waited to be accepted while the
+// connection limit was reached.
 func TestDeadlineCountsWhileConnectionWaitsForRoom(t *testing.T) {
-	w := newTestEnv(t)
-	at := w.addEndpoint(1, say(answerOf("200 OK", "", "")))
-	w.beforeRun = func(n *Node) {
+	env := newTestEnv(t)
+	endpoint := env.addEndpoint(1, say(answerOf("200 OK", "", "")))
+	env.beforeRun = func(n *Node) {
 		n.clients.listener.maxConns = 2
 	}
-	w.startNode()
+	env.startNode()
 	var waiting []*testClient
-	for range 2 { // they take both places, until a request that does not come whole is hurried
-		c := w.dial()
+	for range 2 { // incomplete requests, which hold both connections until one is evicted
+		c := env.dial()
 		io.WriteString(c, "POST /api HTTP/1.1\r\nHost: x\r\n")
 		waiting = append(waiting, c)
 	}
-	w.waitFor("both places are taken", func() bool {
-		w.clients.listener.mu.Lock()
-		defer w.clients.listener.mu.Unlock()
-		return len(w.clients.listener.conns) == 2
+	env.waitFor("the connection limit is reached", func() bool {
+		env.clients.listener.mu.Lock()
+		defer env.clients.listener.mu.Unlock()
+		return len(env.clients.listener.conns) == 2
 	})
-	late := w.dial()
+	late := env.dial()
 	io.WriteString(late, submitRequest("late", "charge", "1", 60, ""))
-	w.waitFor("it has its answer", func() bool { _, err := late.reader.Peek(1); return err == nil })
+	env.waitFor("the late request is answered", func() bool { _, err := late.reader.Peek(1); return err == nil })
 	for _, c := range waiting {
 		c.Close()
 	}
-	w.waitFor("all have their ends", w.journal.empty)
-	if calls, _ := at.calls(); calls > 0 {
-		t.Errorf("%d calls after the deadline", calls)
+	env.waitFor("all events are complete", env.journal.empty)
+	if calls, _ := endpoint.calls(); calls > 0 {
+		t.Errorf("got %d calls after the deadline, want none", calls)
 	}
 }
 
-// Guards against a connection that is closed over its request as soon as it has found room.
+// Guards against a connection that had to wait for room and is evicted, despite its request, as soon as it is accepted.
 func TestConnectionThatWaitedForRoomIsServed(t *testing.T) {
-	w := newTestEnv(t)
-	w.addEndpoint(1, say(answerOf("200 OK", "", "")))
-	w.beforeRun = func(n *Node) {
+	env := newTestEnv(t)
+	env.addEndpoint(1, say(answerOf("200 OK", "", "")))
+	env.beforeRun = func(n *Node) {
 		n.clients.listener.maxConns = 2
 	}
-	w.startNode()
-	for range 2 { // they take both places, until a request that does not come whole is hurried
-		io.WriteString(w.dial(), "POST /api HTTP/1.1\r\nHost: x\r\n")
+	env.startNode()
+	for range 2 { // incomplete requests, which hold both connections until one is evicted
+		io.WriteString(env.dial(), "POST /api HTTP/1.1\r\nHost: x\r\n")
 	}
-	w.waitFor("both places are taken", func() bool {
-		w.clients.listener.mu.Lock()
-		defer w.clients.listener.mu.Unlock()
-		return len(w.clients.listener.conns) == 2
+	env.waitFor("the connection limit is reached", func() bool {
+		env.clients.listener.mu.Lock()
+		defer env.clients.listener.mu.Unlock()
+		return len(env.clients.listener.conns) == 2
 	})
-	first, second := w.dial(), w.dial()
+	first, second := env.dial(), env.dial()
 	io.WriteString(second, submitRequest("second", "charge", "1", 8000, ""))
 	if status, _ := first.submit(submitRequest("first", "charge", "1", 8000, "")); status != statusAccepted {
-		t.Errorf("the first hears %d", status)
+		t.Errorf("the first client got status %d", status)
 	}
 	if status, _ := second.readResponse(""); status != statusAccepted {
-		t.Errorf("the second hears %d", status)
+		t.Errorf("the second client got status %d", status)
 	}
 }
 
-// Guards against a request that is repeated after its delivery, since its call timed out while the answer came.
+// Guards against an event that is sent again after its delivery because its call timed out while the response was arriving.
 func TestResponseArrivingAtTimeoutCounts(t *testing.T) {
-	at := newPeer(t, func(conn net.Conn, _ string) bool {
+	endpoint := newPeer(t, func(conn net.Conn, _ string) bool {
 		time.Sleep(60 * time.Millisecond)
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-")
 		time.Sleep(100 * time.Millisecond)
 		io.WriteString(conn, "Length: 0\r\n\r\n")
 		return true
 	})
-	p := newEndpoints(t, at.Addr().String())
+	p := newEndpoints(t, endpoint.Addr().String())
 	ends := make(chan result, 1)
 	c := &call{of: p}
 	s := newSend(t, c, "x", 10*time.Second)
 	c.sends = []*send{s}
 	go func() { ends <- ending(t, s) }()
 	go p.carry(c)
-	time.Sleep(110 * time.Millisecond) // the answer has begun, and stands unread or is being read
+	time.Sleep(110 * time.Millisecond) // the response has started to arrive, and is unread or being read
 	c.giveUp(port.TimedOut)
 	if r := <-ends; r.how != port.Acked {
 		t.Errorf("ended as %v", r.how)
 	}
 }
 
-// Guards against an answer that was taken off its connection and not looked at yet, in the moment in which its call times out.
+// Guards against a response that is lost because it was read from its connection but not yet parsed when its call timed
+// out.
 func TestResponseBeingReadAtTimeoutCounts(t *testing.T) {
-	at := newPeer(t, say(answerOf("200 OK", "", "")))
-	p := newEndpoints(t, at.Addr().String())
+	endpoint := newPeer(t, say(answerOf("200 OK", "", "")))
+	p := newEndpoints(t, endpoint.Addr().String())
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	conn := (&call{of: p, sends: nil}).connect(ctx, at.Addr().String())
+	conn := (&call{of: p, sends: nil}).connect(ctx, endpoint.Addr().String())
 	conn.expect()
 	if conn.answerBegun() {
-		t.Error("an answer before its call")
+		t.Error("a response was reported before the call was sent")
 	}
 	io.WriteString(conn, "POST /inbox HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
-	if _, err := conn.in.buf.Peek(1); err != nil { // all of it is in the buffer, and nobody was told
+	if _, err := conn.in.buf.Peek(1); err != nil { // the whole response is buffered, but not yet reported
 		t.Fatal(err)
 	}
 	c := &call{of: p, conn: conn, bytes: all}
 	if c.giveUp(port.TimedOut); c.gaveUp || !c.extended {
-		t.Error("its call is given up")
+		t.Error("the call was abandoned")
 	}
 }
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -43,17 +43,17 @@
  "rules":{"cold_share":0.2,"ramp_time_ms":9000,"fall_multiple":2,"tip_after_ms":2000,"drain_grace_ms":300,
   "ask_within_ms":9000}}`
 
-// testEnv is where a delivery node of the tests lives: endpoints, and a directory, which takes notices too.
+// testEnv is a delivery node with its endpoints and a discovery service, which also receives the notices.
 type testEnv struct {
 	t               *testing.T
 	folder          string
-	maxEvents       int     // events held at most
-	diskMB          float64 // of the folder
+	maxEvents       int     // limit of events in progress
+	diskMB          float64 // limit of the folder
 	hosts           []string
-	noticesToRefuse int // so many notices are refused first
+	noticesToRefuse int // the first notices are refused, this many
 	disk            store.Folder
 	timeSource      *timeSource
-	beforeRun       func(*Node) // before it runs
+	beforeRun       func(*Node) // called with the node before it runs
 	mu              sync.Mutex
 	notices         []string
 	*Node
@@ -65,96 +65,96 @@
 	return &testEnv{t: t, folder: t.TempDir(), maxEvents: 50, diskMB: 3}
 }
 
-// addEndpoint adds one of a destination.
-func (w *testEnv) addEndpoint(dest int, act func(net.Conn, string) bool) *peer {
-	p := newPeer(w.t, act)
-	w.hosts = append(w.hosts, fmt.Sprintf(`{"host":"s%d","dial":"%s","site":"here","class":"big","block":%d,
-		"health":"Ready"}`, len(w.hosts), p.Addr(), dest))
+// addEndpoint adds an endpoint of a destination. To be called before startNode.
+func (env *testEnv) addEndpoint(dest int, act func(net.Conn, string) bool) *peer {
+	p := newPeer(env.t, act)
+	env.hosts = append(env.hosts, fmt.Sprintf(`{"host":"s%d","dial":"%s","site":"here","class":"big","block":%d,
+		"health":"Ready"}`, len(env.hosts), p.Addr(), dest))
 	return p
 }
 
-func (w *testEnv) startNode() {
-	w.t.Helper()
-	list := strings.ReplaceAll(`{"seq":4,"whole":true,"hosts":[`+strings.Join(w.hosts, ",")+`]}`, "\n", "")
-	directory := newPeer(w.t, func(conn net.Conn, body string) bool {
+func (env *testEnv) startNode() {
+	env.t.Helper()
+	list := strings.ReplaceAll(`{"seq":4,"whole":true,"hosts":[`+strings.Join(env.hosts, ",")+`]}`, "\n", "")
+	directory := newPeer(env.t, func(conn net.Conn, body string) bool {
 		if body == "" {
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\n\r\n", len(list)+1, list)
 			return true
 		}
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		if w.noticesToRefuse--; w.noticesToRefuse >= 0 {
+		env.mu.Lock()
+		defer env.mu.Unlock()
+		if env.noticesToRefuse--; env.noticesToRefuse >= 0 {
 			return say(answerOf("503 Down", "", ""))(conn, body)
 		}
-		w.notices = append(w.notices, strings.Fields(body)...)
+		env.notices = append(env.notices, strings.Fields(body)...)
 		return say("HTTP/1.1 204 No Content\r\n\r\n")(conn, body)
 	})
-	s, err := start.JSON([]byte(fmt.Sprintf(testSettings, w.maxEvents)))
+	s, err := start.JSON([]byte(fmt.Sprintf(testSettings, env.maxEvents)))
 	if err != nil {
-		w.t.Fatal(err)
+		env.t.Fatal(err)
 	}
 	s.Directory.Asked = true
 	module := choice.New(1, s.Types, s.Partners, s.Room, s.Recovery, s.Directory, s.Fleet, s.OrderPause)
-	w.Node, err = Open(Place{Listen: "127.0.0.1:0", Directory: directory.Addr().String(), Folder: w.folder,
-		Known: []byte(list), disk: w.disk, machine: w.timeSource}, Limits{DiskMB: w.diskMB}, ClientTimes{}, s, module)
+	env.Node, err = Open(Place{Listen: "127.0.0.1:0", Directory: directory.Addr().String(), Folder: env.folder,
+		Known: []byte(list), disk: env.disk, machine: env.timeSource}, Limits{DiskMB: env.diskMB}, ClientTimes{}, s, module)
 	if err != nil {
-		w.t.Fatal(err)
+		env.t.Fatal(err)
 	}
-	if w.beforeRun != nil {
-		w.beforeRun(w.Node)
+	if env.beforeRun != nil {
+		env.beforeRun(env.Node)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	w.stop, w.done = stop, make(chan error, 1)
-	go func() { w.done <- w.Run(ctx) }()
-	w.t.Cleanup(func() {
-		w.Drain(0, 0, 0)
+	env.stop, env.done = stop, make(chan error, 1)
+	go func() { env.done <- env.Run(ctx) }()
+	env.t.Cleanup(func() {
+		env.Drain(0, 0, 0)
 		stop()
-		<-w.done
+		<-env.done
 	})
-	w.waitFor("it serves", func() bool { return w.Phase() == Serving })
+	env.waitFor("the node serves", func() bool { return env.Phase() == Serving })
 }
 
-func (w *testEnv) waitFor(what string, done func() bool) {
-	w.t.Helper()
+func (env *testEnv) waitFor(what string, done func() bool) {
+	env.t.Helper()
 	for end := time.Now().Add(long); !done(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			w.t.Fatalf("never: %s", what)
+			env.t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
 
-func (w *testEnv) receivedNotices() []string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return slices.Clone(w.notices)
+func (env *testEnv) receivedNotices() []string {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	return slices.Clone(env.notices)
 }
 
-func (w *testEnv) address() string { return w.clients.listener.Addr().String() }
+func (env *testEnv) address() string { return env.clients.listener.Addr().String() }
 
-// testClient is a connection to the delivery node.
+// testClient is a client connection to the delivery node.
 type testClient struct {
 	t *testing.T
 	net.Conn
 	reader *bufio.Reader
 }
 
-func (w *testEnv) dial() *testClient {
-	w.t.Helper()
-	conn, err := net.Dial("tcp", w.address())
+func (env *testEnv) dial() *testClient {
+	env.t.Helper()
+	conn, err := net.Dial("tcp", env.address())
 	if err != nil {
-		w.t.Fatal(err)
+		env.t.Fatal(err)
 	}
 	conn.SetDeadline(time.Now().Add(long))
-	w.t.Cleanup(func() { conn.Close() })
-	return &testClient{w.t, conn, bufio.NewReader(conn)}
+	env.t.Cleanup(func() { conn.Close() })
+	return &testClient{env.t, conn, bufio.NewReader(conn)}
 }
 
-// readResponse reads an answer: its status and one of its headers.
+// readResponse reads a response and returns its status and one of its header fields.
 func (c *testClient) readResponse(header string) (int, string) {
 	c.t.Helper()
 	var resp fasthttp.Response
 	if err := resp.Read(c.reader); err != nil {
-		c.t.Fatalf("no answer: %v", err)
+		c.t.Fatalf("no response: %v", err)
 	}
 	return resp.StatusCode(), string(resp.Header.Peek(header))
 }
@@ -172,16 +172,16 @@
 }
 
 func TestEachEventHasOneOutcome(t *testing.T) {
-	w := newTestEnv(t)
-	w.noticesToRefuse = 2
-	good := w.addEndpoint(1, say(answerOf("200 OK", "", "")))
-	w.addEndpoint(2, say(answerOf("500 Error", "", "")))
-	w.addEndpoint(3, say(answerOf("410 Over", "", "")))
-	w.startNode()
-	c := w.dial()
-	w.directory.mu.Lock()
-	w.directory.knownDests[9] = struct{}{} // listed once
-	w.directory.mu.Unlock()
+	env := newTestEnv(t)
+	env.noticesToRefuse = 2
+	good := env.addEndpoint(1, say(answerOf("200 OK", "", "")))
+	env.addEndpoint(2, say(answerOf("500 Error", "", "")))
+	env.addEndpoint(3, say(answerOf("410 Over", "", "")))
+	env.startNode()
+	c := env.dial()
+	env.directory.mu.Lock()
+	env.directory.knownDests[9] = struct{}{} // a destination that was listed before
+	env.directory.mu.Unlock()
 	for id, r := range map[string]string{
 		"delivered": submitRequest("delivered", "alert", "1", 8000, "a\x00\r\n b"),
 		"undone":    submitRequest("undone", "charge", "2", 8000, ""),
@@ -192,8 +192,8 @@
 			t.Fatalf("%s: %d", id, status)
 		}
 	}
-	w.waitFor("nothing is owed", w.journal.empty)
-	got := w.receivedNotices()
+	env.waitFor("all events are complete", env.journal.empty)
+	got := env.receivedNotices()
 	slices.Sort(got)
 	want := []string{`{"id":"nowhere","status":"deferred"}`, `{"id":"undone","status":"undeliverable"}`}
 	if !slices.Equal(got, want) {
@@ -205,31 +205,31 @@
 	for _, line := range []string{"POST /inbox HTTP/1.1\r\n", "Req-Id: delivered\r\n", "Content-Length: 6\r\n",
 		"Idempotency-Key: mark-delivered\r\n", "Req-Deadline-Ms: "} {
 		if !strings.Contains(head, line) {
-			t.Errorf("no %q in the call %q", line, head)
+			t.Errorf("%q is missing from the calls %q", line, head)
 		}
 	}
-	if held := w.held.Load(); held != 0 {
-		t.Errorf("%d still held", held)
+	if held := env.held.Load(); held != 0 {
+		t.Errorf("%d events are still held, want none", held)
 	}
 }
 
 func TestDuplicateID(t *testing.T) {
-	w := newTestEnv(t)
+	env := newTestEnv(t)
 	answer := make(chan string)
-	at := w.addEndpoint(1, func(conn net.Conn, body string) bool { return say(<-answer)(conn, body) })
-	w.startNode()
-	c := w.dial()
-	for range 2 { // while it is owed, it is not taken on twice
+	at := env.addEndpoint(1, func(conn net.Conn, body string) bool { return say(<-answer)(conn, body) })
+	env.startNode()
+	c := env.dial()
+	for range 2 { // a duplicate of a pending event is answered but not accepted again
 		if status, _ := c.submit(submitRequest("same", "charge", "1", 8000, "")); status != statusAccepted {
 			t.Fatal(status)
 		}
 	}
 	answer <- answerOf("200 OK", "", "")
-	w.waitFor("it is over", w.journal.empty)
+	env.waitFor("the event is complete", env.journal.empty)
 	if calls, _ := at.calls(); calls != 1 {
-		t.Errorf("%d calls", calls)
+		t.Errorf("got %d calls, want 1", calls)
 	}
-	// Handed in as the former ends, in the round that frees its index, it is another event.
+	// An event submitted in the round that frees the index of a completed one with the same id is a new event.
 	d := newDesk(clock{start: time.Now()}, &recordingModule{}, ms, []int{1})
 	first, second := &event{id: "same", steps: make(chan step, 9)}, &event{id: "same", steps: make(chan step, 9)}
 	d.take(first)
@@ -239,14 +239,14 @@
 	d.round(1)
 	d.Discard(second.index)
 	if len(second.steps) != 2 || len(first.steps) != 1 {
-		t.Errorf("%d and %d steps", len(first.steps), len(second.steps))
+		t.Errorf("got %d and %d steps, want 1 and 2", len(first.steps), len(second.steps))
 	}
 }
 
 func TestInvalidRequestsAreRejected(t *testing.T) {
-	w := newTestEnv(t)
-	w.addEndpoint(1, silent)
-	w.startNode()
+	env := newTestEnv(t)
+	env.addEndpoint(1, silent)
+	env.startNode()
 	good := submitRequest("x", "charge", "1", 8000, "")
 	length := func(heads string) string { return strings.Replace(good, "Content-Length: 0", heads, 1) }
 	both := length("Content-Length: 5\r\nTransfer-Encoding: chunked")
@@ -282,27 +282,27 @@
 		length("Transfer-Encoding: identity"):                                                        400,
 		length("Transfer-Encoding: chunked\r\n\r\nxyz\r\n"):                                          400,
 		both + "0\r\n\r\n":                                                                           400,
-		strings.Replace(good, "dest=1", "dest=2", 1):                                                 503, // not listed, or not yet
+		strings.Replace(good, "dest=1", "dest=2", 1):                                                 503, // the destination is not listed
 	} {
-		c := w.dial()
+		c := env.dial()
 		go io.WriteString(c, text)
 		if status, _ := c.readResponse(headerRetryAfter); status != want {
 			t.Errorf("%.80q: %d, want %d", text, status, want)
 		}
 	}
-	// What stands behind a request that cannot be read is none.
-	c := w.dial()
+	// Nothing that follows a request with invalid framing is parsed as a request.
+	c := env.dial()
 	io.WriteString(c, both+"0\r\n\r\n"+submitRequest("hidden", "charge", "1", 8000, ""))
 	c.readResponse("")
 	if _, err := c.reader.ReadByte(); err == nil {
-		t.Error("it goes on behind a request with two lengths")
+		t.Error("the connection continues after a request with two lengths")
 	}
-	if !w.journal.empty() {
-		t.Error("a bad request was taken on")
+	if !env.journal.empty() {
+		t.Error("an invalid request was accepted")
 	}
-	for _, body := range []string{"", strings.Repeat("\x00\r\n", 21000)} { // those at the border are good ones
+	for _, body := range []string{"", strings.Repeat("\x00\r\n", 21000)} { // bodies up to the limit are valid
 		id := fmt.Sprint("y", len(body))
-		if status, _ := w.dial().submit(submitRequest(id, "charge", "1", 8000, body)); status != statusAccepted {
+		if status, _ := env.dial().submit(submitRequest(id, "charge", "1", 8000, body)); status != statusAccepted {
 			t.Errorf("body of %d bytes: %d", len(body), status)
 		}
 	}
@@ -314,60 +314,60 @@
 		diskMB float64
 		body   string
 	}{{1, 3, ""}, {50, 0.1, strings.Repeat("x", maxBodyBytes)}, {50, 0.01, ""}} {
-		w := newTestEnv(t)
-		w.maxEvents, w.diskMB = c.open, c.diskMB
-		w.addEndpoint(1, silent)
-		w.startNode()
-		conn, status, back := w.dial(), statusAccepted, ""
+		env := newTestEnv(t)
+		env.maxEvents, env.diskMB = c.open, c.diskMB
+		env.addEndpoint(1, silent)
+		env.startNode()
+		conn, status, back := env.dial(), statusAccepted, ""
 		for i := 0; status == statusAccepted && i < 60; i++ {
 			status, back = conn.submit(submitRequest(fmt.Sprint("x", i), "charge", "1", 8000, c.body))
 		}
 		if status != statusDeclined || !strings.HasPrefix(back, "0.") || back == "0.000" {
-			t.Errorf("%d of %d bytes on %v MB: %d, come back after %q", c.open, len(c.body), c.diskMB, status, back)
+			t.Errorf("%d events of %d bytes on %v MB: status %d, Retry-After %q", c.open, len(c.body), c.diskMB, status, back)
 		}
-		if size := folderSize(t, w.folder); size > int64(c.diskMB*1e6) {
-			t.Errorf("%d bytes on disk", size)
+		if size := folderSize(t, env.folder); size > int64(c.diskMB*1e6) {
+			t.Errorf("%d bytes on disk exceed the limit", size)
 		}
 	}
 }
 
 func TestRestartRecoversAcceptedEvents(t *testing.T) {
-	w := newTestEnv(t)
-	at := w.addEndpoint(1, silent)
-	w.addEndpoint(2, say(answerOf("429 Full", "Retry-After: 60\r\n", "")))
-	w.startNode()
-	c := w.dial()
+	env := newTestEnv(t)
+	at := env.addEndpoint(1, silent)
+	env.addEndpoint(2, say(answerOf("429 Full", "Retry-After: 60\r\n", "")))
+	env.startNode()
+	c := env.dial()
 	for id, kind := range map[string]string{"out-alert": "alert", "out-charge": "charge", "out-keyed": "keyed"} {
 		c.submit(submitRequest(id, kind, "1", 8000, "body of "+id))
 	}
 	c.submit(submitRequest("waiting", "charge", "5", 8000, "body of waiting"))
-	w.waitFor("three sends are out", func() bool { calls, _ := at.calls(); return calls == 3 })
+	env.waitFor("three attempts are open", func() bool { calls, _ := at.calls(); return calls == 3 })
 
-	// What the folder holds at any moment is what a killed process leaves.
-	again := newTestEnv(t)
-	again.folder = killed(t, w.folder)
+	// A copy of the folder at any moment is what a killed process would leave behind.
+	restarted := newTestEnv(t)
+	restarted.folder = killed(t, env.folder)
 	bodies := make(chan string, 10)
-	good := again.addEndpoint(1, func(conn net.Conn, body string) bool {
+	good := restarted.addEndpoint(1, func(conn net.Conn, body string) bool {
 		bodies <- body
 		return say(answerOf("200 OK", "", ""))(conn, body)
 	})
-	again.addEndpoint(5, say(answerOf("200 OK", "", "")))
-	again.startNode()
-	again.waitFor("nothing is owed", again.journal.empty)
-	if got := again.receivedNotices(); !slices.Equal(got, []string{`{"id":"out-charge","status":"undeliverable"}`}) {
+	restarted.addEndpoint(5, say(answerOf("200 OK", "", "")))
+	restarted.startNode()
+	restarted.waitFor("all events are complete", restarted.journal.empty)
+	if got := restarted.receivedNotices(); !slices.Equal(got, []string{`{"id":"out-charge","status":"undeliverable"}`}) {
 		t.Errorf("notices %q", got)
 	}
 	got := []string{<-bodies, <-bodies}
 	slices.Sort(got)
 	if !slices.Equal(got, []string{"body of out-alert", "body of out-keyed"}) {
-		t.Errorf("sent again: %q", got)
+		t.Errorf("bodies sent after the restart: %q", got)
 	}
 	good.mu.Lock()
 	defer good.mu.Unlock()
 	head := strings.Join(good.heads, "")
 	if !strings.Contains(head, "Req-Id: out-keyed\r\n") ||
 		!strings.Contains(head, "Idempotency-Key: mark-out-keyed\r\n") {
-		t.Errorf("ids and marks changed: %q", head)
+		t.Errorf("id or idempotency key changed: %q", head)
 	}
 }
 
@@ -382,7 +382,7 @@
 	n.restore()
 	n.desk.round(0)
 	if got := r.joined(); got != want[1:] {
-		t.Errorf("order %s", got)
+		t.Errorf("got order %s, want%s", got, want)
 	}
 }
 
@@ -403,36 +403,36 @@
 		}
 	}
 	if got != "3 2 " {
-		t.Errorf("calls of %s", got)
+		t.Errorf("events per call: %s", got)
 	}
 }
 
 func TestPendingNoticeIsSentAfterRestartWithoutAttempts(t *testing.T) {
-	w := newTestEnv(t)
-	w.noticesToRefuse = 1 << 30
-	w.addEndpoint(1, say(answerOf("500 Error", "", "")))
-	w.startNode()
-	w.dial().submit(submitRequest("x", "charge", "1", 8000, ""))
-	w.waitFor("it is decided", func() bool { return w.held.Load() == 0 })
-	again := newTestEnv(t)
-	again.folder = killed(t, w.folder)
-	at := again.addEndpoint(1, say(answerOf("200 OK", "", "")))
-	again.startNode()
-	again.waitFor("nothing is owed", again.journal.empty)
-	if calls, _ := at.calls(); calls != 0 || len(again.receivedNotices()) != 1 {
-		t.Errorf("%d calls, notices %q", calls, again.receivedNotices())
+	env := newTestEnv(t)
+	env.noticesToRefuse = 1 << 30
+	env.addEndpoint(1, say(answerOf("500 Error", "", "")))
+	env.startNode()
+	env.dial().submit(submitRequest("x", "charge", "1", 8000, ""))
+	env.waitFor("the outcome is decided", func() bool { return env.held.Load() == 0 })
+	restarted := newTestEnv(t)
+	restarted.folder = killed(t, env.folder)
+	at := restarted.addEndpoint(1, say(answerOf("200 OK", "", "")))
+	restarted.startNode()
+	restarted.waitFor("all events are complete", restarted.journal.empty)
+	if calls, _ := at.calls(); calls != 0 || len(restarted.receivedNotices()) != 1 {
+		t.Errorf("got %d calls and notices %q, want no call and one notice", calls, restarted.receivedNotices())
 	}
 }
 
 func TestDrainAnswersAllRequestsAndFinishesAttempts(t *testing.T) {
-	w := newTestEnv(t)
+	env := newTestEnv(t)
 	answer := make(chan bool)
-	w.addEndpoint(1, func(conn net.Conn, body string) bool {
+	env.addEndpoint(1, func(conn net.Conn, body string) bool {
 		<-answer
 		return say(answerOf("200 OK", "", ""))(conn, body)
 	})
-	w.startNode()
-	idle, busy, half := w.dial(), w.dial(), w.dial()
+	env.startNode()
+	idle, busy, half := env.dial(), env.dial(), env.dial()
 	for i, c := range []*testClient{idle, busy} {
 		if status, _ := c.submit(submitRequest(fmt.Sprint("x", i), "charge", "1", 8000, "")); status != statusAccepted {
 			t.Fatal(status)
@@ -440,45 +440,45 @@
 	}
 	text := submitRequest("late", "charge", "1", 8000, "body")
 	io.WriteString(half, text[:len(text)-2])
-	w.stop()
-	w.waitFor("it drains", func() bool { return w.Phase() == Draining })
+	env.stop()
+	env.waitFor("the node drains", func() bool { return env.Phase() == Draining })
 	io.WriteString(busy, submitRequest("x2", "charge", "1", 8000, ""))
 	if status, connection := busy.readResponse("Connection"); status != statusAccepted || connection != "close" {
-		t.Errorf("while draining: %d, Connection: %q", status, connection)
+		t.Errorf("request while draining: status %d, Connection: %q", status, connection)
 	}
 	if _, err := idle.reader.ReadByte(); err != io.EOF {
-		t.Errorf("a connection between requests: %v", err)
+		t.Errorf("idle connection: %v, want EOF", err)
 	}
-	io.WriteString(half, text[len(text)-2:]) // it had begun when the others were closed
+	io.WriteString(half, text[len(text)-2:]) // this request had started before the idle connections were closed
 	if status, connection := half.readResponse("Connection"); status != statusAccepted || connection != "close" {
-		t.Errorf("begun before: %d, Connection: %q", status, connection)
+		t.Errorf("request started before the drain: status %d, Connection: %q", status, connection)
 	}
 	close(answer)
-	if err := <-w.done; err != nil {
+	if err := <-env.done; err != nil {
 		t.Error(err)
 	}
-	w.done <- nil
-	if !w.journal.empty() || w.Phase() != Stopped {
-		t.Errorf("owed at the end: %v, %s", !w.journal.empty(), w.Phase())
+	env.done <- nil
+	if !env.journal.empty() || env.Phase() != Stopped {
+		t.Errorf("events left at the end: %v, phase %s", !env.journal.empty(), env.Phase())
 	}
 }
 
 func TestClientIsAnsweredAfterDecisionsStop(t *testing.T) {
-	w := newTestEnv(t)
-	w.startNode()
-	w.desk.close()
-	status, _ := w.dial().submit(submitRequest("x", "charge", "1", 8000, ""))
-	if status != statusAccepted || w.journal.empty() {
-		t.Errorf("admitted, then the desk closed: %d", status)
-	}
-	w.deskShut.Store(true)
-	if status, _ := w.dial().submit(submitRequest("y", "charge", "1", 8000, "")); status != statusDeclined {
-		t.Errorf("after it closed: %d", status)
-	}
-	w.desk.stop = make(chan struct{}) // the drain closes it once more
+	env := newTestEnv(t)
+	env.startNode()
+	env.desk.close()
+	status, _ := env.dial().submit(submitRequest("x", "charge", "1", 8000, ""))
+	if status != statusAccepted || env.journal.empty() {
+		t.Errorf("request accepted after decisions stopped: status %d", status)
+	}
+	env.deskShut.Store(true)
+	if status, _ := env.dial().submit(submitRequest("y", "charge", "1", 8000, "")); status != statusDeclined {
+		t.Errorf("request after admission stopped: status %d", status)
+	}
+	env.desk.stop = make(chan struct{}) // closed again by the drain
 }
 
-// failingListener is a listener that is out of descriptors at first.
+// failingListener is a listener whose first calls to Accept fail for lack of descriptors.
 type failingListener struct {
 	net.Listener
 	acceptFailures int
@@ -491,8 +491,8 @@
 	return s.Listener.Accept()
 }
 
-// newListenerEnv is a delivery node of which nothing but the clients' side is there, for so many connections.
-func newListenerEnv(t *testing.T, most int, answer func(path string)) *testEnv {
+// newListenerEnv starts only the client listener of a delivery node, with a limit of connections.
+func newListenerEnv(t *testing.T, maxConns int, answer func(path string)) *testEnv {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -500,7 +500,7 @@
 	}
 	n := &Node{}
 	n.phase.Store(int32(Serving))
-	n.clients = &clientServer{node: n, listener: newListener(l, most, most),
+	n.clients = &clientServer{node: n, listener: newListener(l, maxConns, maxConns),
 		badRequests: tally{part: "clients", what: "test"},
 		handler: func(ctx *fasthttp.RequestCtx) {
 			ctx.Conn().(*clientConn).markRequestRead(true)
@@ -512,20 +512,20 @@
 
 func TestListenerEvictsIdleConnectionsAtLimit(t *testing.T) {
 	hold := make(chan bool)
-	w := newListenerEnv(t, 2, func(path string) {
+	env := newListenerEnv(t, 2, func(path string) {
 		if path == "/hold" {
 			<-hold
 		}
 	})
-	d := w.clients.listener
+	d := env.clients.listener
 	d.Listener = &failingListener{Listener: d.Listener, acceptFailures: 2}
-	go w.clients.serve()
+	go env.clients.serve()
 	get := func(c *testClient, path string) { fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: x\r\n\r\n", path) }
-	busy, idle := w.dial(), w.dial()
+	busy, idle := env.dial(), env.dial()
 	get(idle, "/")
 	idle.readResponse("")
 	get(busy, "/hold")
-	w.waitFor("one is busy", func() bool {
+	env.waitFor("one connection is busy", func() bool {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		n := 0
@@ -536,29 +536,29 @@
 		}
 		return n == 1
 	})
-	third := w.dial()
+	third := env.dial()
 	get(third, "/")
 	if status, _ := third.readResponse(""); status != 200 {
-		t.Errorf("the third: %d", status)
+		t.Errorf("third connection: status %d", status)
 	}
 	if _, err := idle.reader.ReadByte(); err != io.EOF {
-		t.Errorf("the idle one: %v", err)
+		t.Errorf("idle connection: %v, want EOF", err)
 	}
-	fourth := w.dial() // the third is idle by now
+	fourth := env.dial() // evicts the third, which is idle by now
 	get(fourth, "/")
 	fourth.readResponse("")
 	hold <- true
 	if status, _ := busy.readResponse(""); status != 200 {
-		t.Errorf("the busy one: %d", status)
+		t.Errorf("busy connection: status %d", status)
 	}
 }
 
 func TestIncompleteRequestsTimeOut(t *testing.T) {
-	w := newTestEnv(t)
-	w.addEndpoint(1, say(answerOf("200 OK", "", "")))
-	w.startNode()
+	env := newTestEnv(t)
+	env.addEndpoint(1, say(answerOf("200 OK", "", "")))
+	env.startNode()
 	text := submitRequest("x", "alert", "1", 8000, "body")
-	silent, trickle, body := w.dial(), w.dial(), w.dial()
+	silent, trickle, body := env.dial(), env.dial(), env.dial()
 	io.WriteString(body, text[:len(text)-1])
 	go func() {
 		for i := 0; ; i++ {
@@ -569,103 +569,103 @@
 		}
 	}()
 	begin := time.Now()
-	for what, c := range map[string]*testClient{"is silent": silent, "trickles": trickle, "keeps its body": body} {
+	for what, c := range map[string]*testClient{"sends nothing": silent, "sends slowly": trickle, "omits the body": body} {
 		c.SetDeadline(begin.Add(long / 2))
 		if _, err := io.ReadAll(c); errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("one that %s stays open", what)
+			t.Errorf("connection of a client that %s stays open", what)
 		}
 	}
-	if !w.journal.empty() {
-		t.Error("half a request was taken on")
+	if !env.journal.empty() {
+		t.Error("an incomplete request was accepted")
 	}
 }
 
 func TestNewClientsConnectWhileSlowClientsFillTheLimit(t *testing.T) {
-	w := newTestEnv(t)
-	w.addEndpoint(1, say(answerOf("200 OK", "", "")))
-	w.startNode()
-	w.clients.listener.mu.Lock()
-	w.clients.listener.maxConns = 10
-	w.clients.listener.mu.Unlock()
-	usual, text := w.dial(), submitRequest("x", "alert", "1", 8000, "body")
+	env := newTestEnv(t)
+	env.addEndpoint(1, say(answerOf("200 OK", "", "")))
+	env.startNode()
+	env.clients.listener.mu.Lock()
+	env.clients.listener.maxConns = 10
+	env.clients.listener.mu.Unlock()
+	usual, text := env.dial(), submitRequest("x", "alert", "1", 8000, "body")
 	usual.submit(text)
 	for i := range 30 {
-		if c := w.dial(); i%2 == 0 {
-			io.WriteString(c, text[:20]) // and no more; the others say nothing
+		if c := env.dial(); i%2 == 0 {
+			io.WriteString(c, text[:20]) // an incomplete request; the other clients send nothing
 		}
 	}
 	begin := time.Now()
-	if status, _ := w.dial().submit(submitRequest("y", "alert", "1", 8000, "")); status != statusAccepted {
-		t.Errorf("a new one hears %d", status)
+	if status, _ := env.dial().submit(submitRequest("y", "alert", "1", 8000, "")); status != statusAccepted {
+		t.Errorf("new client: status %d", status)
 	}
 	if took := time.Since(begin); took > defaultFirstRequestTimeout {
-		t.Errorf("a new one waits for %v", took)
+		t.Errorf("new client waited %v, want at most %v", took, defaultFirstRequestTimeout)
 	}
 	if status, _ := usual.submit(submitRequest("z", "alert", "1", 8000, "")); status != statusAccepted {
-		t.Errorf("one that was there before hears %d", status)
+		t.Errorf("existing client: status %d", status)
 	}
 }
 
 func TestIdleConnectionsAreTrimmed(t *testing.T) {
-	w := newTestEnv(t)
-	w.addEndpoint(1, say(answerOf("200 OK", "", "")))
-	w.startNode()
-	w.clients.listener.mu.Lock()
-	w.clients.listener.maxIdle = 3
-	w.clients.listener.mu.Unlock()
+	env := newTestEnv(t)
+	env.addEndpoint(1, say(answerOf("200 OK", "", "")))
+	env.startNode()
+	env.clients.listener.mu.Lock()
+	env.clients.listener.maxIdle = 3
+	env.clients.listener.mu.Unlock()
 	var all []*testClient
 	for i := range 5 {
-		all = append(all, w.dial())
+		all = append(all, env.dial())
 		if status, _ := all[i].submit(submitRequest(fmt.Sprint("x", i), "alert", "1", 8000, "")); status != statusAccepted {
 			t.Fatal(status)
 		}
 	}
 	begin := time.Now()
-	for i, c := range all[:2] { // far sooner than idle ones are closed
+	for i, c := range all[:2] { // closed long before the idle timeout
 		if _, err := c.reader.ReadByte(); err != io.EOF || time.Since(begin) > defaultClientIdleTimeout/2 {
 			t.Errorf("connection %d: %v after %v", i, err, time.Since(begin))
 		}
 	}
 	for i, c := range all[2:] {
 		if status, _ := c.submit(submitRequest(fmt.Sprint("y", i), "alert", "1", 8000, "")); status != statusAccepted {
-			t.Errorf("one of those used last: %d", status)
+			t.Errorf("recently used connection: status %d", status)
 		}
 	}
 }
 
 func TestRequestCloseYieldsToARequest(t *testing.T) {
-	w := newListenerEnv(t, 2, func(string) {})
-	d := w.clients.listener
-	c := w.dial()
+	env := newListenerEnv(t, 2, func(string) {})
+	d := env.clients.listener
+	c := env.dial()
 	io.WriteString(c, "half a request")
 	g, err := d.acceptConn()
 	if err != nil || !g.awaitRequest() {
-		t.Fatal("half a request is no rest", err)
+		t.Fatal("an incomplete request was not noticed", err)
 	}
 	d.closeAllIdle()
 	if g.closing {
-		t.Error("asked to close within a request")
+		t.Error("asked to close while a request was arriving")
 	}
 	if n, err := g.Read(make([]byte, 100)); n != 1 || err != nil {
-		t.Errorf("read on: %d, %v", n, err)
+		t.Errorf("first read: %d, %v", n, err)
 	}
 	if n, err := g.Read(make([]byte, 100)); n != 13 || err != nil {
-		t.Errorf("read on: %d, %v", n, err)
+		t.Errorf("second read: %d, %v", n, err)
 	}
 	g.markIdle()
 	d.closeAllIdle()
-	io.WriteString(c, "one that crosses the end")
+	io.WriteString(c, "a request that crosses the close")
 	begin := time.Now()
-	if g.awaitRequest() || time.Since(begin) > long/2 { // asked before it waits: what comes now is not read on
-		t.Errorf("it waits on, %v", time.Since(begin))
+	if g.awaitRequest() || time.Since(begin) > long/2 { // asked to close before it waits, so a request that arrives now is not read
+		t.Errorf("still waiting for a request after %v", time.Since(begin))
 	}
 	c.Close()
 	g.closeGracefully()
 	if !d.isEmpty() {
-		t.Error("it is counted on")
+		t.Error("the closed connection still counts")
 	}
-	// A byte that was read when the asking came: the request goes first.
-	c = w.dial()
+	// If the first byte was already read when the connection is asked to close, the request takes precedence.
+	c = env.dial()
 	if g, err = d.acceptConn(); err != nil {
 		t.Fatal(err)
 	}
@@ -675,27 +675,27 @@
 	go func() { rested <- g.awaitRequest() }()
 	d.mu.Unlock()
 	if !<-rested {
-		t.Error("a request was not taken up")
+		t.Error("the request was not noticed")
 	}
 }
 
 func TestIdleConnectionIsServedAndIncompleteRequestGets408(t *testing.T) {
-	w := newListenerEnv(t, 2, func(string) {})
-	d := w.clients.listener
-	d.requestTimeout = 50 * time.Millisecond // from the first byte: far less than a client may rest
-	go w.clients.serve()
-	ahead, half := w.dial(), w.dial()
+	env := newListenerEnv(t, 2, func(string) {})
+	d := env.clients.listener
+	d.requestTimeout = 50 * time.Millisecond // far less than the idle timeout
+	go env.clients.serve()
+	ahead, half := env.dial(), env.dial()
 	io.WriteString(half, "GET /up HTTP/1.1\r\nHo")
 	if status, connection := half.readResponse("Connection"); status != 408 || connection != "close" {
-		t.Errorf("half a request: %d, Connection: %q", status, connection)
+		t.Errorf("incomplete request: status %d, Connection: %q", status, connection)
 	}
-	io.WriteString(ahead, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n") // it rested for longer than a request may take
+	io.WriteString(ahead, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n") // after being idle for longer than requestTimeout
 	if status, _ := ahead.readResponse(""); status != 200 {
-		t.Errorf("one that connected ahead: %d", status)
+		t.Errorf("idle connection: status %d", status)
 	}
 	d.closeAllIdle()
-	if b, err := ahead.reader.ReadByte(); err != io.EOF { // no answer is written to nobody's request
-		t.Errorf("between requests: %q, %v", b, err)
+	if b, err := ahead.reader.ReadByte(); err != io.EOF { // an idle connection closes without a response
+		t.Errorf("idle connection after the close: %q, %v", b, err)
 	}
 }
 
@@ -706,22 +706,22 @@
 	}
 }
 
-// A close over unread bytes resets the connection, and the answers on their way go with it.
+// Guards against responses in flight that are lost because closing a socket with unread input resets the connection.
 func TestCloseDoesNotDiscardResponseInFlight(t *testing.T) {
-	w := newListenerEnv(t, 9, func(string) {})
-	d := w.clients.listener
+	env := newListenerEnv(t, 9, func(string) {})
+	d := env.clients.listener
 	for range 50 {
-		c := w.dial()
+		c := env.dial()
 		g, err := d.acceptConn()
 		if err != nil {
 			t.Fatal(err)
 		}
-		io.WriteString(g, "answer")            // on its way when
-		io.WriteString(c, "a request crosses") // before
+		io.WriteString(g, "answer")            // a response in flight
+		io.WriteString(c, "a request crosses") // unread input at the close
 		done := make(chan bool)
-		go func() { g.closeGracefully(); done <- true }() // it is closed
+		go func() { g.closeGracefully(); done <- true }()
 		if got, err := io.ReadAll(c.reader); string(got) != "answer" || err != nil {
-			t.Fatalf("the client heard %q, %v", got, err)
+			t.Fatalf("the client received %q, %v", got, err)
 		}
 		c.Close()
 		<-done
@@ -729,78 +729,78 @@
 }
 
 func TestPipelinedRequestsAreAllAnswered(t *testing.T) {
-	w := newTestEnv(t)
-	w.addEndpoint(1, say(answerOf("200 OK", "", "")))
-	w.startNode()
+	env := newTestEnv(t)
+	env.addEndpoint(1, say(answerOf("200 OK", "", "")))
+	env.startNode()
 	three := submitRequest("a", "alert", "1", 8000, "body") + submitRequest("b", "alert", "1", 8000, "") +
 		submitRequest("c", "alert", "1", 8000, "body")
-	c := w.dial()
+	c := env.dial()
 	io.WriteString(c, three)
 	for range 3 {
 		if status, _ := c.readResponse(""); status != statusAccepted {
-			t.Errorf("one of three at once: %d", status)
+			t.Errorf("one of three pipelined requests: status %d", status)
 		}
 	}
-	w.Drain(2*time.Second, 2*time.Second, 2*time.Second)
-	w.stop()
-	w.waitFor("it drains", func() bool { return w.Phase() == Draining })
-	c = w.dial()
+	env.Drain(2*time.Second, 2*time.Second, 2*time.Second)
+	env.stop()
+	env.waitFor("the node drains", func() bool { return env.Phase() == Draining })
+	c = env.dial()
 	io.WriteString(c, strings.NewReplacer("a\r", "d\r", "b\r", "e\r", "c\r", "f\r").Replace(three))
 	for i := range 3 {
 		status, connection := c.readResponse("Connection")
 		if status != statusAccepted || (connection == "close") != (i == 2) {
-			t.Errorf("request %d of three while draining: %d, Connection: %q", i, status, connection)
+			t.Errorf("pipelined request %d of three while draining: status %d, Connection: %q", i, status, connection)
 		}
 	}
 	if _, err := c.reader.ReadByte(); err != io.EOF {
-		t.Errorf("behind the last: %v", err)
+		t.Errorf("after the last response: %v, want EOF", err)
 	}
 }
 
 func TestRequestFramings(t *testing.T) {
-	w := newTestEnv(t)
-	at := w.addEndpoint(1, say(answerOf("200 OK", "", "")))
-	w.startNode()
+	env := newTestEnv(t)
+	at := env.addEndpoint(1, say(answerOf("200 OK", "", "")))
+	env.startNode()
 	head := func(id, more string) string {
 		return "POST /api HTTP/1.1\r\nhost: x\r\nREQ-ID: " + id + "\r\nreq-kind:alert\r\nReq-Owner:  acme \r\n" +
 			"Req-Deadline-Ms: 8000\r\nIdempotency-Key: m" + id + "\r\nX-Envelope: dest=1\r\n" + more + "\r\n"
 	}
 	for name, text := range map[string]string{
-		"chunked":        head("a", "Transfer-Encoding: chunked\r\n") + "3\r\nabc\r\n2;ext=1\r\nde\r\n0\r\n\r\n",
-		"no body":        head("b", "Content-Length: 0\r\n"),
-		"no length":      head("c", ""),
-		"a blank before": "\r\n" + head("d", "Content-Length: 3\r\n") + "abc",
+		"chunked":             head("a", "Transfer-Encoding: chunked\r\n") + "3\r\nabc\r\n2;ext=1\r\nde\r\n0\r\n\r\n",
+		"no body":             head("b", "Content-Length: 0\r\n"),
+		"no length":           head("c", ""),
+		"a blank line before": "\r\n" + head("d", "Content-Length: 3\r\n") + "abc",
 		"a form": head("e", "Content-Type: multipart/form-data; boundary=b\r\n"+
 			"Content-Length: 3\r\n") + "abc",
 		"the whole URI": strings.Replace(head("f", "Content-Length: 3\r\n"), "/api", "http://x/api", 1) + "abc",
 	} {
 		for _, piece := range []int{len(text), 7} {
-			c := w.dial()
+			c := env.dial()
 			text := strings.NewReplacer("Key: m", fmt.Sprint("Key: m", piece),
 				"REQ-ID: ", fmt.Sprint("REQ-ID: ", piece)).Replace(text)
 			for rest := text; rest != ""; rest = rest[min(piece, len(rest)):] {
 				io.WriteString(c, rest[:min(piece, len(rest))])
 			}
 			if status, _ := c.readResponse(""); status != statusAccepted {
-				t.Errorf("%s in pieces of %d: %d", name, piece, status)
+				t.Errorf("%s in pieces of %d bytes: status %d", name, piece, status)
 			}
 		}
 	}
-	c := w.dial()
+	c := env.dial()
 	io.WriteString(c, head("g", "Expect: 100-continue\r\nContent-Length: 3\r\n"))
 	if line, _ := c.reader.ReadString('\n'); !strings.Contains(line, " 100 ") {
-		t.Errorf("asked before the body: %q", line)
+		t.Errorf("response to Expect: 100-continue: %q", line)
 	}
 	c.reader.ReadString('\n')
 	if status, _ := c.submit("abc"); status != statusAccepted {
-		t.Errorf("behind that: %d", status)
+		t.Errorf("request after 100 Continue: status %d", status)
 	}
-	w.waitFor("all are delivered", func() bool { calls, _ := at.calls(); return calls > 0 && w.journal.empty() })
+	env.waitFor("all events are delivered", func() bool { calls, _ := at.calls(); return calls > 0 && env.journal.empty() })
 }
 
-// recordingModule is a module that writes down some of what it is told, and decides nothing.
+// recordingModule is a policy that records some of its input and decides nothing.
 type recordingModule struct {
-	port.Intake // what no test here tells it
+	port.Intake // methods that the tests do not call
 	mu          sync.Mutex
 	recorded    []string
 }
@@ -834,7 +834,7 @@
 	r.record("%d/%d/%d/%d/%d/%v", ep, dest, partner, zone, state, rate)
 }
 
-// newTestDirectory starts a desk with a recorder, and a directory at an address.
+// newTestDirectory starts a directory client for an address, with a recording policy.
 func newTestDirectory(t *testing.T, address string) (*directory, *recordingModule) {
 	r := &recordingModule{}
 	d := newDesk(clock{start: time.Now()}, r, ms, []int{1})
@@ -857,40 +857,40 @@
 		`"class":"?","block":4,"health":"Terminating","share":1}]}` + "\n"
 	const second = `{"seq":9,"whole":false,"hosts":[{"host":"a","dial":"127.0.0.1:3","site":"there",` +
 		`"class":"small one","block":3,"health":"Gone","share":2.5}]}` + "\n"
-	go1 := make(chan bool)
+	resume := make(chan bool)
 	at := newPeer(t, func(conn net.Conn, _ string) bool {
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for _, part := range strings.SplitAfter(first+"\n\n"+second, "s") {
 			fmt.Fprintf(conn, "%x\r\n%s\r\n", len(part), part)
 		}
-		for range 8 { // empty lines are signs of life, for far longer than silence is borne
+		for range 8 { // heartbeats keep the watch open for much longer than the silence timeout
 			time.Sleep(100 * time.Millisecond)
 			io.WriteString(conn, "1\r\n\n\r\n")
 		}
-		go1 <- true
-		return <-go1 // then silence
+		resume <- true
+		return <-resume // silence from here on
 	})
 	d, r := newTestDirectory(t, at.Addr().String())
 	d.setWatching(true)
-	w := &testEnv{t: t}
+	env := &testEnv{t: t}
 	want := "whole=true 0/0/1/1/2/2.5 1/1/2/2/1/1 ; whole=false 0/0/1/1/3/2.5 ;"
-	<-go1
+	<-resume
 	if got := r.joined(); got != want {
 		t.Errorf("got  %s\nwant %s", got, want)
 	}
-	w.waitFor("silence shows", func() bool { return r.joined() == want+" failed" })
-	go1 <- false
+	env.waitFor("the silent watch fails", func() bool { return r.joined() == want+" failed" })
+	resume <- false
 	d.setWatching(true)
-	w.waitFor("it is asked again", func() bool { calls, _ := at.calls(); return calls == 2 })
-	<-go1
-	go1 <- false
+	env.waitFor("the next watch is opened", func() bool { calls, _ := at.calls(); return calls == 2 })
+	<-resume
+	resume <- false
 	at.mu.Lock()
 	defer at.mu.Unlock()
 	if !strings.Contains(at.heads[1], "GET /discovery/hosts?watch=1&from=9 ") {
-		t.Errorf("asked again: %q", at.heads[1])
+		t.Errorf("second call: %q", at.heads[1])
 	}
 	if _, dial := d.endpoints.kept(0, true); dial != "" {
-		t.Errorf("still at %q", dial)
+		t.Errorf("endpoint still has the address %q", dial)
 	}
 }
 
@@ -909,14 +909,14 @@
 	})
 	d, r := newTestDirectory(t, at.Addr().String())
 	d.setWatching(true)
-	(&testEnv{t: t}).waitFor("it is cut off", func() bool { return strings.HasSuffix(r.joined(), "failed") })
+	(&testEnv{t: t}).waitFor("the watch fails", func() bool { return strings.HasSuffix(r.joined(), "failed") })
 	if got, want := r.joined(), "whole=true 0/0/2/2/2/0 ; whole=false ; failed"; got != want {
 		t.Errorf("got  %s\nwant %s", got, want)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.seq != 7 {
-		t.Errorf("it would ask from %d: half a list is none, and an older change is known", d.seq)
+		t.Errorf("known version %d, want 7: neither an incomplete list nor an older one may change it", d.seq)
 	}
 }
 
@@ -931,14 +931,14 @@
 	} {
 		d, r := newTestDirectory(t, newPeer(t, act).Addr().String())
 		d.setWatching(true)
-		(&testEnv{t: t}).waitFor(name+" shows", func() bool { return r.joined() == "failed" })
+		(&testEnv{t: t}).waitFor(name+" is reported", func() bool { return r.joined() == "failed" })
 	}
 	at := newPeer(t, say(answerOf("200 OK", "", `{"seq":1,"whole":true,"hosts":[{"block":1},{"host":"x"},`+
 		`{"host":"a","block":1,"class":"small one","health":"Ready"}]}`)))
 	d, r := newTestDirectory(t, at.Addr().String())
 	d.setWatching(true)
-	(&testEnv{t: t}).waitFor("the whole list comes", func() bool {
-		return r.joined() == "whole=true 0/0/1/2/2/0 ; failed" // it is no watch, and ended
+	(&testEnv{t: t}).waitFor("the full list is applied", func() bool {
+		return r.joined() == "whole=true 0/0/1/2/2/0 ; failed" // the response ended, which ends the watch
 	})
 }
 
@@ -959,29 +959,29 @@
 	after := newPeer(t, say("HTTP/1.1 200 OK\r\n\r\n"+line(5, "b")))
 	d, r := newTestDirectory(t, before.Addr().String())
 	d.silenceTimeout.Store(int64(long))
-	w := &testEnv{t: t}
+	env := &testEnv{t: t}
 	d.setWatching(true)
 	old <- line(4, "a")
-	w.waitFor("the old one tells", func() bool { return strings.HasSuffix(r.joined(), ";") })
+	env.waitFor("the old watch delivers a list", func() bool { return strings.HasSuffix(r.joined(), ";") })
 	d.setAddress(hangs.Addr().String())
-	w.waitFor("the next is asked", func() bool { calls, _ := hangs.calls(); return calls == 1 })
-	old <- line(5, "b") // until another stands, the old one is heard
-	w.waitFor("the old one tells on", func() bool { return strings.Contains(r.joined(), "1/0") })
+	env.waitFor("the next address is called", func() bool { calls, _ := hangs.calls(); return calls == 1 })
+	old <- line(5, "b") // the old watch is used until another has delivered something
+	env.waitFor("the old watch delivers another list", func() bool { return strings.Contains(r.joined(), "1/0") })
 	d.setAddress(after.Addr().String())
-	w.waitFor("the new one tells", func() bool { return strings.Count(r.joined(), ";") == 3 })
-	close(old) // it does not end by itself
-	w.waitFor("the others are closed once the new one stands", func() bool {
+	env.waitFor("the new watch delivers a list", func() bool { return strings.Count(r.joined(), ";") == 3 })
+	close(old) // the server does not end the watch by itself
+	env.waitFor("the other watches are closed", func() bool {
 		return len(before.ended) == 1 && len(hangs.ended) == 1
 	})
-	d.setWatching(true) // the same address, asked again
-	w.waitFor("it is asked again", func() bool { return strings.Count(r.joined(), ";") == 4 })
+	d.setWatching(true) // another watch at the same address
+	env.waitFor("the next watch is opened", func() bool { return strings.Count(r.joined(), ";") == 4 })
 	if strings.Contains(r.joined(), "failed") {
-		t.Errorf("an end on purpose passed for a failure: %s", r.joined())
+		t.Errorf("the end of a replaced watch was reported as a failure: %s", r.joined())
 	}
 	after.mu.Lock()
 	defer after.mu.Unlock()
 	if !strings.Contains(after.heads[0], "?watch=1&from=5 ") {
-		t.Errorf("asked %q", after.heads[0])
+		t.Errorf("first call at the new address: %q", after.heads[0])
 	}
 }
 
@@ -996,12 +996,12 @@
 	o.times(long, noticeAgain)
 	go o.run(stop)
 	o.post(notice{id: "x", verdict: discarded, told: func() { told <- struct{}{} }})
-	(&testEnv{t: t}).waitFor("it is out", func() bool { calls, _ := hangs.calls(); return calls == 1 })
+	(&testEnv{t: t}).waitFor("the notice is posted", func() bool { calls, _ := hangs.calls(); return calls == 1 })
 	o.move(after.Addr().String())
 	select {
 	case <-heard:
 	case <-time.After(long / 2):
-		t.Fatal("the notice waits at the old address")
+		t.Fatal("the notice still waits for the old address")
 	}
 	<-told
 }
@@ -1019,16 +1019,16 @@
 	d.endpoints.callBegins(0)
 	d.Forget(0)
 	d.round(0)
-	take("b", 1) // a late answer may still come for a's
+	take("b", 1) // a response to a call to endpoint a may still arrive
 	d.endpoints.listed(1, "e", "zone", "127.0.0.1:2")
 	d.endpoints.callEnds(0)
 	d.round(1)
 	take("c", 0)
 	if _, dial := d.endpoints.kept(0, true); dial != "" {
-		t.Errorf("the new one begins at %q", dial)
+		t.Errorf("the new endpoint has the old address %q", dial)
 	}
 	d.Forget(1)
-	take("b", 1) // listed again in time
+	take("b", 1) // listed again before the round that would free the index
 	d.round(2)
 	take("d", 2)
 }
@@ -1057,23 +1057,23 @@
 		t.Fatal(err, from)
 	}
 	to, _ := net.ResolveUDPAddr("udp", addresses[0])
-	sockets[2].WriteToUDP(buf[:n], to) // no peer
+	sockets[2].WriteToUDP(buf[:n], to) // not from a peer
 	sockets[1].WriteToUDP([]byte("nonsense"), to)
 	sockets[1].WriteToUDP(note.GoodHost("unlisted", note.Order{Process: 1}), to)
 	sockets[1].WriteToUDP(buf[:n], to)
-	(&testEnv{t: t}).waitFor("the note is heard", func() bool { return strings.HasSuffix(r.joined(), "; good 1 1") })
-	// What comes again, or behind a later one, also of the process before, is no news.
+	(&testEnv{t: t}).waitFor("the datagram is received", func() bool { return strings.HasSuffix(r.joined(), "; good 1 1") })
+	// Duplicates, and datagrams older than the latest one or from an earlier process, are ignored.
 	for _, o := range []note.Order{{Process: 5, Number: 2}, {Process: 5, Number: 2}, {Process: 5, Number: 1}, {Process: 4, Number: 9},
 		{Process: 5, Number: 3}} {
 		sockets[1].WriteToUDP(note.GoodHost("a", o), to)
 	}
-	(&testEnv{t: t}).waitFor("the last one is heard", func() bool { return strings.Count(r.joined(), "good 1 0") >= 2 })
+	(&testEnv{t: t}).waitFor("the last datagram is received", func() bool { return strings.Count(r.joined(), "good 1 0") >= 2 })
 	time.Sleep(20 * time.Millisecond)
 	if got := strings.Count(r.joined(), "good 1 0"); got != 2 {
-		t.Errorf("%d of 5 were taken for news, want 2", got)
+		t.Errorf("%d of 5 datagrams were used, want 2", got)
 	}
 	later := time.Now().Add(maxDatagramDelay)
 	if !p.isNewer(1, note.Order{Process: 4, Number: 1}, later) {
-		t.Error("a peer whose clock was set back is never heard again")
+		t.Error("a peer whose clock was set back is ignored for good")
 	}
 }
