--- a/node/clientconn.go
+++ b/node/clientconn.go
@@ -96,7 +96,7 @@
 	}
 	c.setReadTimeout(c.listener.idleTimeout)
 	if c.responseWritten {
-		c.delayedSince = time.Time{}
+		c.readFailingSince = time.Time{}
 	}
 	c.listener.mu.Unlock()
 	n, err := c.retryConn.Read(c.firstByte[:])
@@ -171,7 +171,7 @@
 	defer c.listener.mu.Unlock()
 	c.requestRead, c.hadValidRequest = true, c.hadValidRequest || valid
 	c.requests++
-	c.state.ReadRequest()
+	c.state.MarkRequestRead()
 }
 
 // markIdle records that the response was written, and that the connection may now be closed to make room.
@@ -209,7 +209,7 @@
 			c.awaitPeerClose()
 		}
 	}
-	c.state.Close(c.RemoteAddr().String())
+	c.state.CheckClose(c.RemoteAddr().String())
 	c.recordClose()
 	c.Conn.Close()
 	c.listener.mu.Lock()
@@ -230,10 +230,10 @@
 // receiveDelay returns how long the last request may have waited before it was read, or 0 if reading and accepting
 // were not delayed.
 func (c *clientConn) receiveDelay() time.Duration {
-	if c.delayedSince.IsZero() {
+	if c.readFailingSince.IsZero() {
 		return 0
 	}
-	return time.Since(c.delayedSince)
+	return time.Since(c.readFailingSince)
 }
 
 // awaitPeerClose waits until the client has closed its side, the linger timeout has passed or the connection is
@@ -257,7 +257,7 @@
 	raw.Read(func(descriptor uintptr) bool {
 		var one [1]byte
 		n, _, err := syscall.Recvfrom(int(descriptor), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		unread = n > 0 || errclass.Socket(err) == errclass.Momentary
+		unread = n > 0 || errclass.Socket(err) == errclass.Transient
 		return !errors.Is(err, syscall.EAGAIN)
 	})
 	return unread
--- a/node/clients.go
+++ b/node/clients.go
@@ -44,8 +44,8 @@
 	node           *Node
 	listener       *listener
 	handler        func(*fasthttp.RequestCtx) // handles each request that was read successfully
-	badRequests    tally
-	recentRequests received
+	badRequests    throttledLog
+	recentRequests recentRequests
 }
 
 // Buffers are pooled and held only while a request is read and answered, since most connections are idle most of
@@ -63,16 +63,16 @@
 	logs.Part("clients").Debugf(format, args...)
 }
 
-func newClientServer(n *Node, address string, times ClientTimes, maxConns, maxIdle int) (*clientServer, error) {
+func newClientServer(n *Node, address string, times ClientTimeouts, maxConns, maxIdle int) (*clientServer, error) {
 	l, err := openSocket(func() (net.Listener, error) { return net.Listen("tcp", address) })
 	if err != nil {
 		return nil, err
 	}
 	c := &clientServer{node: n, listener: newListener(l, maxConns, maxIdle),
-		badRequests: tally{part: "clients", what: "rejected invalid requests"}}
-	c.listener.firstRequestTimeout, c.listener.idleTimeout = cmp.Or(times.First, defaultFirstRequestTimeout),
-		cmp.Or(times.Between, defaultClientIdleTimeout)
-	c.listener.requestTimeout = cmp.Or(times.Whole, defaultRequestTimeout)
+		badRequests: throttledLog{part: "clients", message: "rejected invalid requests"}}
+	c.listener.firstRequestTimeout, c.listener.idleTimeout = cmp.Or(times.FirstRequest, defaultFirstRequestTimeout),
+		cmp.Or(times.Idle, defaultClientIdleTimeout)
+	c.listener.requestTimeout = cmp.Or(times.Request, defaultRequestTimeout)
 	c.handler = c.handle
 	return c, nil
 }
@@ -146,7 +146,7 @@
 	}
 	conn.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
 	_, err := conn.Write(out.B)
-	conn.state.Answer() // either the response was written in full or the client is gone
+	conn.state.MarkAnswered() // either the response was written in full or the client is gone
 	switch {
 	case err != nil:
 		conn.setCloseReason(clientCloseNotWritten)
@@ -230,32 +230,32 @@
 		c.rejectRequest(ctx, status, problem)
 		return
 	}
-	request, first := c.recentRequests.first(e.id)
+	request, first := c.recentRequests.add(e.id)
 	if first {
-		c.recentRequests.answer(request, c.acceptEvent(ctx, e))
+		c.recentRequests.complete(request, c.acceptEvent(ctx, e))
 	}
-	<-request.answered
+	<-request.done
 	c.respond(ctx, request.answer)
 }
 
 // acceptEvent starts processing an event or refuses it, and returns the answer for the client.
-func (c *clientServer) acceptEvent(ctx *fasthttp.RequestCtx, e *event) answer {
-	if reason := c.node.refuses(e); reason != "" {
-		logRefusal(e.id, reason)
-		return answer{status: statusDeclined, comeBack: c.node.desk.full()}
+func (c *clientServer) acceptEvent(ctx *fasthttp.RequestCtx, e *event) clientResponse {
+	if reason := c.node.refusalReason(e); reason != "" {
+		recordRefusal(e.id, reason)
+		return clientResponse{status: statusDeclined, retryAfter: c.node.decisions.fullRetryAfter()}
 	}
 	if conn, ok := ctx.Conn().(*clientConn); ok && logs.Debugging() {
 		logs.Event("clients", e.id).WithField("connection", conn.id).Debug("request received")
 	}
-	go c.node.life(e)
-	return <-e.answer
+	go c.node.runEvent(e)
+	return <-e.response
 }
 
 // respond tells the client that its event was accepted, or when to retry.
-func (c *clientServer) respond(ctx *fasthttp.RequestCtx, a answer) {
+func (c *clientServer) respond(ctx *fasthttp.RequestCtx, a clientResponse) {
 	ctx.SetStatusCode(a.status)
 	if a.status == statusDeclined {
-		ctx.Response.Header.Set(headerRetryAfter, strconv.FormatFloat(float64(a.comeBack)/1e9, 'f', retryAfterDecimals, 64))
+		ctx.Response.Header.Set(headerRetryAfter, strconv.FormatFloat(float64(a.retryAfter)/1e9, 'f', retryAfterDecimals, 64))
 	}
 }
 
@@ -277,7 +277,7 @@
 
 // rejectRequest responds to an invalid request and counts it for the log.
 func (c *clientServer) rejectRequest(ctx *fasthttp.RequestCtx, status int, text string) {
-	c.badRequests.note(text)
+	c.badRequests.record(text)
 	respondText(ctx, status, text)
 }
 
@@ -292,18 +292,18 @@
 func (n *Node) parseEvent(ctx *fasthttp.RequestCtx) (e *event, status int, problem string) {
 	header := func(name string) string { return string(ctx.Request.Header.Peek(name)) }
 	bad := fasthttp.StatusBadRequest
-	e = &event{id: header(headerID), mark: header(headerIdempotencyKey)}
+	e = &event{id: header(headerID), idempotencyKey: header(headerIdempotencyKey)}
 	if !isValidIdentifier(e.id, maxIDBytes) {
 		return nil, bad, headerID + ": want 1 to 64 plain characters"
 	}
 	var ok bool
-	if e.typ, e.customer, ok = n.find(header(headerKind), header(headerOwner)); !ok {
+	if e.typ, e.customer, ok = n.resolveNames(header(headerKind), header(headerOwner)); !ok {
 		return nil, bad, headerKind + " or " + headerOwner + " is unknown"
 	}
-	if e.mark != "" && !isValidIdentifier(e.mark, maxIdempotencyKeyBytes) {
+	if e.idempotencyKey != "" && !isValidIdentifier(e.idempotencyKey, maxIdempotencyKeyBytes) {
 		return nil, bad, headerIdempotencyKey + ": want at most 256 plain characters"
 	}
-	if e.mark == "" && n.marked(e.typ) {
+	if e.idempotencyKey == "" && n.requiresIdempotencyKey(e.typ) {
 		return nil, bad, headerIdempotencyKey + " is missing"
 	}
 	left, err := strconv.ParseUint(header(headerDeadline), 10, 63)
@@ -317,10 +317,10 @@
 	if conn, ok := ctx.Conn().(*clientConn); ok { // the deadline counts from the arrival of the request
 		left -= uint64(min(conn.receiveDelay().Milliseconds(), int64(left)))
 	}
-	e.due, e.deadline = n.clock.now()+int64(left)*1e6, n.clock.timeOfDay()+int64(left)*1e6
-	e.safety = n.safety(e.typ)
-	e.request = lifecycle.NewRequest(e.id, e.due, n.repeatable(e.typ))
-	e.steps, e.answer = make(chan step, maxSteps), make(chan answer, 1)
+	e.monoDeadline, e.wallDeadline = n.clock.now()+int64(left)*1e6, n.clock.timeOfDay()+int64(left)*1e6
+	e.safety = n.safetyOf(e.typ)
+	e.request = lifecycle.NewRequest(e.id, e.monoDeadline, n.repeatable(e.typ))
+	e.updates, e.response = make(chan eventUpdate, updateBuffer), make(chan clientResponse, 1)
 	return e, 0, ""
 }
 
--- a/node/clock_test.go
+++ b/node/clock_test.go
@@ -57,15 +57,15 @@
 		client.submit(submitRequest("short", "charge", "9", 1500, ""))
 
 		restarted := newTestEnv(t)
-		restarted.folder = killed(t, env.folder)
+		restarted.folder = copyAsKilled(t, env.folder)
 		stepped := systemTimeSource()
 		stepped.wallClock = func() int64 { return wallClock() + int64(step) }
 		restarted.timeSource = &stepped
-		endpoint := restarted.addEndpoint(1, say(answerOf("200 OK", "", "")))
+		endpoint := restarted.addEndpoint(1, respond(httpResponse("200 OK", "", "")))
 		start := time.Now()
 		restarted.startNode()
 		restarted.waitFor("all events are complete", restarted.journal.empty)
-		if calls, _ := endpoint.calls(); calls != 1 {
+		if calls, _ := endpoint.counts(); calls != 1 {
 			t.Errorf("step of %v: got %d calls, want 1", step, calls)
 		}
 		if took := time.Since(start); took > 1800*time.Millisecond || len(restarted.receivedNotices()) != 1 {
--- a/node/directory.go
+++ b/node/directory.go
@@ -20,9 +20,9 @@
 	"github.com/valyala/fasthttp"
 	"github.com/valyala/fastjson"
 
+	"jaspersill/delivery"
 	"jaspersill/logs"
 	"jaspersill/metrics"
-	"jaspersill/port"
 	"jaspersill/start"
 )
 
@@ -42,13 +42,13 @@
 type directory struct {
 	address        string
 	silenceTimeout atomic.Int64 // ns; a call that receives nothing for this long has failed
-	desk           *desk
-	endpoints      *endpoints
+	desk           *decisionLoop
+	endpoints      *endpointPool
 	partnerNames   []string
 	zoneNames      []string
 	useRates       bool
 
-	watchErrors trouble
+	watchErrors failureLog
 
 	mu          sync.Mutex
 	seq         uint64
@@ -141,8 +141,8 @@
 
 // reportFailure tells the policy that a discovery call failed.
 func (d *directory) reportFailure(err error) {
-	d.watchErrors.note(err)
-	d.desk.hear(func(to port.Intake) { to.ListFailed() })
+	d.watchErrors.record(err)
+	d.desk.enqueue(func(to delivery.Handler) { to.ListFailed() })
 }
 
 // follow makes one discovery call and applies each list that it receives, until the call ends.
@@ -153,7 +153,7 @@
 	connect := func(ctx context.Context, address string) (net.Conn, error) {
 		return dialer.DialContext(ctx, "tcp", address)
 	}
-	conn, err := dialAgain(connectCtx, connect, address)
+	conn, err := dialWithRetry(connectCtx, connect, address)
 	if err != nil {
 		return err
 	}
@@ -201,7 +201,7 @@
 			return fmt.Errorf("cannot parse the list of endpoints: %w", err)
 		}
 		heartbeats.remaining = maxListBytes
-		d.watchErrors.note(nil)
+		d.watchErrors.record(nil)
 	}
 	return ctx.Err()
 }
@@ -243,7 +243,7 @@
 		site       string
 		dest       uint32
 		partner    int
-		state      port.State
+		state      delivery.EndpointState
 		rate       float64
 	}
 	var list []entry
@@ -264,11 +264,11 @@
 		}
 		switch state := string(h.GetStringBytes("health")); state {
 		case "Ready":
-			e.state = port.Ready
+			e.state = delivery.Ready
 		case "Gone":
-			e.state = port.Gone
+			e.state = delivery.Gone
 		default: // an endpoint not known to be ready may not accept new events
-			e.state = port.Draining
+			e.state = delivery.Draining
 		}
 		list = append(list, e)
 	}
@@ -289,20 +289,20 @@
 	for _, e := range list {
 		d.knownDests[e.dest] = struct{}{}
 	}
-	d.desk.hear(func(to port.Intake) {
-		to.ListBegins(whole)
+	d.desk.enqueue(func(to delivery.Handler) {
+		to.ListStarted(whole)
 		for _, e := range list {
-			ep, fresh := d.desk.listed(e.host, e.partner)
+			ep, fresh := d.desk.registerEndpoint(e.host, e.partner)
 			if e.dial != "" || fresh {
-				d.endpoints.listed(ep, e.host, e.site, e.dial)
+				d.endpoints.updateEndpoint(ep, e.host, e.site, e.dial)
 			}
-			if e.state == port.Gone { // another endpoint may answer at this address from now on
-				d.endpoints.listed(ep, e.host, e.site, "")
+			if e.state == delivery.Gone { // another endpoint may answer at this address from now on
+				d.endpoints.updateEndpoint(ep, e.host, e.site, "")
 			}
-			dest, _ := d.desk.dests.Take(e.dest)
-			to.Listed(ep, dest, e.partner, d.zoneIndex(e.site), e.state, e.rate)
+			dest, _ := d.desk.destIndex.Take(e.dest)
+			to.EndpointListed(ep, dest, e.partner, d.zoneIndex(e.site), e.state, e.rate)
 		}
-		to.ListEnds()
+		to.ListEnded()
 	})
 	return nil
 }
--- a/node/iofaults_test.go
+++ b/node/iofaults_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
+	"jaspersill/delivery"
 	"jaspersill/lifecycle"
-	"jaspersill/port"
 	"jaspersill/store"
 )
 
@@ -62,7 +62,7 @@
 // recoverAfterKill returns the events that a restart after a kill would find in a folder, by id.
 func recoverAfterKill(t *testing.T, folder string) map[string]*store.Event {
 	t.Helper()
-	found, err := store.Recover(store.Dir(killed(t, folder)))
+	found, err := store.Recover(store.Dir(copyAsKilled(t, folder)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 		answer := make(chan bool)
 		endpoint := env.addEndpoint(1, func(conn net.Conn, body string) bool {
 			<-answer
-			return say(answerOf("500 Error", "", ""))(conn, body)
+			return respond(httpResponse("500 Error", "", ""))(conn, body)
 		})
 		env.startNode()
 		sent := time.Now()
@@ -91,7 +91,7 @@
 		if status, _ := env.dial().submit(submitRequest("x", "charge", "1", left.Milliseconds(), "")); status != statusAccepted {
 			t.Fatal(status)
 		}
-		env.waitFor("the attempt is open", func() bool { calls, _ := endpoint.calls(); return calls == 1 })
+		env.waitFor("the attempt is open", func() bool { calls, _ := endpoint.counts(); return calls == 1 })
 		disk.failing.Store(true)
 		answer <- true
 		time.Sleep(200 * time.Millisecond)
@@ -149,16 +149,16 @@
 	env := newTestEnv(t)
 	disk := &faultyDisk{Dir: store.Dir(env.folder)}
 	env.disk = disk
-	endpoint := env.addEndpoint(1, say(answerOf("200 OK", "", "")))
+	endpoint := env.addEndpoint(1, respond(httpResponse("200 OK", "", "")))
 	env.startNode()
 	c := env.dial()
 	c.submit(submitRequest("first", "charge", "1", 8000, ""))
-	env.waitFor("the first call has opened a connection", func() bool { calls, _ := endpoint.calls(); return calls == 1 })
+	env.waitFor("the first call has opened a connection", func() bool { calls, _ := endpoint.counts(); return calls == 1 })
 	disk.writeDelay.Store(int64(400 * time.Millisecond))
 	c.submit(submitRequest("second", "charge", "1", 600, ""))
 	disk.writeDelay.Store(int64(600 * time.Millisecond))
 	env.waitFor("the second event is complete", env.journal.empty)
-	if calls, _ := endpoint.calls(); calls != 1 {
+	if calls, _ := endpoint.counts(); calls != 1 {
 		t.Errorf("got %d calls, want 1: the second was sent after its deadline", calls)
 	}
 }
@@ -167,35 +167,35 @@
 func TestCancellationDoesNotWaitForTheDisk(t *testing.T) {
 	folder := t.TempDir()
 	disk := &faultyDisk{Dir: store.Dir(folder)}
-	j, _, err := openJournal(folder, disk, wallClock, 3, 6, anyName)
+	j, _, err := openJournal(folder, disk, wallClock, 3, 6, findAnyType)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(j.close)
-	endpoint := newPeer(t, say(answerOf("200 OK", "", "")))
+	endpoint := newTestEndpoint(t, respond(httpResponse("200 OK", "", "")))
 	for name, callOff := range map[string]func(*call){
-		"cancelled": func(c *call) { c.giveUp(port.Cancelled) },
-		"recalled":  func(c *call) { c.recall(c.sends[0]) },
+		"cancelled": func(c *call) { c.abandon(delivery.Cancelled) },
+		"recalled":  func(c *call) { c.recall(c.attempts[0]) },
 	} {
-		p := newEndpoints(t, endpoint.Addr().String())
+		p := newTestPool(t, endpoint.Addr().String())
 		p.journal = j
-		c := &call{of: p}
-		s := newSend(t, c, name, 10*time.Second)
-		c.sends = []*send{s}
+		c := &call{pool: p}
+		s := newTestAttempt(t, c, name, 10*time.Second)
+		c.attempts = []*attempt{s}
 		disk.writeDelay.Store(int64(time.Second))
-		go p.carry(c)
+		go p.execute(c)
 		time.Sleep(200 * time.Millisecond) // the attempt's record is being written
 		began := time.Now()
 		callOff(c)
 		if took := time.Since(began); took > 100*time.Millisecond {
 			t.Errorf("%s: took %v", name, took)
 		}
-		if r := ending(t, s); r.how != port.Unsent {
-			t.Errorf("%s: ended as %v", name, r.how)
+		if r := awaitResult(t, s); r.outcome != delivery.Unsent {
+			t.Errorf("%s: ended as %v", name, r.outcome)
 		}
 		disk.writeDelay.Store(0)
 	}
-	if calls, _ := endpoint.calls(); calls > 0 {
+	if calls, _ := endpoint.counts(); calls > 0 {
 		t.Errorf("%d calls were sent, want none", calls)
 	}
 }
@@ -279,7 +279,7 @@
 	for _, errno := range []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR, syscall.ETIMEDOUT,
 		syscall.EHOSTUNREACH} {
 		env := newTestEnv(t)
-		env.addEndpoint(1, say(answerOf("200 OK", "", "")))
+		env.addEndpoint(1, respond(httpResponse("200 OK", "", "")))
 		env.beforeRun = func(n *Node) {
 			n.clients.listener.Listener = &faultyListener{Listener: n.clients.listener.Listener,
 				wrap: func(c *net.TCPConn) net.Conn {
@@ -300,8 +300,8 @@
 // momentarily.
 func TestAttemptSurvivesMomentarySocketErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL, syscall.EINTR} {
-		endpoint := newPeer(t, say(answerOf("200 OK", "", "")))
-		p := newEndpoints(t, endpoint.Addr().String())
+		endpoint := newTestEndpoint(t, respond(httpResponse("200 OK", "", "")))
+		p := newTestPool(t, endpoint.Addr().String())
 		dial, fails := p.dial, 3
 		p.dial = func(ctx context.Context, address string) (net.Conn, error) {
 			if fails--; fails >= 0 {
@@ -313,10 +313,10 @@
 			}
 			return &faultyConn{TCPConn: conn.(*net.TCPConn), errno: errno, failReads: 3, failWrites: 3}, nil
 		}
-		if ends, _ := deliver(t, p, 5*time.Second); ends[0].how != port.Acked {
-			t.Errorf("%v: ended as %v", errno, ends[0].how)
+		if ends, _ := executeCall(t, p, 5*time.Second); ends[0].outcome != delivery.Acked {
+			t.Errorf("%v: ended as %v", errno, ends[0].outcome)
 		}
-		if calls, _ := endpoint.calls(); calls != 1 {
+		if calls, _ := endpoint.counts(); calls != 1 {
 			t.Errorf("%v: %d calls", errno, calls)
 		}
 	}
@@ -324,12 +324,12 @@
 
 // Guards against an endpoint that counts as unresponsive because this machine could not open a socket.
 func TestLocalFailureIsNotAttributedToEndpoint(t *testing.T) {
-	p := newEndpoints(t, "127.0.0.1:9")
+	p := newTestPool(t, "127.0.0.1:9")
 	p.dial = func(context.Context, string) (net.Conn, error) {
 		return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", syscall.ENFILE)}
 	}
-	if ends, _ := deliver(t, p, 300*time.Millisecond); ends[0].how != port.Unsent {
-		t.Errorf("ended as %v", ends[0].how)
+	if ends, _ := executeCall(t, p, 300*time.Millisecond); ends[0].outcome != delivery.Unsent {
+		t.Errorf("ended as %v", ends[0].outcome)
 	}
 }
 
@@ -338,7 +338,7 @@
 func TestAcceptErrorClosesNoConnection(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.EPROTO, syscall.ENETDOWN} {
 		env := newTestEnv(t)
-		env.addEndpoint(1, say(answerOf("200 OK", "", "")))
+		env.addEndpoint(1, respond(httpResponse("200 OK", "", "")))
 		var l *faultyListener
 		env.beforeRun = func(n *Node) {
 			l = &faultyListener{Listener: n.clients.listener.Listener, errno: errno}
@@ -370,7 +370,7 @@
 // Guards against a request that is read from a connection whose sending side is closed, so that it cannot be answered.
 func TestNothingIsReadAfterHalfClose(t *testing.T) {
 	env := newTestEnv(t)
-	env.addEndpoint(1, say(answerOf("200 OK", "", "")))
+	env.addEndpoint(1, respond(httpResponse("200 OK", "", "")))
 	conns := make(chan *faultyConn, 10)
 	env.beforeRun = func(n *Node) {
 		n.clients.listener.Listener = &faultyListener{Listener: n.clients.listener.Listener,
@@ -404,7 +404,7 @@
 // Guards against an event that is forwarded after its deadline because reading its request had failed for a while.
 func TestDeadlineCountsFromArrivalDespiteReadErrors(t *testing.T) {
 	env := newTestEnv(t)
-	endpoint := env.addEndpoint(1, say(answerOf("200 OK", "", "")))
+	endpoint := env.addEndpoint(1, respond(httpResponse("200 OK", "", "")))
 	env.beforeRun = func(n *Node) {
 		n.clients.listener.Listener = &faultyListener{Listener: n.clients.listener.Listener,
 			wrap: func(c *net.TCPConn) net.Conn { return &faultyConn{TCPConn: c, errno: syscall.ENOBUFS, failReads: 30} }}
@@ -412,7 +412,7 @@
 	env.startNode()
 	env.dial().submit(submitRequest("late", "charge", "1", 250, "")) // 30 read errors delay the request by 0.5 s
 	env.waitFor("the event is complete", env.journal.empty)
-	if calls, _ := endpoint.calls(); calls > 0 {
+	if calls, _ := endpoint.counts(); calls > 0 {
 		t.Errorf("got %d calls after the deadline, want none", calls)
 	}
 }
@@ -436,12 +436,12 @@
 // writing it had failed for a while.
 func TestAttemptCanBeRecalledWhileWriteFails(t *testing.T) {
 	for name, callOff := range map[string]func(*call){
-		"timed out": func(c *call) { c.giveUp(port.TimedOut) },
-		"recalled":  func(c *call) { c.recall(c.sends[0]) },
+		"timed out": func(c *call) { c.abandon(delivery.TimedOut) },
+		"recalled":  func(c *call) { c.recall(c.attempts[0]) },
 		"late":      func(c *call) {},
 	} {
-		endpoint := newPeer(t, say(answerOf("200 OK", "", "")))
-		p := newEndpoints(t, endpoint.Addr().String())
+		endpoint := newTestEndpoint(t, respond(httpResponse("200 OK", "", "")))
+		p := newTestPool(t, endpoint.Addr().String())
 		dial := p.dial
 		p.dial = func(ctx context.Context, address string) (net.Conn, error) {
 			conn, err := dial(ctx, address)
@@ -450,20 +450,20 @@
 			}
 			return &faultyConn{TCPConn: conn.(*net.TCPConn), errno: syscall.ENOBUFS, failWrites: 20, writeNothing: true}, nil
 		}
-		c := &call{of: p}
-		s := newSend(t, c, name, 10*time.Second)
+		c := &call{pool: p}
+		s := newTestAttempt(t, c, name, 10*time.Second)
 		if name == "late" {
-			s.event.request = lifecycle.RestoredRequest(name, p.clock.now()+int64(200*time.Millisecond), true, false)
+			s.event.request = lifecycle.RestoreRequest(name, p.clock.now()+int64(200*time.Millisecond), true, false)
 		}
-		c.sends = []*send{s}
-		go p.carry(c)
+		c.attempts = []*attempt{s}
+		go p.execute(c)
 		time.Sleep(50 * time.Millisecond)
 		callOff(c)
-		if r := ending(t, s); r.how != port.Unsent {
-			t.Errorf("%s: ended as %v", name, r.how)
+		if r := awaitResult(t, s); r.outcome != delivery.Unsent {
+			t.Errorf("%s: ended as %v", name, r.outcome)
 		}
 		time.Sleep(400 * time.Millisecond) // 20 write errors take 0.3 s
-		if calls, _ := endpoint.calls(); calls > 0 {
+		if calls, _ := endpoint.counts(); calls > 0 {
 			t.Errorf("%s: %d calls were sent, want none", name, calls)
 		}
 	}
@@ -473,11 +473,11 @@
 // delayed.
 func TestDelayedBulkCallOmitsRecalledEvents(t *testing.T) {
 	bodies := make(chan string, 10)
-	endpoint := newPeer(t, func(conn net.Conn, body string) bool {
+	endpoint := newTestEndpoint(t, func(conn net.Conn, body string) bool {
 		bodies <- body
-		return say(answerOf("200 OK", "", "kept done\r\n"))(conn, body)
+		return respond(httpResponse("200 OK", "", "kept done\r\n"))(conn, body)
 	})
-	p := newEndpoints(t, endpoint.Addr().String())
+	p := newTestPool(t, endpoint.Addr().String())
 	dial := p.dial
 	p.dial = func(ctx context.Context, address string) (net.Conn, error) {
 		conn, err := dial(ctx, address)
@@ -486,17 +486,17 @@
 		}
 		return &faultyConn{TCPConn: conn.(*net.TCPConn), errno: syscall.EHOSTUNREACH, failWrites: 20, writeNothing: true}, nil
 	}
-	c := &call{of: p}
-	kept, recalled := newSend(t, c, "kept", long), newSend(t, c, "recalled", long)
+	c := &call{pool: p}
+	kept, recalled := newTestAttempt(t, c, "kept", testTimeout), newTestAttempt(t, c, "recalled", testTimeout)
 	kept.event.body, recalled.event.body = []byte("kept body"), []byte("recalled body")
-	c.sends = []*send{recalled, kept}
-	go p.carry(c)
+	c.attempts = []*attempt{recalled, kept}
+	go p.execute(c)
 	time.Sleep(50 * time.Millisecond) // the first byte of the call cannot be written
 	c.recall(recalled)
-	if r := ending(t, recalled); r.how != port.Unsent {
+	if r := awaitResult(t, recalled); r.outcome != delivery.Unsent {
 		t.Errorf("recalled: %+v", r)
 	}
-	if r := ending(t, kept); r.how != port.Acked {
+	if r := awaitResult(t, kept); r.outcome != delivery.Acked {
 		t.Errorf("kept: %+v", r)
 	}
 	if body := <-bodies; strings.Contains(body, "recalled body") || !strings.Contains(body, "kept body") {
@@ -506,8 +506,8 @@
 
 // Guards against an attempt that is sent while an earlier response, which may carry Retry-After, cannot be read.
 func TestNoCallWhileResponseCannotBeRead(t *testing.T) {
-	endpoint := newPeer(t, say(answerOf("200 OK", "", "")))
-	p := newEndpoints(t, endpoint.Addr().String())
+	endpoint := newTestEndpoint(t, respond(httpResponse("200 OK", "", "")))
+	p := newTestPool(t, endpoint.Addr().String())
 	dial := p.dial
 	p.dial = func(ctx context.Context, address string) (net.Conn, error) {
 		conn, err := dial(ctx, address)
@@ -516,26 +516,26 @@
 		}
 		return &faultyConn{TCPConn: conn.(*net.TCPConn), errno: syscall.ENOBUFS, failReads: 30}, nil
 	}
-	first := &call{of: p}
-	first.sends = []*send{newSend(t, first, "first", 10*time.Second)}
-	second := &call{of: p}
-	second.sends = []*send{newSend(t, second, "second", 10*time.Second)}
-	recalled := second.sends[0]
-	go p.carry(first)
-	for end := time.Now().Add(long); !p.stalled(0) && time.Now().Before(end); {
+	first := &call{pool: p}
+	first.attempts = []*attempt{newTestAttempt(t, first, "first", 10*time.Second)}
+	second := &call{pool: p}
+	second.attempts = []*attempt{newTestAttempt(t, second, "second", 10*time.Second)}
+	recalled := second.attempts[0]
+	go p.execute(first)
+	for end := time.Now().Add(testTimeout); !p.stalled(0) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	go p.carry(second)
+	go p.execute(second)
 	time.Sleep(100 * time.Millisecond)
-	if calls, _ := endpoint.calls(); calls != 1 {
+	if calls, _ := endpoint.counts(); calls != 1 {
 		t.Errorf("got %d calls while the first response cannot be read, want 1", calls)
 	}
 	second.recall(recalled)
-	if r := ending(t, recalled); r.how != port.Unsent {
-		t.Errorf("recalled: ended as %v", r.how)
+	if r := awaitResult(t, recalled); r.outcome != delivery.Unsent {
+		t.Errorf("recalled: ended as %v", r.outcome)
 	}
-	if r := ending(t, first.sends[0]); r.how != port.Acked {
-		t.Errorf("the first call ended as %v", r.how)
+	if r := awaitResult(t, first.attempts[0]); r.outcome != delivery.Acked {
+		t.Errorf("the first call ended as %v", r.outcome)
 	}
 }
 
@@ -543,7 +543,7 @@
 // connection limit was reached.
 func TestDeadlineCountsWhileConnectionWaitsForRoom(t *testing.T) {
 	env := newTestEnv(t)
-	endpoint := env.addEndpoint(1, say(answerOf("200 OK", "", "")))
+	endpoint := env.addEndpoint(1, respond(httpResponse("200 OK", "", "")))
 	env.beforeRun = func(n *Node) {
 		n.clients.listener.maxConns = 2
 	}
@@ -566,7 +566,7 @@
 		c.Close()
 	}
 	env.waitFor("all events are complete", env.journal.empty)
-	if calls, _ := endpoint.calls(); calls > 0 {
+	if calls, _ := endpoint.counts(); calls > 0 {
 		t.Errorf("got %d calls after the deadline, want none", calls)
 	}
 }
@@ -574,7 +574,7 @@
 // Guards against a connection that had to wait for room and is evicted, despite its request, as soon as it is accepted.
 func TestConnectionThatWaitedForRoomIsServed(t *testing.T) {
 	env := newTestEnv(t)
-	env.addEndpoint(1, say(answerOf("200 OK", "", "")))
+	env.addEndpoint(1, respond(httpResponse("200 OK", "", "")))
 	env.beforeRun = func(n *Node) {
 		n.clients.listener.maxConns = 2
 	}
@@ -599,45 +599,45 @@
 
 // Guards against an event that is sent again after its delivery because its call timed out while the response was arriving.
 func TestResponseArrivingAtTimeoutCounts(t *testing.T) {
-	endpoint := newPeer(t, func(conn net.Conn, _ string) bool {
+	endpoint := newTestEndpoint(t, func(conn net.Conn, _ string) bool {
 		time.Sleep(60 * time.Millisecond)
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-")
 		time.Sleep(100 * time.Millisecond)
 		io.WriteString(conn, "Length: 0\r\n\r\n")
 		return true
 	})
-	p := newEndpoints(t, endpoint.Addr().String())
+	p := newTestPool(t, endpoint.Addr().String())
 	ends := make(chan result, 1)
-	c := &call{of: p}
-	s := newSend(t, c, "x", 10*time.Second)
-	c.sends = []*send{s}
-	go func() { ends <- ending(t, s) }()
-	go p.carry(c)
+	c := &call{pool: p}
+	s := newTestAttempt(t, c, "x", 10*time.Second)
+	c.attempts = []*attempt{s}
+	go func() { ends <- awaitResult(t, s) }()
+	go p.execute(c)
 	time.Sleep(110 * time.Millisecond) // the response has started to arrive, and is unread or being read
-	c.giveUp(port.TimedOut)
-	if r := <-ends; r.how != port.Acked {
-		t.Errorf("ended as %v", r.how)
+	c.abandon(delivery.TimedOut)
+	if r := <-ends; r.outcome != delivery.Acked {
+		t.Errorf("ended as %v", r.outcome)
 	}
 }
 
 // Guards against a response that is lost because it was read from its connection but not yet parsed when its call timed
 // out.
 func TestResponseBeingReadAtTimeoutCounts(t *testing.T) {
-	endpoint := newPeer(t, say(answerOf("200 OK", "", "")))
-	p := newEndpoints(t, endpoint.Addr().String())
+	endpoint := newTestEndpoint(t, respond(httpResponse("200 OK", "", "")))
+	p := newTestPool(t, endpoint.Addr().String())
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	conn := (&call{of: p, sends: nil}).connect(ctx, endpoint.Addr().String())
-	conn.expect()
-	if conn.answerBegun() {
+	conn := (&call{pool: p, attempts: nil}).connect(ctx, endpoint.Addr().String())
+	conn.expectAnswer()
+	if conn.answerStarted() {
 		t.Error("a response was reported before the call was sent")
 	}
 	io.WriteString(conn, "POST /inbox HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
-	if _, err := conn.in.buf.Peek(1); err != nil { // the whole response is buffered, but not yet reported
+	if _, err := conn.reader.buf.Peek(1); err != nil { // the whole response is buffered, but not yet reported
 		t.Fatal(err)
 	}
-	c := &call{of: p, conn: conn, bytes: all}
-	if c.giveUp(port.TimedOut); c.gaveUp || !c.extended {
+	c := &call{pool: p, conn: conn, progress: progressWritten}
+	if c.abandon(delivery.TimedOut); c.abandoned || !c.timeoutExtended {
 		t.Error("the call was abandoned")
 	}
 }
--- a/node/journalreport.go
+++ b/node/journalreport.go
@@ -30,7 +30,7 @@
 	Faults         []string // file, offset and reason of each damaged, missing or foreign part
 }
 
-func (v verdict) String() string { return [...]string{"open", "declined", "discarded"}[v] }
+func (v resolution) String() string { return [...]string{"open", "declined", "discarded"}[v] }
 
 // ReadJournal reads the journal of a state folder, in the current or the previous format. It changes nothing, and the
 // node may be running. Damage is part of the report; an error means that the folder cannot be read or has no journal.
@@ -42,29 +42,29 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &JournalReport{SizeBytes: found.Size, Records: found.Records, TruncatedBytes: found.Torn, RecordsMissing: found.Lost}
+	r := &JournalReport{SizeBytes: found.Size, Records: found.Records, TruncatedBytes: found.TornBytes, RecordsMissing: found.RecordsLost}
 	for _, fault := range found.Faults {
 		r.Faults = append(r.Faults, filepath.Join(folder, fault))
 	}
 	addFault := func(offset int, reason string) {
 		r.Faults = append(
 			r.Faults,
-			fmt.Sprintf("%s: offset %d: %s", filepath.Join(folder, oldName), offset, reason),
+			fmt.Sprintf("%s: offset %d: %s", filepath.Join(folder, legacyName), offset, reason),
 		)
 	}
 	list := found.Events
-	old, err := readOld(folder, addFault)
+	old, err := readLegacyJournal(folder, addFault)
 	if err != nil {
 		return nil, err
 	}
 	if old != nil {
-		for _, e := range old.events(addFault) {
+		for _, e := range old.pendingEvents(addFault) {
 			list = append(list, &e)
 		}
 	}
 	for _, e := range list {
-		r.Pending = append(r.Pending, PendingEvent{ID: e.ID, Kind: e.Kind, Owner: e.Owner, IdempotencyKey: e.Mark, Dest: e.Dest,
-			Deadline: time.Unix(0, e.Deadline), Attempts: len(e.Sends), Verdict: verdict(e.Verdict).String(),
+		r.Pending = append(r.Pending, PendingEvent{ID: e.ID, Kind: e.Kind, Owner: e.Owner, IdempotencyKey: e.IdempotencyKey, Dest: e.Dest,
+			Deadline: time.Unix(0, e.Deadline), Attempts: len(e.Attempts), Verdict: resolution(e.Verdict).String(),
 			BodyBytes: len(e.Body), MayHaveRun: e.MayHaveRun()})
 	}
 	return r, nil
--- a/node/listener.go
+++ b/node/listener.go
@@ -28,7 +28,7 @@
 	// byte of a later request until it is read, and idleTimeout between two requests.
 	firstRequestTimeout, requestTimeout, idleTimeout time.Duration
 
-	acceptErrors trouble
+	acceptErrors failureLog
 	delayedSince time.Time // when accepting began to fail or to wait for room; connections accepted since may have
 	delayedUntil time.Time // queued since then, until the backlog of that time is accepted
 
@@ -45,7 +45,7 @@
 	l := &listener{Listener: socket, maxConns: maxConns, maxIdle: maxIdle,
 		firstRequestTimeout: defaultFirstRequestTimeout, requestTimeout: defaultRequestTimeout,
 		idleTimeout:  defaultClientIdleTimeout,
-		acceptErrors: trouble{part: "clients", what: "accepting connections"},
+		acceptErrors: failureLog{part: "clients", operation: "accepting connections"},
 		conns:        make(map[*clientConn]struct{})}
 	l.roomChanged.L = &l.mu
 	return l
@@ -61,9 +61,9 @@
 		if errclass.Socket(err) == errclass.Closed {
 			return nil, err
 		}
-		l.acceptErrors.note(err)
-		momentaryFailures.With("accept").Add()
-		if errclass.ShortOfDescriptors(err) {
+		l.acceptErrors.record(err)
+		transientFailures.With("accept").Add()
+		if errclass.DescriptorsExhausted(err) {
 			l.mu.Lock()
 			l.evictOne(time.Now())
 			l.mu.Unlock()
@@ -71,7 +71,7 @@
 		time.Sleep(acceptRetryDelay)
 		socket, err = l.Listener.Accept()
 	}
-	l.acceptErrors.note(nil)
+	l.acceptErrors.record(nil)
 	now := time.Now()
 	if now.Sub(l.delayedUntil) > acceptRetryDelay+backlogAcceptTime {
 		l.delayedSince = time.Time{}
@@ -86,7 +86,7 @@
 		l.roomChanged.Wait()
 		recheck.Stop()
 	}
-	c.delayedSince, c.stateSince = l.delayedSince, time.Now()
+	c.readFailingSince, c.stateSince = l.delayedSince, time.Now()
 	l.conns[c] = struct{}{}
 	return c, nil
 }
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -19,9 +19,9 @@
 	"github.com/valyala/bytebufferpool"
 	"github.com/valyala/fasthttp"
 
-	"jaspersill/choice"
+	"jaspersill/delivery"
 	"jaspersill/note"
-	"jaspersill/port"
+	"jaspersill/scheduler"
 	"jaspersill/start"
 	"jaspersill/store"
 )
@@ -51,7 +51,7 @@
 	diskMB          float64 // limit of the folder
 	hosts           []string
 	noticesToRefuse int // the first notices are refused, this many
-	disk            store.Folder
+	disk            store.FS
 	timeSource      *timeSource
 	beforeRun       func(*Node) // called with the node before it runs
 	mu              sync.Mutex
@@ -66,8 +66,8 @@
 }
 
 // addEndpoint adds an endpoint of a destination. To be called before startNode.
-func (env *testEnv) addEndpoint(dest int, act func(net.Conn, string) bool) *peer {
-	p := newPeer(env.t, act)
+func (env *testEnv) addEndpoint(dest int, act func(net.Conn, string) bool) *testEndpoint {
+	p := newTestEndpoint(env.t, act)
 	env.hosts = append(env.hosts, fmt.Sprintf(`{"host":"s%d","dial":"%s","site":"here","class":"big","block":%d,
 		"health":"Ready"}`, len(env.hosts), p.Addr(), dest))
 	return p
@@ -76,7 +76,7 @@
 func (env *testEnv) startNode() {
 	env.t.Helper()
 	list := strings.ReplaceAll(`{"seq":4,"whole":true,"hosts":[`+strings.Join(env.hosts, ",")+`]}`, "\n", "")
-	directory := newPeer(env.t, func(conn net.Conn, body string) bool {
+	directory := newTestEndpoint(env.t, func(conn net.Conn, body string) bool {
 		if body == "" {
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\n\r\n", len(list)+1, list)
 			return true
@@ -84,19 +84,19 @@
 		env.mu.Lock()
 		defer env.mu.Unlock()
 		if env.noticesToRefuse--; env.noticesToRefuse >= 0 {
-			return say(answerOf("503 Down", "", ""))(conn, body)
+			return respond(httpResponse("503 Down", "", ""))(conn, body)
 		}
 		env.notices = append(env.notices, strings.Fields(body)...)
-		return say("HTTP/1.1 204 No Content\r\n\r\n")(conn, body)
+		return respond("HTTP/1.1 204 No Content\r\n\r\n")(conn, body)
 	})
 	s, err := start.JSON([]byte(fmt.Sprintf(testSettings, env.maxEvents)))
 	if err != nil {
 		env.t.Fatal(err)
 	}
-	s.Directory.Asked = true
-	module := choice.New(1, s.Types, s.Partners, s.Room, s.Recovery, s.Directory, s.Fleet, s.OrderPause)
-	env.Node, err = Open(Place{Listen: "127.0.0.1:0", Directory: directory.Addr().String(), Folder: env.folder,
-		Known: []byte(list), disk: env.disk, machine: env.timeSource}, Limits{DiskMB: env.diskMB}, ClientTimes{}, s, module)
+	s.Directory.RequiresWatch = true
+	module := scheduler.New(1, s.Types, s.Partners, s.Room, s.Recovery, s.Directory, s.Fleet, s.OrderPause)
+	env.Node, err = Open(Config{Listen: "127.0.0.1:0", Directory: directory.Addr().String(), StateFolder: env.folder,
+		KnownEndpoints: []byte(list), disk: env.disk, machine: env.timeSource}, Limits{DiskMB: env.diskMB}, ClientTimeouts{}, s, module)
 	if err != nil {
 		env.t.Fatal(err)
 	}
@@ -107,7 +107,7 @@
 	env.stop, env.done = stop, make(chan error, 1)
 	go func() { env.done <- env.Run(ctx) }()
 	env.t.Cleanup(func() {
-		env.Drain(0, 0, 0)
+		env.SetDrainTimes(0, 0, 0)
 		stop()
 		<-env.done
 	})
@@ -116,7 +116,7 @@
 
 func (env *testEnv) waitFor(what string, done func() bool) {
 	env.t.Helper()
-	for end := time.Now().Add(long); !done(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !done(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			env.t.Fatalf("timed out waiting until %s", what)
 		}
@@ -144,7 +144,7 @@
 	if err != nil {
 		env.t.Fatal(err)
 	}
-	conn.SetDeadline(time.Now().Add(long))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	env.t.Cleanup(func() { conn.Close() })
 	return &testClient{env.t, conn, bufio.NewReader(conn)}
 }
@@ -174,9 +174,9 @@
 func TestEachEventHasOneOutcome(t *testing.T) {
 	env := newTestEnv(t)
 	env.noticesToRefuse = 2
-	good := env.addEndpoint(1, say(answerOf("200 OK", "", "")))
-	env.addEndpoint(2, say(answerOf("500 Error", "", "")))
-	env.addEndpoint(3, say(answerOf("410 Over", "", "")))
+	good := env.addEndpoint(1, respond(httpResponse("200 OK", "", "")))
+	env.addEndpoint(2, respond(httpResponse("500 Error", "", "")))
+	env.addEndpoint(3, respond(httpResponse("410 Over", "", "")))
 	env.startNode()
 	c := env.dial()
 	env.directory.mu.Lock()
@@ -201,14 +201,14 @@
 	}
 	good.mu.Lock()
 	defer good.mu.Unlock()
-	head := strings.Join(good.heads, "")
+	head := strings.Join(good.requestHeaders, "")
 	for _, line := range []string{"POST /inbox HTTP/1.1\r\n", "Req-Id: delivered\r\n", "Content-Length: 6\r\n",
 		"Idempotency-Key: mark-delivered\r\n", "Req-Deadline-Ms: "} {
 		if !strings.Contains(head, line) {
 			t.Errorf("%q is missing from the calls %q", line, head)
 		}
 	}
-	if held := env.held.Load(); held != 0 {
+	if held := env.activeEvents.Load(); held != 0 {
 		t.Errorf("%d events are still held, want none", held)
 	}
 }
@@ -216,7 +216,7 @@
 func TestDuplicateID(t *testing.T) {
 	env := newTestEnv(t)
 	answer := make(chan string)
-	at := env.addEndpoint(1, func(conn net.Conn, body string) bool { return say(<-answer)(conn, body) })
+	at := env.addEndpoint(1, func(conn net.Conn, body string) bool { return respond(<-answer)(conn, body) })
 	env.startNode()
 	c := env.dial()
 	for range 2 { // a duplicate of a pending event is answered but not accepted again
@@ -224,28 +224,28 @@
 			t.Fatal(status)
 		}
 	}
-	answer <- answerOf("200 OK", "", "")
+	answer <- httpResponse("200 OK", "", "")
 	env.waitFor("the event is complete", env.journal.empty)
-	if calls, _ := at.calls(); calls != 1 {
+	if calls, _ := at.counts(); calls != 1 {
 		t.Errorf("got %d calls, want 1", calls)
 	}
 	// An event submitted in the round that frees the index of a completed one with the same id is a new event.
-	d := newDesk(clock{start: time.Now()}, &recordingModule{}, ms, []int{1})
-	first, second := &event{id: "same", steps: make(chan step, 9)}, &event{id: "same", steps: make(chan step, 9)}
-	d.take(first)
+	d := newDecisionLoop(clock{start: time.Now()}, &recordingModule{}, ms, []int{1})
+	first, second := &event{id: "same", updates: make(chan eventUpdate, 9)}, &event{id: "same", updates: make(chan eventUpdate, 9)}
+	d.addEvent(first)
 	d.round(0)
-	d.leave(first)
-	d.take(second)
+	d.removeEvent(first)
+	d.addEvent(second)
 	d.round(1)
 	d.Discard(second.index)
-	if len(second.steps) != 2 || len(first.steps) != 1 {
-		t.Errorf("got %d and %d steps, want 1 and 2", len(first.steps), len(second.steps))
+	if len(second.updates) != 2 || len(first.updates) != 1 {
+		t.Errorf("got %d and %d steps, want 1 and 2", len(first.updates), len(second.updates))
 	}
 }
 
 func TestInvalidRequestsAreRejected(t *testing.T) {
 	env := newTestEnv(t)
-	env.addEndpoint(1, silent)
+	env.addEndpoint(1, noResponse)
 	env.startNode()
 	good := submitRequest("x", "charge", "1", 8000, "")
 	length := func(heads string) string { return strings.Replace(good, "Content-Length: 0", heads, 1) }
@@ -316,7 +316,7 @@
 	}{{1, 3, ""}, {50, 0.1, strings.Repeat("x", maxBodyBytes)}, {50, 0.01, ""}} {
 		env := newTestEnv(t)
 		env.maxEvents, env.diskMB = c.open, c.diskMB
-		env.addEndpoint(1, silent)
+		env.addEndpoint(1, noResponse)
 		env.startNode()
 		conn, status, back := env.dial(), statusAccepted, ""
 		for i := 0; status == statusAccepted && i < 60; i++ {
@@ -333,25 +333,25 @@
 
 func TestRestartRecoversAcceptedEvents(t *testing.T) {
 	env := newTestEnv(t)
-	at := env.addEndpoint(1, silent)
-	env.addEndpoint(2, say(answerOf("429 Full", "Retry-After: 60\r\n", "")))
+	at := env.addEndpoint(1, noResponse)
+	env.addEndpoint(2, respond(httpResponse("429 Full", "Retry-After: 60\r\n", "")))
 	env.startNode()
 	c := env.dial()
 	for id, kind := range map[string]string{"out-alert": "alert", "out-charge": "charge", "out-keyed": "keyed"} {
 		c.submit(submitRequest(id, kind, "1", 8000, "body of "+id))
 	}
 	c.submit(submitRequest("waiting", "charge", "5", 8000, "body of waiting"))
-	env.waitFor("three attempts are open", func() bool { calls, _ := at.calls(); return calls == 3 })
+	env.waitFor("three attempts are open", func() bool { calls, _ := at.counts(); return calls == 3 })
 
 	// A copy of the folder at any moment is what a killed process would leave behind.
 	restarted := newTestEnv(t)
-	restarted.folder = killed(t, env.folder)
+	restarted.folder = copyAsKilled(t, env.folder)
 	bodies := make(chan string, 10)
 	good := restarted.addEndpoint(1, func(conn net.Conn, body string) bool {
 		bodies <- body
-		return say(answerOf("200 OK", "", ""))(conn, body)
+		return respond(httpResponse("200 OK", "", ""))(conn, body)
 	})
-	restarted.addEndpoint(5, say(answerOf("200 OK", "", "")))
+	restarted.addEndpoint(5, respond(httpResponse("200 OK", "", "")))
 	restarted.startNode()
 	restarted.waitFor("all events are complete", restarted.journal.empty)
 	if got := restarted.receivedNotices(); !slices.Equal(got, []string{`{"id":"out-charge","status":"undeliverable"}`}) {
@@ -364,7 +364,7 @@
 	}
 	good.mu.Lock()
 	defer good.mu.Unlock()
-	head := strings.Join(good.heads, "")
+	head := strings.Join(good.requestHeaders, "")
 	if !strings.Contains(head, "Req-Id: out-keyed\r\n") ||
 		!strings.Contains(head, "Idempotency-Key: mark-out-keyed\r\n") {
 		t.Errorf("id or idempotency key changed: %q", head)
@@ -373,32 +373,32 @@
 
 func TestRestoredEventsKeepTheirOrder(t *testing.T) {
 	r := &recordingModule{}
-	n := &Node{desk: newDesk(clock{start: time.Now()}, r, ms, []int{1})}
+	n := &Node{decisions: newDecisionLoop(clock{start: time.Now()}, r, ms, []int{1})}
 	want := ""
 	for i := range 50 {
-		n.owed = append(n.owed, &event{id: fmt.Sprint(i), dest: uint32(i), steps: make(chan step, maxSteps)})
+		n.restored = append(n.restored, &event{id: fmt.Sprint(i), dest: uint32(i), updates: make(chan eventUpdate, updateBuffer)})
 		want += fmt.Sprint(" ", i)
 	}
-	n.restore()
-	n.desk.round(0)
+	n.restoreEvents()
+	n.decisions.round(0)
 	if got := r.joined(); got != want[1:] {
 		t.Errorf("got order %s, want%s", got, want)
 	}
 }
 
 func TestBulkCallsRespectBodyLimit(t *testing.T) {
-	d := newDesk(clock{start: time.Now()}, nil, ms, []int{3})
-	d.partner = []int{0}
+	d := newDecisionLoop(clock{start: time.Now()}, nil, ms, []int{3})
+	d.partnerOf = []int{0}
 	for i, size := range []int{40 << 10, 20 << 10, 20 << 10, 10, 10} {
-		d.evts.Take(&event{id: fmt.Sprint(i), body: make([]byte, size)})
-		d.current = append(d.current, nil)
+		d.eventIndex.Take(&event{id: fmt.Sprint(i), body: make([]byte, size)})
+		d.activeSends = append(d.activeSends, nil)
 		d.Send(int32(i), 0, ms)
 	}
 	got := ""
-	for _, c := range d.calls {
-		got += fmt.Sprint(len(c.sends), " ")
+	for _, c := range d.newCalls {
+		got += fmt.Sprint(len(c.attempts), " ")
 		var out bytebufferpool.ByteBuffer
-		if err := writeCall(&out, c.sends, ms); err != nil || out.Len() > maxBodyBytes+1000 {
+		if err := writeCall(&out, c.attempts, ms); err != nil || out.Len() > maxBodyBytes+1000 {
 			t.Errorf("%d bytes, %v", out.Len(), err)
 		}
 	}
@@ -410,16 +410,16 @@
 func TestPendingNoticeIsSentAfterRestartWithoutAttempts(t *testing.T) {
 	env := newTestEnv(t)
 	env.noticesToRefuse = 1 << 30
-	env.addEndpoint(1, say(answerOf("500 Error", "", "")))
+	env.addEndpoint(1, respond(httpResponse("500 Error", "", "")))
 	env.startNode()
 	env.dial().submit(submitRequest("x", "charge", "1", 8000, ""))
-	env.waitFor("the outcome is decided", func() bool { return env.held.Load() == 0 })
+	env.waitFor("the outcome is decided", func() bool { return env.activeEvents.Load() == 0 })
 	restarted := newTestEnv(t)
-	restarted.folder = killed(t, env.folder)
-	at := restarted.addEndpoint(1, say(answerOf("200 OK", "", "")))
+	restarted.folder = copyAsKilled(t, env.folder)
+	at := restarted.addEndpoint(1, respond(httpResponse("200 OK", "", "")))
 	restarted.startNode()
 	restarted.waitFor("all events are complete", restarted.journal.empty)
-	if calls, _ := at.calls(); calls != 0 || len(restarted.receivedNotices()) != 1 {
+	if calls, _ := at.counts(); calls != 0 || len(restarted.receivedNotices()) != 1 {
 		t.Errorf("got %d calls and notices %q, want no call and one notice", calls, restarted.receivedNotices())
 	}
 }
@@ -429,7 +429,7 @@
 	answer := make(chan bool)
 	env.addEndpoint(1, func(conn net.Conn, body string) bool {
 		<-answer
-		return say(answerOf("200 OK", "", ""))(conn, body)
+		return respond(httpResponse("200 OK", "", ""))(conn, body)
 	})
 	env.startNode()
 	idle, busy, half := env.dial(), env.dial(), env.dial()
@@ -466,16 +466,16 @@
 func TestClientIsAnsweredAfterDecisionsStop(t *testing.T) {
 	env := newTestEnv(t)
 	env.startNode()
-	env.desk.close()
+	env.decisions.close()
 	status, _ := env.dial().submit(submitRequest("x", "charge", "1", 8000, ""))
 	if status != statusAccepted || env.journal.empty() {
 		t.Errorf("request accepted after decisions stopped: status %d", status)
 	}
-	env.deskShut.Store(true)
+	env.decisionsClosed.Store(true)
 	if status, _ := env.dial().submit(submitRequest("y", "charge", "1", 8000, "")); status != statusDeclined {
 		t.Errorf("request after admission stopped: status %d", status)
 	}
-	env.desk.stop = make(chan struct{}) // closed again by the drain
+	env.decisions.stop = make(chan struct{}) // closed again by the drain
 }
 
 // failingListener is a listener whose first calls to Accept fail for lack of descriptors.
@@ -501,7 +501,7 @@
 	n := &Node{}
 	n.phase.Store(int32(Serving))
 	n.clients = &clientServer{node: n, listener: newListener(l, maxConns, maxConns),
-		badRequests: tally{part: "clients", what: "test"},
+		badRequests: throttledLog{part: "clients", message: "test"},
 		handler: func(ctx *fasthttp.RequestCtx) {
 			ctx.Conn().(*clientConn).markRequestRead(true)
 			answer(string(ctx.Path()))
@@ -555,7 +555,7 @@
 
 func TestIncompleteRequestsTimeOut(t *testing.T) {
 	env := newTestEnv(t)
-	env.addEndpoint(1, say(answerOf("200 OK", "", "")))
+	env.addEndpoint(1, respond(httpResponse("200 OK", "", "")))
 	env.startNode()
 	text := submitRequest("x", "alert", "1", 8000, "body")
 	silent, trickle, body := env.dial(), env.dial(), env.dial()
@@ -570,7 +570,7 @@
 	}()
 	begin := time.Now()
 	for what, c := range map[string]*testClient{"sends nothing": silent, "sends slowly": trickle, "omits the body": body} {
-		c.SetDeadline(begin.Add(long / 2))
+		c.SetDeadline(begin.Add(testTimeout / 2))
 		if _, err := io.ReadAll(c); errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("connection of a client that %s stays open", what)
 		}
@@ -582,7 +582,7 @@
 
 func TestNewClientsConnectWhileSlowClientsFillTheLimit(t *testing.T) {
 	env := newTestEnv(t)
-	env.addEndpoint(1, say(answerOf("200 OK", "", "")))
+	env.addEndpoint(1, respond(httpResponse("200 OK", "", "")))
 	env.startNode()
 	env.clients.listener.mu.Lock()
 	env.clients.listener.maxConns = 10
@@ -608,7 +608,7 @@
 
 func TestIdleConnectionsAreTrimmed(t *testing.T) {
 	env := newTestEnv(t)
-	env.addEndpoint(1, say(answerOf("200 OK", "", "")))
+	env.addEndpoint(1, respond(httpResponse("200 OK", "", "")))
 	env.startNode()
 	env.clients.listener.mu.Lock()
 	env.clients.listener.maxIdle = 3
@@ -656,7 +656,7 @@
 	d.closeAllIdle()
 	io.WriteString(c, "a request that crosses the close")
 	begin := time.Now()
-	if g.awaitRequest() || time.Since(begin) > long/2 { // asked to close before it waits, so a request that arrives now is not read
+	if g.awaitRequest() || time.Since(begin) > testTimeout/2 { // asked to close before it waits, so a request that arrives now is not read
 		t.Errorf("still waiting for a request after %v", time.Since(begin))
 	}
 	c.Close()
@@ -730,7 +730,7 @@
 
 func TestPipelinedRequestsAreAllAnswered(t *testing.T) {
 	env := newTestEnv(t)
-	env.addEndpoint(1, say(answerOf("200 OK", "", "")))
+	env.addEndpoint(1, respond(httpResponse("200 OK", "", "")))
 	env.startNode()
 	three := submitRequest("a", "alert", "1", 8000, "body") + submitRequest("b", "alert", "1", 8000, "") +
 		submitRequest("c", "alert", "1", 8000, "body")
@@ -741,7 +741,7 @@
 			t.Errorf("one of three pipelined requests: status %d", status)
 		}
 	}
-	env.Drain(2*time.Second, 2*time.Second, 2*time.Second)
+	env.SetDrainTimes(2*time.Second, 2*time.Second, 2*time.Second)
 	env.stop()
 	env.waitFor("the node drains", func() bool { return env.Phase() == Draining })
 	c = env.dial()
@@ -759,7 +759,7 @@
 
 func TestRequestFramings(t *testing.T) {
 	env := newTestEnv(t)
-	at := env.addEndpoint(1, say(answerOf("200 OK", "", "")))
+	at := env.addEndpoint(1, respond(httpResponse("200 OK", "", "")))
 	env.startNode()
 	head := func(id, more string) string {
 		return "POST /api HTTP/1.1\r\nhost: x\r\nREQ-ID: " + id + "\r\nreq-kind:alert\r\nReq-Owner:  acme \r\n" +
@@ -795,14 +795,14 @@
 	if status, _ := c.submit("abc"); status != statusAccepted {
 		t.Errorf("request after 100 Continue: status %d", status)
 	}
-	env.waitFor("all events are delivered", func() bool { calls, _ := at.calls(); return calls > 0 && env.journal.empty() })
+	env.waitFor("all events are delivered", func() bool { calls, _ := at.counts(); return calls > 0 && env.journal.empty() })
 }
 
 // recordingModule is a policy that records some of its input and decides nothing.
 type recordingModule struct {
-	port.Intake // methods that the tests do not call
-	mu          sync.Mutex
-	recorded    []string
+	delivery.Handler // methods that the tests do not call
+	mu               sync.Mutex
+	recorded         []string
 }
 
 func (r *recordingModule) record(format string, a ...any) {
@@ -817,28 +817,30 @@
 	return strings.Join(r.recorded, " ")
 }
 
-func (r *recordingModule) Round(now int64, feed port.Feed, out port.Writer) { feed.Deliver(r) }
+func (r *recordingModule) Round(now int64, feed delivery.Feed, out delivery.Executor) {
+	feed.Deliver(r)
+}
 
 func (r *recordingModule) Event(e int32, typ, customer int, key uint64, left, work int64, dest int32) {
 	r.record("%d", dest)
 }
 
-func (r *recordingModule) Unconfirmed(e int32, send int) { r.record("unconfirmed %d %d", e, send) }
-func (r *recordingModule) Confirmed(e int32, send int)   { r.record("confirmed %d %d", e, send) }
-func (r *recordingModule) Full() int64                   { return 0 }
-func (r *recordingModule) ListBegins(whole bool)         { r.record("whole=%v", whole) }
-func (r *recordingModule) ListEnds()                     { r.record(";") }
-func (r *recordingModule) ListFailed()                   { r.record("failed") }
-func (r *recordingModule) PeerGood(p int, e int32)       { r.record("good %d %d", p, e) }
-func (r *recordingModule) Listed(ep, dest int32, partner, zone int, state port.State, rate float64) {
+func (r *recordingModule) Unconfirmed(e int32, send int)      { r.record("unconfirmed %d %d", e, send) }
+func (r *recordingModule) Confirmed(e int32, send int)        { r.record("confirmed %d %d", e, send) }
+func (r *recordingModule) RetryAfter() int64                  { return 0 }
+func (r *recordingModule) ListStarted(whole bool)             { r.record("whole=%v", whole) }
+func (r *recordingModule) ListEnded()                         { r.record(";") }
+func (r *recordingModule) ListFailed()                        { r.record("failed") }
+func (r *recordingModule) PeerReportedHealthy(p int, e int32) { r.record("good %d %d", p, e) }
+func (r *recordingModule) EndpointListed(ep, dest int32, partner, zone int, state delivery.EndpointState, rate float64) {
 	r.record("%d/%d/%d/%d/%d/%v", ep, dest, partner, zone, state, rate)
 }
 
 // newTestDirectory starts a directory client for an address, with a recording policy.
 func newTestDirectory(t *testing.T, address string) (*directory, *recordingModule) {
 	r := &recordingModule{}
-	d := newDesk(clock{start: time.Now()}, r, ms, []int{1})
-	d.endpoints = newEndpoints(t, "")
+	d := newDecisionLoop(clock{start: time.Now()}, r, ms, []int{1})
+	d.endpoints = newTestPool(t, "")
 	d.directory = &directory{address: address, openWatches: make(map[*watch]struct{}),
 		knownDests: make(map[uint32]struct{}), desk: d, endpoints: d.endpoints, useRates: true,
 		partnerNames: []string{"big", "small_one"}, zoneNames: []string{"here", "there"}}
@@ -858,7 +860,7 @@
 	const second = `{"seq":9,"whole":false,"hosts":[{"host":"a","dial":"127.0.0.1:3","site":"there",` +
 		`"class":"small one","block":3,"health":"Gone","share":2.5}]}` + "\n"
 	resume := make(chan bool)
-	at := newPeer(t, func(conn net.Conn, _ string) bool {
+	at := newTestEndpoint(t, func(conn net.Conn, _ string) bool {
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for _, part := range strings.SplitAfter(first+"\n\n"+second, "s") {
 			fmt.Fprintf(conn, "%x\r\n%s\r\n", len(part), part)
@@ -881,15 +883,15 @@
 	env.waitFor("the silent watch fails", func() bool { return r.joined() == want+" failed" })
 	resume <- false
 	d.setWatching(true)
-	env.waitFor("the next watch is opened", func() bool { calls, _ := at.calls(); return calls == 2 })
+	env.waitFor("the next watch is opened", func() bool { calls, _ := at.counts(); return calls == 2 })
 	<-resume
 	resume <- false
 	at.mu.Lock()
 	defer at.mu.Unlock()
-	if !strings.Contains(at.heads[1], "GET /discovery/hosts?watch=1&from=9 ") {
-		t.Errorf("second call: %q", at.heads[1])
+	if !strings.Contains(at.requestHeaders[1], "GET /discovery/hosts?watch=1&from=9 ") {
+		t.Errorf("second call: %q", at.requestHeaders[1])
 	}
-	if _, dial := d.endpoints.kept(0, true); dial != "" {
+	if _, dial := d.endpoints.takeIdle(0, true); dial != "" {
 		t.Errorf("endpoint still has the address %q", dial)
 	}
 }
@@ -900,7 +902,7 @@
 		"      \"health\": \"Ready\"\n    }\n  ]\n}\n"
 	const older = `{"seq":6,"whole":false,"hosts":[{"host":"a","block":3,"health":"Gone"}]}` + "\n"
 	const half = `{"seq":9,"whole":false,"hosts":[{"host":"a","block":3,"health":"Gone"}`
-	at := newPeer(t, func(conn net.Conn, _ string) bool {
+	at := newTestEndpoint(t, func(conn net.Conn, _ string) bool {
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for line := range strings.Lines(first + older + half) {
 			fmt.Fprintf(conn, "%x\r\n%s\r\n", len(line), line)
@@ -922,18 +924,18 @@
 
 func TestDirectoryCallFailures(t *testing.T) {
 	for name, act := range map[string]func(net.Conn, string) bool{
-		"503":      say(answerOf("503 Down", "", "")),
-		"reset":    breakOff("HTTP/1.1 200"),
-		"ended":    say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"),
-		"silence":  silent,
-		"bad JSON": say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{\"a\"\n\r\n"),
-		"no hosts": say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n{}\n\r\n"),
+		"503":      respond(httpResponse("503 Down", "", "")),
+		"reset":    respondAndReset("HTTP/1.1 200"),
+		"ended":    respond("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"),
+		"silence":  noResponse,
+		"bad JSON": respond("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{\"a\"\n\r\n"),
+		"no hosts": respond("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n{}\n\r\n"),
 	} {
-		d, r := newTestDirectory(t, newPeer(t, act).Addr().String())
+		d, r := newTestDirectory(t, newTestEndpoint(t, act).Addr().String())
 		d.setWatching(true)
 		(&testEnv{t: t}).waitFor(name+" is reported", func() bool { return r.joined() == "failed" })
 	}
-	at := newPeer(t, say(answerOf("200 OK", "", `{"seq":1,"whole":true,"hosts":[{"block":1},{"host":"x"},`+
+	at := newTestEndpoint(t, respond(httpResponse("200 OK", "", `{"seq":1,"whole":true,"hosts":[{"block":1},{"host":"x"},`+
 		`{"host":"a","block":1,"class":"small one","health":"Ready"}]}`)))
 	d, r := newTestDirectory(t, at.Addr().String())
 	d.setWatching(true)
@@ -948,30 +950,30 @@
 			"\n", seq, host)
 	}
 	old := make(chan string, 1)
-	before := newPeer(t, func(conn net.Conn, _ string) bool {
+	before := newTestEndpoint(t, func(conn net.Conn, _ string) bool {
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\n\r\n")
 		for text := range old {
 			io.WriteString(conn, text)
 		}
 		return true
 	})
-	hangs := newPeer(t, silent)
-	after := newPeer(t, say("HTTP/1.1 200 OK\r\n\r\n"+line(5, "b")))
+	hangs := newTestEndpoint(t, noResponse)
+	after := newTestEndpoint(t, respond("HTTP/1.1 200 OK\r\n\r\n"+line(5, "b")))
 	d, r := newTestDirectory(t, before.Addr().String())
-	d.silenceTimeout.Store(int64(long))
+	d.silenceTimeout.Store(int64(testTimeout))
 	env := &testEnv{t: t}
 	d.setWatching(true)
 	old <- line(4, "a")
 	env.waitFor("the old watch delivers a list", func() bool { return strings.HasSuffix(r.joined(), ";") })
 	d.setAddress(hangs.Addr().String())
-	env.waitFor("the next address is called", func() bool { calls, _ := hangs.calls(); return calls == 1 })
+	env.waitFor("the next address is called", func() bool { calls, _ := hangs.counts(); return calls == 1 })
 	old <- line(5, "b") // the old watch is used until another has delivered something
 	env.waitFor("the old watch delivers another list", func() bool { return strings.Contains(r.joined(), "1/0") })
 	d.setAddress(after.Addr().String())
 	env.waitFor("the new watch delivers a list", func() bool { return strings.Count(r.joined(), ";") == 3 })
 	close(old) // the server does not end the watch by itself
 	env.waitFor("the other watches are closed", func() bool {
-		return len(before.ended) == 1 && len(hangs.ended) == 1
+		return len(before.disconnected) == 1 && len(hangs.disconnected) == 1
 	})
 	d.setWatching(true) // another watch at the same address
 	env.waitFor("the next watch is opened", func() bool { return strings.Count(r.joined(), ";") == 4 })
@@ -980,51 +982,51 @@
 	}
 	after.mu.Lock()
 	defer after.mu.Unlock()
-	if !strings.Contains(after.heads[0], "?watch=1&from=5 ") {
-		t.Errorf("first call at the new address: %q", after.heads[0])
+	if !strings.Contains(after.requestHeaders[0], "?watch=1&from=5 ") {
+		t.Errorf("first call at the new address: %q", after.requestHeaders[0])
 	}
 }
 
 func TestNoticesUseNewAddressWithoutWaitingForTheOld(t *testing.T) {
-	hangs, heard := newPeer(t, silent), make(chan string, 9)
-	after := newPeer(t, func(conn net.Conn, body string) bool {
+	hangs, heard := newTestEndpoint(t, noResponse), make(chan string, 9)
+	after := newTestEndpoint(t, func(conn net.Conn, body string) bool {
 		heard <- body
-		return say("HTTP/1.1 204 No Content\r\n\r\n")(conn, body)
+		return respond("HTTP/1.1 204 No Content\r\n\r\n")(conn, body)
 	})
-	o, stop, told := openNotices(hangs.Addr().String()), make(chan struct{}), make(chan struct{}, 1)
+	o, stop, told := newNoticeSender(hangs.Addr().String()), make(chan struct{}), make(chan struct{}, 1)
 	defer close(stop)
-	o.times(long, noticeAgain)
+	o.setTimeouts(testTimeout, noticeRetryInterval)
 	go o.run(stop)
-	o.post(notice{id: "x", verdict: discarded, told: func() { told <- struct{}{} }})
-	(&testEnv{t: t}).waitFor("the notice is posted", func() bool { calls, _ := hangs.calls(); return calls == 1 })
-	o.move(after.Addr().String())
+	o.enqueue(notice{id: "x", verdict: discarded, onAcknowledged: func() { told <- struct{}{} }})
+	(&testEnv{t: t}).waitFor("the notice is posted", func() bool { calls, _ := hangs.counts(); return calls == 1 })
+	o.setAddress(after.Addr().String())
 	select {
 	case <-heard:
-	case <-time.After(long / 2):
+	case <-time.After(testTimeout / 2):
 		t.Fatal("the notice still waits for the old address")
 	}
 	<-told
 }
 
 func TestForgottenEndpointKeepsIndexUntilItsCallsEnd(t *testing.T) {
-	d := newDesk(clock{start: time.Now()}, &recordingModule{}, ms, []int{1})
-	d.endpoints = newEndpoints(t, "127.0.0.1:1")
+	d := newDecisionLoop(clock{start: time.Now()}, &recordingModule{}, ms, []int{1})
+	d.endpoints = newTestPool(t, "127.0.0.1:1")
 	take := func(host string, want int32) {
 		t.Helper()
-		if ep, _ := d.listed(host, 0); ep != want {
+		if ep, _ := d.registerEndpoint(host, 0); ep != want {
 			t.Errorf("%s got index %d, want %d", host, ep, want)
 		}
 	}
 	take("a", 0)
-	d.endpoints.callBegins(0)
+	d.endpoints.callStarted(0)
 	d.Forget(0)
 	d.round(0)
 	take("b", 1) // a response to a call to endpoint a may still arrive
-	d.endpoints.listed(1, "e", "zone", "127.0.0.1:2")
-	d.endpoints.callEnds(0)
+	d.endpoints.updateEndpoint(1, "e", "zone", "127.0.0.1:2")
+	d.endpoints.callFinished(0)
 	d.round(1)
 	take("c", 0)
-	if _, dial := d.endpoints.kept(0, true); dial != "" {
+	if _, dial := d.endpoints.takeIdle(0, true); dial != "" {
 		t.Errorf("the new endpoint has the old address %q", dial)
 	}
 	d.Forget(1)
--- a/node/peers.go
+++ b/node/peers.go
@@ -5,11 +5,11 @@
 	"sync/atomic"
 	"time"
 
+	"jaspersill/delivery"
 	"jaspersill/errclass"
 	"jaspersill/logs"
 	"jaspersill/metrics"
 	"jaspersill/note"
-	"jaspersill/port"
 )
 
 // peerMessenger exchanges messages about healthy endpoints with the other delivery nodes. The messages are UDP datagrams,
@@ -18,7 +18,7 @@
 	conn          *net.UDPConn
 	broadcastAddr *net.UDPAddr
 	peerIndex     map[string]int // by the peer's address
-	desk          *desk
+	desk          *decisionLoop
 
 	processStart uint64 // sent with each datagram, so that peers can order them across restarts
 	sequence     atomic.Uint32
@@ -37,7 +37,7 @@
 
 var lateDatagrams = metrics.New("jaspersill_late_peer_datagrams_total", "Datagrams of peers that came again, or behind a later one.")
 
-func newPeerMessenger(address, broadcast string, list []string, me int, d *desk, timeOfDay int64) (*peerMessenger, error) {
+func newPeerMessenger(address, broadcast string, list []string, me int, d *decisionLoop, timeOfDay int64) (*peerMessenger, error) {
 	p := &peerMessenger{peerIndex: make(map[string]int), desk: d, processStart: uint64(timeOfDay),
 		lastReceived: make(map[int]receivedDatagram)}
 	if address == "" || broadcast == "" {
@@ -71,7 +71,7 @@
 			if errclass.Socket(err) == errclass.Closed {
 				return
 			}
-			time.Sleep(callAgainMost) // a peer's port is closed while it restarts, or this machine is short of a resource
+			time.Sleep(maxRetryPause) // a peer's port is closed while it restarts, or this machine is short of a resource
 			continue
 		}
 		peer, known := p.peerIndex[from.String()]
@@ -83,9 +83,9 @@
 			lateDatagrams.Add()
 			continue
 		}
-		p.desk.hear(func(to port.Intake) {
-			if ep, listed := p.desk.eps.Find(host); listed {
-				to.PeerGood(peer, ep)
+		p.desk.enqueue(func(to delivery.Handler) {
+			if ep, listed := p.desk.endpointIndex.Find(host); listed {
+				to.PeerReportedHealthy(peer, ep)
 			}
 		})
 	}
--- a/node/wire.go
+++ b/node/wire.go
@@ -17,8 +17,8 @@
 	"github.com/valyala/bytebufferpool"
 	"github.com/valyala/fasthttp"
 
+	"jaspersill/delivery"
 	"jaspersill/lifecycle"
-	"jaspersill/port"
 )
 
 const (
@@ -48,11 +48,13 @@
 )
 
 // bulkSize returns an upper bound of the bytes that an event takes in the body of a bulk call.
-func bulkSize(e *event) int { return len(e.id) + len(e.mark) + len(e.body) + bulkEventOverhead }
+func bulkSize(e *event) int {
+	return len(e.id) + len(e.idempotencyKey) + len(e.body) + bulkEventOverhead
+}
 
 // writeCall writes the HTTP request of a call with one event, or of a bulk call with several. The id, idempotency key and
 // body of each event are passed on unchanged. The deadline is wait, in ns.
-func writeCall(out *bytebufferpool.ByteBuffer, sends []*send, wait int64) error {
+func writeCall(out *bytebufferpool.ByteBuffer, sends []*attempt, wait int64) error {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.Header.SetMethod(fasthttp.MethodPost)
@@ -64,8 +66,8 @@
 		e := sends[0].event
 		req.SetRequestURI("/inbox")
 		req.Header.Set(headerID, e.id)
-		if e.mark != "" {
-			req.Header.Set(headerIdempotencyKey, e.mark)
+		if e.idempotencyKey != "" {
+			req.Header.Set(headerIdempotencyKey, e.idempotencyKey)
 		}
 		req.SetBodyRaw(e.body)
 		_, err := req.WriteTo(out)
@@ -74,7 +76,7 @@
 	body := bytebufferpool.Get()
 	defer bytebufferpool.Put(body)
 	for _, s := range sends {
-		e, mark := s.event, s.event.mark
+		e, mark := s.event, s.event.idempotencyKey
 		if mark == "" {
 			mark = "-"
 		}
@@ -103,7 +105,7 @@
 }
 
 func newResponseReader(conn net.Conn) *responseReader {
-	return &responseReader{conn, bufio.NewReaderSize(conn, replySize)}
+	return &responseReader{conn, bufio.NewReaderSize(conn, responseBufferSize)}
 }
 
 // errUnreadableResponse means that a response was received that cannot be parsed. The events of its call may have been
@@ -112,9 +114,9 @@
 
 // readResponse reads the response to a call. It returns a result for each attempt, or one for all where the outcome of the
 // call is unknown: the response was corrupted, or the connection broke before it was complete.
-func (r *responseReader) readResponse(sends []*send) callResponse {
+func (r *responseReader) readResponse(sends []*attempt) callResponse {
 	if _, err := r.buf.Peek(1); err != nil {
-		return callResponse{results: []result{{how: port.Reset}}, close: closeBroken}
+		return callResponse{results: []result{{outcome: delivery.Reset}}, close: closeBroken}
 	}
 	// A response that never ends would otherwise hold its slot, and delay its result, for the whole attempt time-out.
 	r.conn.SetReadDeadline(time.Now().Add(responseReadTimeout))
@@ -134,15 +136,15 @@
 	switch {
 	case err == nil:
 	case delivered: // the status line alone confirms the delivery of a single event, even if the rest is lost
-		return callResponse{results: []result{{how: port.Acked, over: true, wait: r.retryAfter(resp)}}, truncated: true, close: closeAnswer}
+		return callResponse{results: []result{{outcome: delivery.Acked, final: true, retryAfter: r.retryAfter(resp)}}, truncated: true, close: closeAnswer}
 	case errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET):
-		return callResponse{results: []result{{how: port.Reset, wait: r.retryAfter(resp)}}, close: closeAnswer}
+		return callResponse{results: []result{{outcome: delivery.Reset, retryAfter: r.retryAfter(resp)}}, close: closeAnswer}
 	default:
-		return callResponse{results: []result{{how: port.Spoilt, wait: r.retryAfter(resp)}}, close: closeAnswer}
+		return callResponse{results: []result{{outcome: delivery.Unreadable, retryAfter: r.retryAfter(resp)}}, close: closeAnswer}
 	}
 	var common result
-	common.left, common.limit = parseLoad(string(resp.Header.Peek(headerLoad)))
-	common.wait = parseRetryAfter(string(resp.Header.Peek(headerRetryAfter)))
+	common.rateFree, common.rateLimit = parseLoad(string(resp.Header.Peek(headerLoad)))
+	common.retryAfter = parseRetryAfter(string(resp.Header.Peek(headerRetryAfter)))
 	out := callResponse{results: make([]result, len(sends))}
 	out.identity.Digest = responseDigest(resp)
 	if resp.ConnectionClose() {
@@ -154,14 +156,14 @@
 	status := resp.StatusCode()
 	if len(sends) > 1 && status == fasthttp.StatusOK {
 		if parseBulkResults(resp.Body(), sends, common, out.results) {
-			out.identity.Named = true
+			out.identity.NamesRequests = true
 		} else {
 			out.close = closeSurplus // the response belongs to another call, or is malformed
 		}
 		return out
 	}
-	common.how, common.over = classifyStatus(status, len(resp.Header.Peek(headerNoSlot)) > 0, len(sends) > 1)
-	out.identity.NotRun = !common.how.MayHaveRun()
+	common.outcome, common.final = classifyStatus(status, len(resp.Header.Peek(headerNoSlot)) > 0, len(sends) > 1)
+	out.identity.NotRun = !common.outcome.MayHaveRun()
 	for i := range out.results {
 		out.results[i] = common
 	}
@@ -231,34 +233,34 @@
 
 // classifyStatus maps the HTTP status of a response to the outcome of the attempt, and tells whether the event is
 // complete.
-func classifyStatus(status int, noSlot, bulk bool) (how port.Outcome, over bool) {
+func classifyStatus(status int, noSlot, bulk bool) (how delivery.Outcome, over bool) {
 	switch {
 	case status == fasthttp.StatusOK:
-		return port.Acked, true
+		return delivery.Acked, true
 	case status == fasthttp.StatusTooManyRequests:
-		return port.Declined, false
+		return delivery.Refused, false
 	case status == fasthttp.StatusServiceUnavailable && noSlot:
-		return port.Unsent, false
+		return delivery.Unsent, false
 	case status == fasthttp.StatusServiceUnavailable:
-		return port.Declined, false
+		return delivery.Refused, false
 	case status == fasthttp.StatusGatewayTimeout: // the event has no attempts left
-		return port.Unsent, false
+		return delivery.Unsent, false
 	case status == fasthttp.StatusGone:
-		return port.Unsent, true
+		return delivery.Unsent, true
 	case bulk && (status == fasthttp.StatusBadRequest || status == fasthttp.StatusRequestEntityTooLarge):
-		return port.Unsent, false // none of the events was processed
+		return delivery.Unsent, false // none of the events was processed
 	}
-	return port.Errored, false // after an unknown status, the event may have been processed
+	return delivery.Errored, false // after an unknown status, the event may have been processed
 }
 
 // parseBulkResults parses the body of a bulk response, which has a line for each event, and reports whether it names all
 // events of the call. If one is missing, the response was truncated or belongs to another call, so any of the events may
 // have been processed.
-func parseBulkResults(body []byte, sends []*send, common result, results []result) (named bool) {
+func parseBulkResults(body []byte, sends []*attempt, common result, results []result) (named bool) {
 	matched := 0
 	for i := range results {
 		results[i] = common
-		results[i].how = port.Spoilt
+		results[i].outcome = delivery.Unreadable
 	}
 	for line := range bytes.Lines(body) {
 		id, word, _ := strings.Cut(strings.TrimSpace(string(line)), " ")
@@ -269,15 +271,15 @@
 			matched++
 			switch strings.TrimSpace(word) {
 			case "done":
-				results[i].how, results[i].over = port.Acked, true
+				results[i].outcome, results[i].final = delivery.Acked, true
 			case "failed":
-				results[i].how = port.Errored
+				results[i].outcome = delivery.Errored
 			case "busy":
-				results[i].how = port.Declined
+				results[i].outcome = delivery.Refused
 			case "void":
-				results[i].how, results[i].over = port.Unsent, true
+				results[i].outcome, results[i].final = delivery.Unsent, true
 			case "used_up":
-				results[i].how = port.Unsent
+				results[i].outcome = delivery.Unsent
 			default:
 				matched--
 			}
@@ -288,7 +290,7 @@
 	}
 	for i := range results {
 		results[i] = common // a Retry-After is still respected
-		results[i].how = port.Spoilt
+		results[i].outcome = delivery.Unreadable
 	}
 	return false
 }
