--- a/node/clients.go
+++ b/node/clients.go
@@ -24,7 +24,7 @@
 const (
 	maxHeaderBytes             = 4096                    // a longer request header is answered with 431
 	defaultRequestTimeout      = 2 * time.Second         // well above the 400 ms that a client waits for its response
-	defaultFirstRequestTimeout = 2500 * time.Millisecond // counts from accepting the connection: an error response is due within 3 s
+	defaultFirstRequestTimeout = 2500 * time.Millisecond // counts from accepting; an error response is due within 3 s
 	defaultClientIdleTimeout   = 5 * time.Second         // clients reconnect for later requests, and some send only one
 	clientWriteTimeout         = 2 * time.Second         // well above the 400 ms that a client waits for its response
 	maxIDBytes                 = 64                      // the journal relies on this limit
@@ -255,7 +255,8 @@
 func (c *clientServer) respond(ctx *fasthttp.RequestCtx, a clientResponse) {
 	ctx.SetStatusCode(a.status)
 	if a.status == statusDeclined {
-		ctx.Response.Header.Set(headerRetryAfter, strconv.FormatFloat(float64(a.retryAfter)/1e9, 'f', retryAfterDecimals, 64))
+		ctx.Response.Header.Set(headerRetryAfter,
+			strconv.FormatFloat(float64(a.retryAfter)/1e9, 'f', retryAfterDecimals, 64))
 	}
 }
 
@@ -287,7 +288,7 @@
 	ctx.SetBodyString(text + "\n")
 }
 
-// parseEvent extracts from a request what the policy and the journal need. The body is kept unchanged. Where the
+// parseEvent extracts from a request what the scheduler and the journal need. The body is kept unchanged. Where the
 // request is invalid, it returns an HTTP status and a non-empty problem.
 func (n *Node) parseEvent(ctx *fasthttp.RequestCtx) (e *event, status int, problem string) {
 	header := func(name string) string { return string(ctx.Request.Header.Peek(name)) }
--- a/node/clock.go
+++ b/node/clock.go
@@ -16,7 +16,7 @@
 	"jaspersill/logs"
 )
 
-// clock provides two times that never step. The time of the policy counts from the start of the process. The time of day
+// clock provides two times that never step. The time of the scheduler counts from the start of the process. The time of day
 // is valid across processes: it starts as the wall clock when a state folder is first used in a boot of the machine, and
 // from then on advances with the monotonic clock, whatever the wall clock does.
 type clock struct {
@@ -24,7 +24,7 @@
 	timeOfDayAtStart int64
 }
 
-// now returns the time of the policy in ns since the start of the process.
+// now returns the time of the scheduler in ns since the start of the process.
 func (c clock) now() int64 { return int64(time.Since(c.start)) }
 
 // timeOfDay returns the time of day in ns, as the journal records it.
@@ -102,8 +102,10 @@
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		logs.Part("node").WithError(err).Warn("cannot read the clock file: using the wall clock")
 	}
-	if err := storeAnchor(folder, anchor{bootID: currentBoot, offset: timeOfDay - monotonicNow, lastTimeOfDay: timeOfDay}); err != nil {
-		logs.Part("node").WithError(err).Warn("cannot write the clock file: a step of the wall clock before the next start will shift deadlines")
+	if err := storeAnchor(folder,
+		anchor{bootID: currentBoot, offset: timeOfDay - monotonicNow, lastTimeOfDay: timeOfDay}); err != nil {
+		logs.Part("node").WithError(err).
+			Warn("cannot write the clock file: a step of the wall clock before the next start will shift deadlines")
 	}
 	logs.Part("node").WithFields(logrus.Fields{"boot": currentBoot, "same_boot": previous.bootID == currentBoot,
 		"ahead_of_wall_ms": (timeOfDay - wallNow) / int64(time.Millisecond)}).Info("time of day initialized")
--- a/node/clock_test.go
+++ b/node/clock_test.go
@@ -37,7 +37,7 @@
 		f.wall = 100*hour + 10*second
 		near("start after a reboot", newClock(folder, f.source()).timeOfDay(), 100*hour+10*second)
 		f.bootID, f.wall = "three", 99*hour
-		near("start after a reboot with the wall clock set back an hour", newClock(folder, f.source()).timeOfDay(), 100*hour+10*second)
+		near("start after a reboot with the wall clock an hour behind", newClock(folder, f.source()).timeOfDay(), 100*hour+10*second)
 		f.err = errors.New("clock not available")
 		near("start without a monotonic clock", newClock(folder, f.source()).timeOfDay(), 99*hour)
 	}
@@ -69,7 +69,8 @@
 			t.Errorf("step of %v: got %d calls, want 1", step, calls)
 		}
 		if took := time.Since(start); took > 1800*time.Millisecond || len(restarted.receivedNotices()) != 1 {
-			t.Errorf("step of %v: all events were complete after %v with notices %q, want within 1.8s with one notice", step, took, restarted.receivedNotices())
+			t.Errorf("step of %v: all events were complete after %v with notices %q, want within 1.8s with one notice",
+				step, took, restarted.receivedNotices())
 		}
 	}
 }
--- a/node/directory.go
+++ b/node/directory.go
@@ -37,16 +37,16 @@
 	directoryConnectTimeout = time.Second
 )
 
-// directory keeps the list of endpoints up to date from the discovery service. It holds a watch open while the policy
+// directory keeps the list of endpoints up to date from the discovery service. It holds a watch open while the scheduler
 // wants one.
 type directory struct {
 	address        string
 	silenceTimeout atomic.Int64 // ns; a call that receives nothing for this long has failed
-	desk           *decisionLoop
+	decisions      *decisionLoop
 	endpoints      *endpointPool
-	partnerNames   []string
+	partnerNames   []string // names of the endpoint classes, by index
 	zoneNames      []string
-	useRates       bool
+	useRates       bool // lists contain the rate limits of endpoints
 
 	watchErrors failureLog
 
@@ -139,10 +139,10 @@
 	return known || len(d.knownDests) == 0
 }
 
-// reportFailure tells the policy that a discovery call failed.
+// reportFailure tells the scheduler that a discovery call failed.
 func (d *directory) reportFailure(err error) {
 	d.watchErrors.record(err)
-	d.desk.enqueue(func(to delivery.Handler) { to.ListFailed() })
+	d.decisions.enqueue(func(to delivery.Handler) { to.ListFailed() })
 }
 
 // follow makes one discovery call and applies each list that it receives, until the call ends.
@@ -226,7 +226,7 @@
 	return n, err
 }
 
-// applyList parses a full list or a list of changes and passes it to the policy. The watch is nil for the list that is
+// applyList parses a full list or a list of changes and passes it to the scheduler. The watch is nil for the list that is
 // known at startup.
 func (d *directory) applyList(w *watch, text []byte) error {
 	v, err := fastjson.ParseBytes(text)
@@ -289,17 +289,17 @@
 	for _, e := range list {
 		d.knownDests[e.dest] = struct{}{}
 	}
-	d.desk.enqueue(func(to delivery.Handler) {
+	d.decisions.enqueue(func(to delivery.Handler) {
 		to.ListStarted(whole)
 		for _, e := range list {
-			ep, fresh := d.desk.registerEndpoint(e.host, e.partner)
+			ep, fresh := d.decisions.registerEndpoint(e.host, e.partner)
 			if e.dial != "" || fresh {
 				d.endpoints.updateEndpoint(ep, e.host, e.site, e.dial)
 			}
 			if e.state == delivery.Gone { // another endpoint may answer at this address from now on
 				d.endpoints.updateEndpoint(ep, e.host, e.site, "")
 			}
-			dest, _ := d.desk.destIndex.Take(e.dest)
+			dest, _ := d.decisions.destIndex.Take(e.dest)
 			to.EndpointListed(ep, dest, e.partner, d.zoneIndex(e.site), e.state, e.rate)
 		}
 		to.ListEnded()
@@ -322,12 +322,13 @@
 
 var (
 	errOlderList = errors.New("new watch starts with an older version of the list")
-	olderLists   = metrics.New("jaspersill_older_lists_total", "Lists from discovery that were passed over, as a later one had come.")
+	olderLists   = metrics.New("jaspersill_older_lists_total",
+		"Lists from discovery that were passed over, as a later one had come.")
 )
 
 // checkVersion decides what to do with a list by its version. Versions never decrease within a watch, so a list with an
-// older version is a copy. A new watch may start with an older full list; it is applied once the next watch has confirmed
-// it. The lock is held.
+// older version is a copy. Where a new watch starts with an older full list, that is applied only once the next watch starts
+// with an older one too. The lock is held.
 func (d *directory) checkVersion(w *watch, seq uint64, whole bool) listDecision {
 	isFirst := w == nil || !w.receivedList
 	if w != nil {
--- a/node/journalreport.go
+++ b/node/journalreport.go
@@ -42,7 +42,8 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &JournalReport{SizeBytes: found.Size, Records: found.Records, TruncatedBytes: found.TornBytes, RecordsMissing: found.RecordsLost}
+	r := &JournalReport{SizeBytes: found.Size, Records: found.Records,
+		TruncatedBytes: found.TornBytes, RecordsMissing: found.RecordsLost}
 	for _, fault := range found.Faults {
 		r.Faults = append(r.Faults, filepath.Join(folder, fault))
 	}
@@ -63,8 +64,8 @@
 		}
 	}
 	for _, e := range list {
-		r.Pending = append(r.Pending, PendingEvent{ID: e.ID, Kind: e.Kind, Owner: e.Owner, IdempotencyKey: e.IdempotencyKey, Dest: e.Dest,
-			Deadline: time.Unix(0, e.Deadline), Attempts: len(e.Attempts), Verdict: resolution(e.Verdict).String(),
+		r.Pending = append(r.Pending, PendingEvent{ID: e.ID, Kind: e.Kind, Owner: e.Owner,
+			IdempotencyKey: e.IdempotencyKey, Dest: e.Dest, Deadline: time.Unix(0, e.Deadline), Attempts: len(e.Attempts), Verdict: resolution(e.Verdict).String(),
 			BodyBytes: len(e.Body), MayHaveRun: e.MayHaveRun()})
 	}
 	return r, nil
--- a/node/node.go
+++ b/node/node.go
@@ -103,7 +103,7 @@
 	n.endpoints = &endpointPool{clock: c, journal: n.journal, dial: newDialer(s.ConnectWithin),
 		idleTimeout: s.IdleFor, maxIdle: idle}
 	n.directory = &directory{address: at.Directory, openWatches: make(map[*watch]struct{}),
-		knownDests: make(map[uint32]struct{}), desk: n.decisions, endpoints: n.endpoints,
+		knownDests: make(map[uint32]struct{}), decisions: n.decisions, endpoints: n.endpoints,
 		partnerNames: s.PartnerNames, zoneNames: s.ZoneNames, useRates: s.Rated,
 		watchErrors: failureLog{part: "directory", operation: "watching the list"}}
 	n.notices = newNoticeSender(at.Directory)
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -94,9 +94,10 @@
 		env.t.Fatal(err)
 	}
 	s.Directory.RequiresWatch = true
-	module := scheduler.New(1, s.Types, s.Partners, s.Room, s.Recovery, s.Directory, s.Fleet, s.OrderPause)
+	decider := scheduler.New(1, s.Types, s.Partners, s.Room, s.Recovery, s.Directory, s.Fleet, s.OrderPause)
 	env.Node, err = Open(Config{Listen: "127.0.0.1:0", Directory: directory.Addr().String(), StateFolder: env.folder,
-		KnownEndpoints: []byte(list), disk: env.disk, machine: env.timeSource}, Limits{DiskMB: env.diskMB}, ClientTimeouts{}, s, module)
+		KnownEndpoints: []byte(list), disk: env.disk, machine: env.timeSource},
+		Limits{DiskMB: env.diskMB}, ClientTimeouts{}, s, decider)
 	if err != nil {
 		env.t.Fatal(err)
 	}
@@ -230,7 +231,7 @@
 		t.Errorf("got %d calls, want 1", calls)
 	}
 	// An event submitted in the round that frees the index of a completed one with the same id is a new event.
-	d := newDecisionLoop(clock{start: time.Now()}, &recordingModule{}, ms, []int{1})
+	d := newDecisionLoop(clock{start: time.Now()}, &recordingScheduler{}, ms, []int{1})
 	first, second := &event{id: "same", updates: make(chan eventUpdate, 9)}, &event{id: "same", updates: make(chan eventUpdate, 9)}
 	d.addEvent(first)
 	d.round(0)
@@ -372,7 +373,7 @@
 }
 
 func TestRestoredEventsKeepTheirOrder(t *testing.T) {
-	r := &recordingModule{}
+	r := &recordingScheduler{}
 	n := &Node{decisions: newDecisionLoop(clock{start: time.Now()}, r, ms, []int{1})}
 	want := ""
 	for i := range 50 {
@@ -517,8 +518,8 @@
 			<-hold
 		}
 	})
-	d := env.clients.listener
-	d.Listener = &failingListener{Listener: d.Listener, acceptFailures: 2}
+	listener := env.clients.listener
+	listener.Listener = &failingListener{Listener: listener.Listener, acceptFailures: 2}
 	go env.clients.serve()
 	get := func(c *testClient, path string) { fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: x\r\n\r\n", path) }
 	busy, idle := env.dial(), env.dial()
@@ -526,11 +527,11 @@
 	idle.readResponse("")
 	get(busy, "/hold")
 	env.waitFor("one connection is busy", func() bool {
-		d.mu.Lock()
-		defer d.mu.Unlock()
+		listener.mu.Lock()
+		defer listener.mu.Unlock()
 		n := 0
-		for g := range d.conns {
-			if g.busy {
+		for conn := range listener.conns {
+			if conn.busy {
 				n++
 			}
 		}
@@ -635,45 +636,46 @@
 
 func TestRequestCloseYieldsToARequest(t *testing.T) {
 	env := newListenerEnv(t, 2, func(string) {})
-	d := env.clients.listener
+	listener := env.clients.listener
 	c := env.dial()
 	io.WriteString(c, "half a request")
-	g, err := d.acceptConn()
-	if err != nil || !g.awaitRequest() {
+	conn, err := listener.acceptConn()
+	if err != nil || !conn.awaitRequest() {
 		t.Fatal("an incomplete request was not noticed", err)
 	}
-	d.closeAllIdle()
-	if g.closing {
+	listener.closeAllIdle()
+	if conn.closing {
 		t.Error("asked to close while a request was arriving")
 	}
-	if n, err := g.Read(make([]byte, 100)); n != 1 || err != nil {
+	if n, err := conn.Read(make([]byte, 100)); n != 1 || err != nil {
 		t.Errorf("first read: %d, %v", n, err)
 	}
-	if n, err := g.Read(make([]byte, 100)); n != 13 || err != nil {
+	if n, err := conn.Read(make([]byte, 100)); n != 13 || err != nil {
 		t.Errorf("second read: %d, %v", n, err)
 	}
-	g.markIdle()
-	d.closeAllIdle()
+	conn.markIdle()
+	listener.closeAllIdle()
 	io.WriteString(c, "a request that crosses the close")
 	begin := time.Now()
-	if g.awaitRequest() || time.Since(begin) > testTimeout/2 { // asked to close before it waits, so a request that arrives now is not read
+	// It was asked to close before it waits, so a request that arrives now is not read.
+	if conn.awaitRequest() || time.Since(begin) > testTimeout/2 {
 		t.Errorf("still waiting for a request after %v", time.Since(begin))
 	}
 	c.Close()
-	g.closeGracefully()
-	if !d.isEmpty() {
+	conn.closeGracefully()
+	if !listener.isEmpty() {
 		t.Error("the closed connection still counts")
 	}
 	// If the first byte was already read when the connection is asked to close, the request takes precedence.
 	c = env.dial()
-	if g, err = d.acceptConn(); err != nil {
+	if conn, err = listener.acceptConn(); err != nil {
 		t.Fatal(err)
 	}
-	d.mu.Lock()
+	listener.mu.Lock()
 	io.WriteString(c, "request")
 	rested := make(chan bool)
-	go func() { rested <- g.awaitRequest() }()
-	d.mu.Unlock()
+	go func() { rested <- conn.awaitRequest() }()
+	listener.mu.Unlock()
 	if !<-rested {
 		t.Error("the request was not noticed")
 	}
@@ -681,8 +683,8 @@
 
 func TestIdleConnectionIsServedAndIncompleteRequestGets408(t *testing.T) {
 	env := newListenerEnv(t, 2, func(string) {})
-	d := env.clients.listener
-	d.requestTimeout = 50 * time.Millisecond // far less than the idle timeout
+	listener := env.clients.listener
+	listener.requestTimeout = 50 * time.Millisecond // far less than the idle timeout
 	go env.clients.serve()
 	ahead, half := env.dial(), env.dial()
 	io.WriteString(half, "GET /up HTTP/1.1\r\nHo")
@@ -693,7 +695,7 @@
 	if status, _ := ahead.readResponse(""); status != 200 {
 		t.Errorf("idle connection: status %d", status)
 	}
-	d.closeAllIdle()
+	listener.closeAllIdle()
 	if b, err := ahead.reader.ReadByte(); err != io.EOF { // an idle connection closes without a response
 		t.Errorf("idle connection after the close: %q, %v", b, err)
 	}
@@ -709,17 +711,17 @@
 // Guards against responses in flight that are lost because closing a socket with unread input resets the connection.
 func TestCloseDoesNotDiscardResponseInFlight(t *testing.T) {
 	env := newListenerEnv(t, 9, func(string) {})
-	d := env.clients.listener
+	listener := env.clients.listener
 	for range 50 {
 		c := env.dial()
-		g, err := d.acceptConn()
+		conn, err := listener.acceptConn()
 		if err != nil {
 			t.Fatal(err)
 		}
-		io.WriteString(g, "answer")            // a response in flight
+		io.WriteString(conn, "answer")         // a response in flight
 		io.WriteString(c, "a request crosses") // unread input at the close
 		done := make(chan bool)
-		go func() { g.closeGracefully(); done <- true }()
+		go func() { conn.closeGracefully(); done <- true }()
 		if got, err := io.ReadAll(c.reader); string(got) != "answer" || err != nil {
 			t.Fatalf("the client received %q, %v", got, err)
 		}
@@ -798,51 +800,53 @@
 	env.waitFor("all events are delivered", func() bool { calls, _ := at.counts(); return calls > 0 && env.journal.empty() })
 }
 
-// recordingModule is a policy that records some of its input and decides nothing.
-type recordingModule struct {
+// recordingScheduler is a scheduler that records some of its input and decides nothing.
+type recordingScheduler struct {
 	delivery.Handler // methods that the tests do not call
 	mu               sync.Mutex
 	recorded         []string
 }
 
-func (r *recordingModule) record(format string, a ...any) {
+func (r *recordingScheduler) record(format string, a ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.recorded = append(r.recorded, fmt.Sprintf(format, a...))
 }
 
-func (r *recordingModule) joined() string {
+func (r *recordingScheduler) joined() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return strings.Join(r.recorded, " ")
 }
 
-func (r *recordingModule) Round(now int64, feed delivery.Feed, out delivery.Executor) {
+func (r *recordingScheduler) Round(now int64, feed delivery.Feed, out delivery.Executor) {
 	feed.Deliver(r)
 }
 
-func (r *recordingModule) Event(e int32, typ, customer int, key uint64, left, work int64, dest int32) {
+func (r *recordingScheduler) Event(e int32, typ, customer int, key uint64, left, work int64, dest int32) {
 	r.record("%d", dest)
 }
 
-func (r *recordingModule) Unconfirmed(e int32, send int)      { r.record("unconfirmed %d %d", e, send) }
-func (r *recordingModule) Confirmed(e int32, send int)        { r.record("confirmed %d %d", e, send) }
-func (r *recordingModule) RetryAfter() int64                  { return 0 }
-func (r *recordingModule) ListStarted(whole bool)             { r.record("whole=%v", whole) }
-func (r *recordingModule) ListEnded()                         { r.record(";") }
-func (r *recordingModule) ListFailed()                        { r.record("failed") }
-func (r *recordingModule) PeerReportedHealthy(p int, e int32) { r.record("good %d %d", p, e) }
-func (r *recordingModule) EndpointListed(ep, dest int32, partner, zone int, state delivery.EndpointState, rate float64) {
+func (r *recordingScheduler) Unconfirmed(e int32, attempt int) {
+	r.record("unconfirmed %d %d", e, attempt)
+}
+func (r *recordingScheduler) Confirmed(e int32, attempt int)     { r.record("confirmed %d %d", e, attempt) }
+func (r *recordingScheduler) RetryAfter() int64                  { return 0 }
+func (r *recordingScheduler) ListStarted(whole bool)             { r.record("whole=%v", whole) }
+func (r *recordingScheduler) ListEnded()                         { r.record(";") }
+func (r *recordingScheduler) ListFailed()                        { r.record("failed") }
+func (r *recordingScheduler) PeerReportedHealthy(p int, e int32) { r.record("good %d %d", p, e) }
+func (r *recordingScheduler) EndpointListed(ep, dest int32, partner, zone int, state delivery.EndpointState, rate float64) {
 	r.record("%d/%d/%d/%d/%d/%v", ep, dest, partner, zone, state, rate)
 }
 
-// newTestDirectory starts a directory client for an address, with a recording policy.
-func newTestDirectory(t *testing.T, address string) (*directory, *recordingModule) {
-	r := &recordingModule{}
+// newTestDirectory starts a directory client for an address, with a recording scheduler.
+func newTestDirectory(t *testing.T, address string) (*directory, *recordingScheduler) {
+	r := &recordingScheduler{}
 	d := newDecisionLoop(clock{start: time.Now()}, r, ms, []int{1})
 	d.endpoints = newTestPool(t, "")
 	d.directory = &directory{address: address, openWatches: make(map[*watch]struct{}),
-		knownDests: make(map[uint32]struct{}), desk: d, endpoints: d.endpoints, useRates: true,
+		knownDests: make(map[uint32]struct{}), decisions: d, endpoints: d.endpoints, useRates: true,
 		partnerNames: []string{"big", "small_one"}, zoneNames: []string{"here", "there"}}
 	d.directory.silenceTimeout.Store(int64(300 * time.Millisecond))
 	go d.run()
@@ -1009,7 +1013,7 @@
 }
 
 func TestForgottenEndpointKeepsIndexUntilItsCallsEnd(t *testing.T) {
-	d := newDecisionLoop(clock{start: time.Now()}, &recordingModule{}, ms, []int{1})
+	d := newDecisionLoop(clock{start: time.Now()}, &recordingScheduler{}, ms, []int{1})
 	d.endpoints = newTestPool(t, "127.0.0.1:1")
 	take := func(host string, want int32) {
 		t.Helper()
@@ -1045,7 +1049,7 @@
 	}
 	d, r := newTestDirectory(t, "")
 	sockets[0].Close()
-	p, err := newPeerMessenger(addresses[0], addresses[1], addresses[:2], 0, d.desk, 1)
+	p, err := newPeerMessenger(addresses[0], addresses[1], addresses[:2], 0, d.decisions, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -1065,8 +1069,8 @@
 	sockets[1].WriteToUDP(buf[:n], to)
 	(&testEnv{t: t}).waitFor("the datagram is received", func() bool { return strings.HasSuffix(r.joined(), "; good 1 1") })
 	// Duplicates, and datagrams older than the latest one or from an earlier process, are ignored.
-	for _, o := range []note.Order{{Process: 5, Number: 2}, {Process: 5, Number: 2}, {Process: 5, Number: 1}, {Process: 4, Number: 9},
-		{Process: 5, Number: 3}} {
+	for _, o := range []note.Order{{Process: 5, Number: 2}, {Process: 5, Number: 2}, {Process: 5, Number: 1},
+		{Process: 4, Number: 9}, {Process: 5, Number: 3}} {
 		sockets[1].WriteToUDP(note.GoodHost("a", o), to)
 	}
 	(&testEnv{t: t}).waitFor("the last datagram is received", func() bool { return strings.Count(r.joined(), "good 1 0") >= 2 })
--- a/node/peers.go
+++ b/node/peers.go
@@ -18,7 +18,7 @@
 	conn          *net.UDPConn
 	broadcastAddr *net.UDPAddr
 	peerIndex     map[string]int // by the peer's address
-	desk          *decisionLoop
+	decisions     *decisionLoop
 
 	processStart uint64 // sent with each datagram, so that peers can order them across restarts
 	sequence     atomic.Uint32
@@ -35,10 +35,12 @@
 // than before after a longer silence, its clock was set back.
 const maxDatagramDelay = 10 * time.Second
 
-var lateDatagrams = metrics.New("jaspersill_late_peer_datagrams_total", "Datagrams of peers that came again, or behind a later one.")
+var lateDatagrams = metrics.New("jaspersill_late_peer_datagrams_total",
+	"Datagrams of peers that came again, or behind a later one.")
 
-func newPeerMessenger(address, broadcast string, list []string, me int, d *decisionLoop, timeOfDay int64) (*peerMessenger, error) {
-	p := &peerMessenger{peerIndex: make(map[string]int), desk: d, processStart: uint64(timeOfDay),
+func newPeerMessenger(address, broadcast string, list []string, me int, d *decisionLoop,
+	timeOfDay int64) (*peerMessenger, error) {
+	p := &peerMessenger{peerIndex: make(map[string]int), decisions: d, processStart: uint64(timeOfDay),
 		lastReceived: make(map[int]receivedDatagram)}
 	if address == "" || broadcast == "" {
 		return p, nil // peer messages are not configured
@@ -59,7 +61,7 @@
 	return p, err
 }
 
-// receive passes the messages of peers to the policy until the socket closes.
+// receive passes the messages of peers to the scheduler until the socket closes.
 func (p *peerMessenger) receive() {
 	if p.conn == nil {
 		return
@@ -83,8 +85,8 @@
 			lateDatagrams.Add()
 			continue
 		}
-		p.desk.enqueue(func(to delivery.Handler) {
-			if ep, listed := p.desk.endpointIndex.Find(host); listed {
+		p.decisions.enqueue(func(to delivery.Handler) {
+			if ep, listed := p.decisions.endpointIndex.Find(host); listed {
 				to.PeerReportedHealthy(peer, ep)
 			}
 		})
--- a/node/wire.go
+++ b/node/wire.go
@@ -54,7 +54,7 @@
 
 // writeCall writes the HTTP request of a call with one event, or of a bulk call with several. The id, idempotency key and
 // body of each event are passed on unchanged. The deadline is wait, in ns.
-func writeCall(out *bytebufferpool.ByteBuffer, sends []*attempt, wait int64) error {
+func writeCall(out *bytebufferpool.ByteBuffer, attempts []*attempt, wait int64) error {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.Header.SetMethod(fasthttp.MethodPost)
@@ -62,8 +62,8 @@
 	req.Header.SetUserAgent("jaspersill")
 	req.Header.SetHost("endpoint")
 	req.Header.Set(headerDeadline, strconv.FormatInt(wait/1e6, 10))
-	if len(sends) == 1 {
-		e := sends[0].event
+	if len(attempts) == 1 {
+		e := attempts[0].event
 		req.SetRequestURI("/inbox")
 		req.Header.Set(headerID, e.id)
 		if e.idempotencyKey != "" {
@@ -75,12 +75,12 @@
 	}
 	body := bytebufferpool.Get()
 	defer bytebufferpool.Put(body)
-	for _, s := range sends {
-		e, mark := s.event, s.event.idempotencyKey
-		if mark == "" {
-			mark = "-"
+	for _, a := range attempts {
+		e, key := a.event, a.event.idempotencyKey
+		if key == "" {
+			key = "-"
 		}
-		body.B = append(append(append(append(body.B, e.id...), ' '), mark...), ' ')
+		body.B = append(append(append(append(body.B, e.id...), ' '), key...), ' ')
 		body.B = append(strconv.AppendInt(body.B, int64(len(e.body)), 10), "\r\n"...)
 		body.B = append(append(body.B, e.body...), "\r\n"...)
 	}
@@ -114,7 +114,7 @@
 
 // readResponse reads the response to a call. It returns a result for each attempt, or one for all where the outcome of the
 // call is unknown: the response was corrupted, or the connection broke before it was complete.
-func (r *responseReader) readResponse(sends []*attempt) callResponse {
+func (r *responseReader) readResponse(attempts []*attempt) callResponse {
 	if _, err := r.buf.Peek(1); err != nil {
 		return callResponse{results: []result{{outcome: delivery.Reset}}, close: closeBroken}
 	}
@@ -129,14 +129,15 @@
 			err = errUnreadableResponse
 		}
 	}
-	delivered := err == nil && len(sends) == 1 && r.statusLineIsOK()
+	delivered := err == nil && len(attempts) == 1 && r.statusLineIsOK()
 	if err == nil {
 		err = resp.ReadLimitBody(r.buf, maxResponseBytes)
 	}
 	switch {
 	case err == nil:
 	case delivered: // the status line alone confirms the delivery of a single event, even if the rest is lost
-		return callResponse{results: []result{{outcome: delivery.Acked, final: true, retryAfter: r.retryAfter(resp)}}, truncated: true, close: closeAnswer}
+		return callResponse{results: []result{{outcome: delivery.Acked, final: true, retryAfter: r.retryAfter(resp)}},
+			truncated: true, close: closeAnswer}
 	case errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET):
 		return callResponse{results: []result{{outcome: delivery.Reset, retryAfter: r.retryAfter(resp)}}, close: closeAnswer}
 	default:
@@ -145,7 +146,7 @@
 	var common result
 	common.rateFree, common.rateLimit = parseLoad(string(resp.Header.Peek(headerLoad)))
 	common.retryAfter = parseRetryAfter(string(resp.Header.Peek(headerRetryAfter)))
-	out := callResponse{results: make([]result, len(sends))}
+	out := callResponse{results: make([]result, len(attempts))}
 	out.identity.Digest = responseDigest(resp)
 	if resp.ConnectionClose() {
 		out.close = closeAnswer
@@ -154,15 +155,15 @@
 		out.close = closeSurplus
 	}
 	status := resp.StatusCode()
-	if len(sends) > 1 && status == fasthttp.StatusOK {
-		if parseBulkResults(resp.Body(), sends, common, out.results) {
+	if len(attempts) > 1 && status == fasthttp.StatusOK {
+		if parseBulkResults(resp.Body(), attempts, common, out.results) {
 			out.identity.NamesRequests = true
 		} else {
 			out.close = closeSurplus // the response belongs to another call, or is malformed
 		}
 		return out
 	}
-	common.outcome, common.final = classifyStatus(status, len(resp.Header.Peek(headerNoSlot)) > 0, len(sends) > 1)
+	common.outcome, common.final = classifyStatus(status, len(resp.Header.Peek(headerNoSlot)) > 0, len(attempts) > 1)
 	out.identity.NotRun = !common.outcome.MayHaveRun()
 	for i := range out.results {
 		out.results[i] = common
@@ -256,7 +257,7 @@
 // parseBulkResults parses the body of a bulk response, which has a line for each event, and reports whether it names all
 // events of the call. If one is missing, the response was truncated or belongs to another call, so any of the events may
 // have been processed.
-func parseBulkResults(body []byte, sends []*attempt, common result, results []result) (named bool) {
+func parseBulkResults(body []byte, attempts []*attempt, common result, results []result) (named bool) {
 	matched := 0
 	for i := range results {
 		results[i] = common
@@ -264,8 +265,8 @@
 	}
 	for line := range bytes.Lines(body) {
 		id, word, _ := strings.Cut(strings.TrimSpace(string(line)), " ")
-		for i, s := range sends {
-			if s.event.id != id || !bytes.HasSuffix(line, []byte("\n")) {
+		for i, a := range attempts {
+			if a.event.id != id || !bytes.HasSuffix(line, []byte("\n")) {
 				continue
 			}
 			matched++
@@ -285,7 +286,7 @@
 			}
 		}
 	}
-	if matched == len(sends) {
+	if matched == len(attempts) {
 		return true
 	}
 	for i := range results {
