--- a/node/clients.go
+++ b/node/clients.go
@@ -235,7 +235,7 @@
 		c.recentRequests.complete(request, c.acceptEvent(ctx, e))
 	}
 	<-request.done
-	c.respond(ctx, request.answer)
+	c.respond(ctx, request.response)
 }
 
 // acceptEvent starts processing an event or refuses it, and returns the answer for the client.
--- a/node/iofaults_test.go
+++ b/node/iofaults_test.go
@@ -628,8 +628,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	conn := (&call{pool: p, attempts: nil}).connect(ctx, endpoint.Addr().String())
-	conn.expectAnswer()
-	if conn.answerStarted() {
+	conn.expectResponse()
+	if conn.responseStarted() {
 		t.Error("a response was reported before the call was sent")
 	}
 	io.WriteString(conn, "POST /inbox HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
--- a/node/journal.go
+++ b/node/journal.go
@@ -75,7 +75,7 @@
 		events = append(
 			events,
 			&event{id: o.ID, arrivalSeq: o.ArrivalSeq, idempotencyKey: o.IdempotencyKey, typ: typ, customer: customer, dest: o.Dest,
-				wallDeadline: o.Deadline, body: o.Body, pastSends: o.Attempts, sendCount: len(o.Attempts), resolution: resolution(o.Verdict),
+				wallDeadline: o.Deadline, body: o.Body, pastAttempts: o.Attempts, attemptCount: len(o.Attempts), verdict: verdict(o.Verdict),
 				retryAfter: o.RetryAfter, updates: make(chan eventUpdate, updateBuffer)},
 		)
 	}
@@ -155,11 +155,11 @@
 
 // recordVerdict writes how an event ends whose notice is still owed.
 func (j *journal) recordVerdict(e *event) *store.PendingWrite {
-	return j.store.RecordVerdict(e.id, e.arrivalSeq, store.Verdict(e.resolution), e.retryAfter)
+	return j.store.RecordVerdict(e.id, e.arrivalSeq, store.Verdict(e.verdict), e.retryAfter)
 }
 
 // recordVerdictAndTrim is decide for an event of which nothing but its notice may still be needed.
-func (j *journal) recordVerdictAndTrim(e *event, v resolution) *store.PendingWrite {
+func (j *journal) recordVerdictAndTrim(e *event, v verdict) *store.PendingWrite {
 	return j.store.RecordVerdictAndTrim(e.id, e.arrivalSeq, store.Verdict(v))
 }
 
--- a/node/journal_test.go
+++ b/node/journal_test.go
@@ -72,7 +72,7 @@
 			j.recordOutcome(e, 0, delivery.Refused)
 			j.recordOutcome(e, 1, delivery.Reset)
 		case 2:
-			e.resolution, e.retryAfter = declined, 500
+			e.verdict, e.retryAfter = declined, 500
 			j.recordVerdict(e)
 		}
 	}
@@ -91,12 +91,12 @@
 		case "e1":
 			past := []store.Attempt{{StartedAt: 50, Zone: "zone", Ended: true, Outcome: delivery.Refused},
 				{StartedAt: 60, Zone: "zone", Ended: true, Outcome: delivery.Reset}, {StartedAt: 70, Zone: "zone"}}
-			if !slices.Equal(e.pastSends, past) || e.sendCount != 3 || string(e.body) != "a\r\n\x00b" {
-				t.Errorf("e1: sends %+v, body %q", e.pastSends, e.body)
+			if !slices.Equal(e.pastAttempts, past) || e.attemptCount != 3 || string(e.body) != "a\r\n\x00b" {
+				t.Errorf("e1: sends %+v, body %q", e.pastAttempts, e.body)
 			}
 		case "e2":
-			if e.resolution != declined || e.retryAfter != 500 {
-				t.Errorf("e2: verdict %d, come back %d", e.resolution, e.retryAfter)
+			if e.verdict != declined || e.retryAfter != 500 {
+				t.Errorf("e2: verdict %d, come back %d", e.verdict, e.retryAfter)
 			}
 		case "e3":
 			if len(e.body) != 64<<10 {
@@ -196,8 +196,8 @@
 		j, owed = reopenJournal(t, folder, 3)
 		want := []store.Attempt{{StartedAt: 50, Zone: "zone", Ended: true, Outcome: delivery.Unsent},
 			{StartedAt: 50, Zone: "zone", Ended: true, Outcome: delivery.Refused}}
-		if !slices.Equal(owed[0].pastSends, want) {
-			t.Errorf("sends %+v", owed[0].pastSends)
+		if !slices.Equal(owed[0].pastAttempts, want) {
+			t.Errorf("sends %+v", owed[0].pastAttempts)
 		}
 	}
 	j.close()
@@ -229,7 +229,7 @@
 	j.close()
 	j, owed := reopenJournal(t, folder, 3)
 	defer j.close()
-	if len(owed) != 1 || len(owed[0].pastSends) != 0 {
+	if len(owed) != 1 || len(owed[0].pastAttempts) != 0 {
 		t.Errorf("owed %+v", owed)
 	}
 }
@@ -303,8 +303,8 @@
 	j, owed = reopenJournal(t, folder, 3)
 	defer j.close()
 	for _, e := range owed {
-		if e.id == "e1" && len(e.pastSends) != 3 {
-			t.Errorf("e1 came back as %+v", e.pastSends)
+		if e.id == "e1" && len(e.pastAttempts) != 3 {
+			t.Errorf("e1 came back as %+v", e.pastAttempts)
 		}
 	}
 	if len(owed) != 2 {
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -96,7 +96,7 @@
 	s.Directory.RequiresWatch = true
 	decider := scheduler.New(1, s.Types, s.Partners, s.Room, s.Recovery, s.Directory, s.Fleet, s.OrderPause)
 	env.Node, err = Open(Config{Listen: "127.0.0.1:0", Directory: directory.Addr().String(), StateFolder: env.folder,
-		KnownEndpoints: []byte(list), disk: env.disk, machine: env.timeSource},
+		KnownEndpoints: []byte(list), disk: env.disk, timeSource: env.timeSource},
 		Limits{DiskMB: env.diskMB}, ClientTimeouts{}, s, decider)
 	if err != nil {
 		env.t.Fatal(err)
@@ -392,7 +392,7 @@
 	d.partnerOf = []int{0}
 	for i, size := range []int{40 << 10, 20 << 10, 20 << 10, 10, 10} {
 		d.eventIndex.Take(&event{id: fmt.Sprint(i), body: make([]byte, size)})
-		d.activeSends = append(d.activeSends, nil)
+		d.activeAttempts = append(d.activeAttempts, nil)
 		d.Send(int32(i), 0, ms)
 	}
 	got := ""
@@ -1001,7 +1001,7 @@
 	defer close(stop)
 	o.setTimeouts(testTimeout, noticeRetryInterval)
 	go o.run(stop)
-	o.enqueue(notice{id: "x", verdict: discarded, onAcknowledged: func() { told <- struct{}{} }})
+	o.enqueue(notice{id: "x", resolution: discarded, onAcknowledged: func() { told <- struct{}{} }})
 	(&testEnv{t: t}).waitFor("the notice is posted", func() bool { calls, _ := hangs.counts(); return calls == 1 })
 	o.setAddress(after.Addr().String())
 	select {
--- a/node/wire.go
+++ b/node/wire.go
@@ -93,7 +93,7 @@
 // callResponse is the parsed response of an endpoint to a call.
 type callResponse struct {
 	results   []result // one for each attempt, or a single one for all
-	identity  lifecycle.Answer
+	identity  lifecycle.Response
 	truncated bool        // only its start was received, which confirms that the call's single event is delivered
 	close     closeReason // why the connection must close after it; empty if it can be reused
 }
