--- a/node/node.go
+++ b/node/node.go
@@ -110,7 +110,7 @@
 	n.endpoints = &endpointPool{clock: c, journal: n.journal, dial: newDialer(settings.ConnectWithin),
 		idleTimeout: settings.IdleFor, maxIdle: idleEndpoints}
 	n.directory = &directory{address: config.Directory, openWatches: make(map[*watch]struct{}),
-		knownDests: make(map[uint32]struct{}), desk: n.decisions, endpoints: n.endpoints,
+		knownDests: make(map[uint32]struct{}), decisions: n.decisions, endpoints: n.endpoints,
 		partnerNames: settings.PartnerNames, zoneNames: settings.ZoneNames, useRates: settings.Rated,
 		watchErrors: failureLog{part: "directory", operation: "watching the directory"}}
 	n.notices = newNoticeSender(config.Directory)
