--- a/node/attribution_test.go
+++ b/node/attribution_test.go
@@ -283,7 +283,7 @@
 	if calls, _ := at.calls(); calls != 1 || !w.journal.empty() {
 		t.Errorf("%d calls", calls)
 	}
-	folder := killed(t, w.folder)
+	folder := copyAsKilled(t, w.folder)
 	next := newWorld(t)
 	next.folder, next.hosts = folder, w.hosts
 	next.run()
--- a/node/clock_test.go
+++ b/node/clock_test.go
@@ -56,7 +56,7 @@
 		c.hand(request("short", "charge", "9", 1500, ""))
 
 		again := newWorld(t)
-		again.folder = killed(t, w.folder)
+		again.folder = copyAsKilled(t, w.folder)
 		stepped := thisMachine()
 		stepped.wall = func() int64 { return wall() + int64(step) }
 		again.machine = &stepped
--- a/node/confirmation.go
+++ b/node/confirmation.go
@@ -223,14 +223,14 @@
 	came    uint64
 	due     int64
 	request *lifecycle.Request
-	record  *store.Receipt
+	record  *store.PendingWrite
 }
 
 // settle ends the event: nothing more is owed if the answer was its own, else a notice, which does no harm if it was.
 func (e *provisionalEnd) settle(confirmed bool) {
 	if confirmed {
 		e.request.Confirm()
-		e.node.journal.forget(e.id, e.came)
+		e.node.journal.completeByID(e.id, e.came)
 		return
 	}
 	if e.request.Doubt() != nil {
@@ -255,6 +255,6 @@
 	}
 	e.node.notices.post(notice{id: e.id, verdict: discarded, told: func() {
 		e.node.ending.Add(-1)
-		e.node.journal.forget(e.id, e.came)
+		e.node.journal.completeByID(e.id, e.came)
 	}})
 }
--- a/node/desk.go
+++ b/node/desk.go
@@ -157,7 +157,7 @@
 	ranAgo, zone, mayRun := int64(0), 0, false
 	for _, s := range e.past {
 		if !mayRun && s.MayHaveRun() {
-			mayRun, ranAgo, zone = true, max(0, d.clock.day()-s.At), d.directory.zone(s.Zone)
+			mayRun, ranAgo, zone = true, max(0, d.clock.day()-s.StartedAt), d.directory.zone(s.Zone)
 		}
 	}
 	to.Resumed(e.index, len(e.past), mayRun, ranAgo, zone)
--- a/node/event.go
+++ b/node/event.go
@@ -18,12 +18,12 @@
 	due           int64 // on the module's clock
 	deadline      int64 // the same as time of day, which outlasts the process
 	body          []byte
-	steps         chan step    // what its life waits for
-	answer        chan answer  // what its client hears, nil for one restored
-	index         int32        // the desk's
-	past          []store.Send // sends before a restart, in order
-	came          uint64       // by which the journal tells it from another of its id
-	sends         int          // how many in all; the desk's
+	steps         chan step       // what its life waits for
+	answer        chan answer     // what its client hears, nil for one restored
+	index         int32           // the desk's
+	past          []store.Attempt // sends before a restart, in order
+	came          uint64          // by which the journal tells it from another of its id
+	sends         int             // how many in all; the desk's
 	request       *lifecycle.Request
 	verdict       verdict // an end that was decided before a restart
 	comeBack      int64
@@ -31,7 +31,7 @@
 
 // mayHaveRun tells whether an attempt before a restart may have taken effect.
 func (e *event) mayHaveRun() bool {
-	return slices.ContainsFunc(e.past, func(s store.Send) bool { return s.MayHaveRun() })
+	return slices.ContainsFunc(e.past, func(s store.Attempt) bool { return s.MayHaveRun() })
 }
 
 // answer is what a client hears: a status, and when to come back, 0 for nothing told.
--- a/node/failing_test.go
+++ b/node/failing_test.go
@@ -62,7 +62,7 @@
 // afterKill is what a restart would find in a folder, by id.
 func afterKill(t *testing.T, folder string) map[string]*store.Event {
 	t.Helper()
-	found, err := store.Recover(store.Dir(killed(t, folder)))
+	found, err := store.Recover(store.Dir(copyAsKilled(t, folder)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -166,7 +166,7 @@
 func TestCallingOffDoesNotWaitForTheDisk(t *testing.T) {
 	folder := t.TempDir()
 	disk := &faultyDisk{Dir: store.Dir(folder)}
-	j, _, err := openJournal(folder, disk, wall, 3, 6, anyName)
+	j, _, err := openJournal(folder, disk, wall, 3, 6, findAnyType)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/node/inspect.go
+++ b/node/inspect.go
@@ -42,29 +42,29 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Report{Size: found.Size, Records: found.Records, Torn: found.Torn, Lost: found.Lost}
+	r := &Report{Size: found.Size, Records: found.Records, Torn: found.TornBytes, Lost: found.RecordsLost}
 	for _, fault := range found.Faults {
 		r.Faults = append(r.Faults, filepath.Join(folder, fault))
 	}
 	damaged := func(offset int, reason string) {
 		r.Faults = append(
 			r.Faults,
-			fmt.Sprintf("%s: offset %d: %s", filepath.Join(folder, oldName), offset, reason),
+			fmt.Sprintf("%s: offset %d: %s", filepath.Join(folder, legacyName), offset, reason),
 		)
 	}
 	list := found.Events
-	old, err := readOld(folder, damaged)
+	old, err := readLegacyJournal(folder, damaged)
 	if err != nil {
 		return nil, err
 	}
 	if old != nil {
-		for _, e := range old.events(damaged) {
+		for _, e := range old.pendingEvents(damaged) {
 			list = append(list, &e)
 		}
 	}
 	for _, e := range list {
-		r.Owed = append(r.Owed, Owed{ID: e.ID, Kind: e.Kind, Owner: e.Owner, Mark: e.Mark, Dest: e.Dest,
-			Deadline: time.Unix(0, e.Deadline), Sends: len(e.Sends), Verdict: verdict(e.Verdict).String(),
+		r.Owed = append(r.Owed, Owed{ID: e.ID, Kind: e.Kind, Owner: e.Owner, Mark: e.IdempotencyKey, Dest: e.Dest,
+			Deadline: time.Unix(0, e.Deadline), Sends: len(e.Attempts), Verdict: verdict(e.Verdict).String(),
 			Body: len(e.Body), MayHaveRun: e.MayHaveRun()})
 	}
 	return r, nil
--- a/node/journal.go
+++ b/node/journal.go
@@ -14,41 +14,41 @@
 
 // journal is what the delivery node owes, in a store that outlasts the process.
 type journal struct {
-	disk trouble
+	writeFailures trouble
 
-	store *store.Store
-	day   func() int64
-	stop  chan struct{}
-	done  chan struct{}
+	store     *store.Store
+	wallClock func() int64
+	stop      chan struct{}
+	done      chan struct{}
 }
 
 const (
-	compactBytes = 64 << 10              // of one step of compaction: it shares the disk with those who write
-	compactRest  = 20 * time.Millisecond // between looks at whether there is something to compact
+	compactionStepBytes = 64 << 10              // of one step of compaction: it shares the disk with those who write
+	compactionInterval  = 20 * time.Millisecond // between looks at whether there is something to compact
 )
 
 var (
-	errFull  = store.ErrFull
-	errOver  = store.ErrOver
-	errKnown = store.ErrKnown
-	errEnded = store.ErrEnded
+	errFull             = store.ErrFull
+	errNotPending       = store.ErrNotPending
+	errAlreadyPending   = store.ErrAlreadyPending
+	errAlreadyCompleted = store.ErrAlreadyCompleted
 )
 
 // openJournal opens the folder's store and returns the events that it still owes, in the order of their
 // coming. What an older version kept is carried over. find maps the names of a stream type and a customer to
 // their indices, and day tells the time of day.
-func openJournal(folder string, disk store.Folder, day func() int64, limitMB float64, sends int,
+func openJournal(folder string, disk store.FS, day func() int64, limitMB float64, sends int,
 	find func(kind, owner string) (int, int, bool)) (*journal, []*event, error) {
-	s, found, err := store.Open(disk, int64(limitMB*1e6), sends, store.Never, day)
+	s, found, err := store.Open(disk, int64(limitMB*1e6), sends, store.SyncNever, day)
 	if err != nil {
 		return nil, nil, err
 	}
 	j := &journal{
-		store: s,
-		day:   day,
-		disk:  trouble{part: "journal", what: "writing a record"},
-		stop:  make(chan struct{}),
-		done:  make(chan struct{}),
+		store:         s,
+		wallClock:     day,
+		writeFailures: trouble{part: "journal", what: "writing a record"},
+		stop:          make(chan struct{}),
+		done:          make(chan struct{}),
 	}
 	for _, fault := range found.Faults {
 		logs.Part("journal").
@@ -57,9 +57,9 @@
 	}
 	if found.Size > 0 {
 		logs.Part("journal").WithField("records", found.Records).WithField("owed", len(found.Events)).
-			WithField("cut_off", found.Torn).WithField("lost", found.Lost).Info("the store was read")
+			WithField("cut_off", found.TornBytes).WithField("lost", found.RecordsLost).Info("the store was read")
 	}
-	list, err := j.carryOver(folder, found.Events)
+	list, err := j.importLegacy(folder, found.Events)
 	if err != nil {
 		s.Close()
 		return nil, nil, err
@@ -74,51 +74,51 @@
 		}
 		events = append(
 			events,
-			&event{id: o.ID, came: o.Came, mark: o.Mark, typ: typ, customer: customer, dest: o.Dest,
-				deadline: o.Deadline, body: o.Body, past: o.Sends, sends: len(o.Sends), verdict: verdict(o.Verdict),
-				comeBack: o.ComeBack, steps: make(chan step, maxSteps)},
+			&event{id: o.ID, came: o.ArrivalSeq, mark: o.IdempotencyKey, typ: typ, customer: customer, dest: o.Dest,
+				deadline: o.Deadline, body: o.Body, past: o.Attempts, sends: len(o.Attempts), verdict: verdict(o.Verdict),
+				comeBack: o.RetryAfter, steps: make(chan step, maxSteps)},
 		)
 	}
-	go j.compact()
+	go j.runCompaction()
 	return j, events, nil
 }
 
-// carryOver takes in what an older version kept. A crash on the way leaves both, and the store's word counts.
-func (j *journal) carryOver(folder string, list []*store.Event) ([]*store.Event, error) {
+// importLegacy takes in what an older version kept. A crash on the way leaves both, and the store's word counts.
+func (j *journal) importLegacy(folder string, list []*store.Event) ([]*store.Event, error) {
 	damaged := func(offset int, reason string) {
-		logs.Part("journal").WithField("file", oldName).WithField("offset", offset).Error(reason)
+		logs.Part("journal").WithField("file", legacyName).WithField("offset", offset).Error(reason)
 	}
-	old, err := readOld(folder, damaged)
+	old, err := readLegacyJournal(folder, damaged)
 	if old == nil || err != nil {
 		return list, err
 	}
-	for _, e := range old.events(damaged) {
+	for _, e := range old.pendingEvents(damaged) {
 		var came uint64
-		err := errclass.Retry(errclass.File, carryWithin, carryAgain, func() (err error) {
-			came, err = j.store.Take(e)
+		err := errclass.Retry(errclass.File, legacyRetryTimeout, legacyRetryInterval, func() (err error) {
+			came, err = j.store.Accept(e)
 			return err
 		})
-		if errors.Is(err, errKnown) || errors.Is(err, errEnded) {
+		if errors.Is(err, errAlreadyPending) || errors.Is(err, errAlreadyCompleted) {
 			continue
 		}
 		if err != nil {
 			return nil, err
 		}
-		e.Came = came
+		e.ArrivalSeq = came
 		list = append(list, &e)
 	}
 	return list, old.remove()
 }
 
-// compact empties old segments, a step at a time, until close.
-func (j *journal) compact() {
+// runCompaction empties old segments, a step at a time, until close.
+func (j *journal) runCompaction() {
 	defer close(j.done)
 	for {
-		more, err := j.store.Compact(compactBytes)
+		more, err := j.store.Compact(compactionStepBytes)
 		if err != nil {
-			j.disk.note(err)
+			j.writeFailures.note(err)
 		}
-		rest := compactRest
+		rest := compactionInterval
 		if more && err == nil {
 			rest = time.Millisecond
 		}
@@ -133,57 +133,57 @@
 func (j *journal) close() {
 	close(j.stop)
 	<-j.done
-	j.disk.note(j.store.Close())
+	j.writeFailures.note(j.store.Close())
 }
 
-// take writes that an event was taken on.
-func (j *journal) take(e *event, kind, owner string) (err error) {
-	e.came, err = j.store.Take(store.Event{ID: e.id, Kind: kind, Owner: owner, Mark: e.mark, Dest: e.dest,
+// accept writes that an event was taken on.
+func (j *journal) accept(e *event, kind, owner string) (err error) {
+	e.came, err = j.store.Accept(store.Event{ID: e.id, Kind: kind, Owner: owner, IdempotencyKey: e.mark, Dest: e.dest,
 		Deadline: e.deadline, Body: e.body})
 	return err
 }
 
-// began writes that a send goes out. Where it fails, nothing may go.
-func (j *journal) began(e *event, number int, at int64, zone string) error {
+// recordAttempt writes that a send goes out. Where it fails, nothing may go.
+func (j *journal) recordAttempt(e *event, number int, at int64, zone string) error {
 	return j.store.RecordAttempt(e.id, e.came, number, at, zone)
 }
 
-// ended writes how a send ended.
-func (j *journal) ended(e *event, number int, how port.Outcome) *store.Receipt {
+// recordOutcome writes how a send recordOutcome.
+func (j *journal) recordOutcome(e *event, number int, how port.Outcome) *store.PendingWrite {
 	return j.store.RecordOutcome(e.id, e.came, number, how)
 }
 
-// decide writes how an event ends whose notice is still owed.
-func (j *journal) decide(e *event) *store.Receipt {
-	return j.store.Resolve(e.id, e.came, store.Verdict(e.verdict), e.comeBack)
+// recordVerdict writes how an event ends whose notice is still owed.
+func (j *journal) recordVerdict(e *event) *store.PendingWrite {
+	return j.store.RecordVerdict(e.id, e.came, store.Verdict(e.verdict), e.comeBack)
 }
 
-// decideBriefly is decide for an event of which nothing but its notice may still be needed.
-func (j *journal) decideBriefly(e *event, v verdict) *store.Receipt {
-	return j.store.ResolveBriefly(e.id, e.came, store.Verdict(v))
+// recordVerdictAndTrim is decide for an event of which nothing but its notice may still be needed.
+func (j *journal) recordVerdictAndTrim(e *event, v verdict) *store.PendingWrite {
+	return j.store.RecordVerdictAndTrim(e.id, e.came, store.Verdict(v))
 }
 
-// over writes that nothing more is owed for an event.
-func (j *journal) over(e *event) *store.Receipt { return j.forget(e.id, e.came) }
+// complete writes that nothing more is owed for an event.
+func (j *journal) complete(e *event) *store.PendingWrite { return j.completeByID(e.id, e.came) }
 
-// forget is over for an event that is known by its id and its place in the order of coming. One that comes again under
+// completeByID is over for an event that is known by its id and its place in the order of coming. One that comes again under
 // its id is known for a while, also to the next process.
-func (j *journal) forget(id string, came uint64) *store.Receipt {
-	return j.store.Complete(id, came, j.day()+int64(endedFor))
+func (j *journal) completeByID(id string, came uint64) *store.PendingWrite {
+	return j.store.Complete(id, came, j.wallClock()+int64(endedFor))
 }
 
-// owed counts the events that are owed an end.
-func (j *journal) owed() int { return j.store.Owed() }
+// pendingCount counts the events that are pendingCount an end.
+func (j *journal) pendingCount() int { return j.store.PendingCount() }
 
 // empty tells whether nothing is owed.
 func (j *journal) empty() bool { return j.store.Empty() }
 
-// settled tells whether all that is known is written.
-func (j *journal) settled() bool { return j.store.Unwritten() == 0 }
+// allWritten tells whether all that is known is written.
+func (j *journal) allWritten() bool { return j.store.UnwrittenCount() == 0 }
 
 // hasJournal tells whether a folder holds what a node owes, in either form.
 func hasJournal(folder string) bool {
 	segments, _ := filepath.Glob(filepath.Join(folder, "seg-*"))
-	_, err := os.Stat(filepath.Join(folder, oldName))
+	_, err := os.Stat(filepath.Join(folder, legacyName))
 	return len(segments) > 0 || err == nil
 }
--- a/node/journal_bench_test.go
+++ b/node/journal_bench_test.go
@@ -37,7 +37,7 @@
 		wg.Wait()
 		b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "events/s")
 	}
-	j, _, err := openJournal(b.TempDir(), store.Dir(b.TempDir()), wall, 64, 6, anyName)
+	j, _, err := openJournal(b.TempDir(), store.Dir(b.TempDir()), wall, 64, 6, findAnyType)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -45,11 +45,11 @@
 	b.ResetTimer()
 	play(b, func(id string) error {
 		e := &event{id: id, mark: "m", dest: 7, deadline: 1 << 60, body: body}
-		if err := errors.Join(j.take(e, "alert", "acme"), j.began(e, 0, 5, "zone")); err != nil {
+		if err := errors.Join(j.accept(e, "alert", "acme"), j.recordAttempt(e, 0, 5, "zone")); err != nil {
 			return err
 		}
-		j.ended(e, 0, port.Acked)
-		j.over(e)
+		j.recordOutcome(e, 0, port.Acked)
+		j.complete(e)
 		return nil
 	})
 }
--- a/node/journal_test.go
+++ b/node/journal_test.go
@@ -16,20 +16,20 @@
 	"jaspersill/store"
 )
 
-func anyName(string, string) (int, int, bool) { return 0, 0, true }
+func findAnyType(string, string) (int, int, bool) { return 0, 0, true }
 
-// reopen opens a folder as the next process does.
-func reopen(t *testing.T, folder string, limitMB float64) (*journal, []*event) {
+// reopenJournal opens a folder as the next process does.
+func reopenJournal(t *testing.T, folder string, limitMB float64) (*journal, []*event) {
 	t.Helper()
-	j, owed, err := openJournal(folder, store.Dir(folder), wall, limitMB, 6, anyName)
+	j, owed, err := openJournal(folder, store.Dir(folder), wall, limitMB, 6, findAnyType)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return j, owed
 }
 
-// killed is the folder as a killed process leaves it: nothing was closed in order.
-func killed(t *testing.T, folder string) string {
+// copyAsKilled is the folder as a copyAsKilled process leaves it: nothing was closed in order.
+func copyAsKilled(t *testing.T, folder string) string {
 	t.Helper()
 	next := t.TempDir()
 	if err := os.CopyFS(next, os.DirFS(folder)); err != nil {
@@ -52,33 +52,33 @@
 	return size
 }
 
-// fill writes four events in different states: ended, with sends, decided, and one with a long body.
-func fill(t *testing.T, j *journal) {
+// fillJournal writes four events in different states: ended, with sends, decided, and one with a long body.
+func fillJournal(t *testing.T, j *journal) {
 	t.Helper()
 	for i, body := range []string{"over", "a\r\n\x00b", "", strings.Repeat("long", 16<<10)} {
 		e := &event{id: fmt.Sprint("e", i), mark: "m", dest: 7, deadline: 1 << 60, body: []byte(body)}
-		if err := j.take(e, "alert", "acme"); err != nil {
+		if err := j.accept(e, "alert", "acme"); err != nil {
 			t.Fatal(err)
 		}
 		switch i {
 		case 0:
-			j.over(e)
+			j.complete(e)
 		case 1:
 			for n, at := range []int64{50, 60, 70} {
-				if err := j.began(e, n, at, "zone"); err != nil {
+				if err := j.recordAttempt(e, n, at, "zone"); err != nil {
 					t.Fatal(err)
 				}
 			}
-			j.ended(e, 0, port.Declined)
-			j.ended(e, 1, port.Reset)
+			j.recordOutcome(e, 0, port.Declined)
+			j.recordOutcome(e, 1, port.Reset)
 		case 2:
 			e.verdict, e.comeBack = declined, 500
-			j.decide(e)
+			j.recordVerdict(e)
 		}
 	}
 }
 
-func check(t *testing.T, owed []*event, want int) {
+func checkRecovered(t *testing.T, owed []*event, want int) {
 	t.Helper()
 	if len(owed) != want {
 		t.Fatalf("%d events owed, want %d", len(owed), want)
@@ -89,8 +89,8 @@
 		}
 		switch e.id {
 		case "e1":
-			past := []store.Send{{At: 50, Zone: "zone", Ended: true, How: port.Declined},
-				{At: 60, Zone: "zone", Ended: true, How: port.Reset}, {At: 70, Zone: "zone"}}
+			past := []store.Attempt{{StartedAt: 50, Zone: "zone", Ended: true, Outcome: port.Declined},
+				{StartedAt: 60, Zone: "zone", Ended: true, Outcome: port.Reset}, {StartedAt: 70, Zone: "zone"}}
 			if !slices.Equal(e.past, past) || e.sends != 3 || string(e.body) != "a\r\n\x00b" {
 				t.Errorf("e1: sends %+v, body %q", e.past, e.body)
 			}
@@ -108,22 +108,22 @@
 
 func TestJournalOutlastsItsProcess(t *testing.T) {
 	folder := t.TempDir()
-	j, _ := reopen(t, folder, 3)
-	fill(t, j)
+	j, _ := reopenJournal(t, folder, 3)
+	fillJournal(t, j)
 	for range 3 { // the process was killed, and again after each start
-		folder = killed(t, folder)
+		folder = copyAsKilled(t, folder)
 		var owed []*event
 		j.close()
-		j, owed = reopen(t, folder, 3)
-		check(t, owed, 3)
+		j, owed = reopenJournal(t, folder, 3)
+		checkRecovered(t, owed, 3)
 	}
 	j.close()
-	j, owed := reopen(t, folder, 3)
+	j, owed := reopenJournal(t, folder, 3)
 	defer j.close()
-	if j.began(owed[0], 3, 80, "zone") != nil || !errors.Is(j.began(&event{id: "e0"}, 0, 0, ""), errOver) {
+	if j.recordAttempt(owed[0], 3, 80, "zone") != nil || !errors.Is(j.recordAttempt(&event{id: "e0"}, 0, 0, ""), errNotPending) {
 		t.Error("a send of an owed event must begin, and one of an event that is over must not")
 	}
-	if _, _, err := openJournal(folder, store.Dir(folder), wall, 3, 6, anyName); err == nil {
+	if _, _, err := openJournal(folder, store.Dir(folder), wall, 3, 6, findAnyType); err == nil {
 		t.Error("a second process may open the folder")
 	}
 }
@@ -131,7 +131,7 @@
 func TestJournalKeepsToItsRoomAndRefusesBeforeTakingOn(t *testing.T) {
 	for _, size := range []int{0, 300, 8 << 10, mostBody} {
 		folder, limit := t.TempDir(), 1.0
-		j, _ := reopen(t, folder, limit)
+		j, _ := reopenJournal(t, folder, limit)
 		var live []*event
 		full := 0
 		for i := range 1500 {
@@ -142,7 +142,7 @@
 				deadline: 1 << 60,
 				body:     make([]byte, size),
 			}
-			switch err := j.take(e, "alert", "acme"); {
+			switch err := j.accept(e, "alert", "acme"); {
 			case err == nil:
 				live = append(live, e)
 			case errors.Is(err, errFull):
@@ -155,16 +155,16 @@
 			}
 			last := live[len(live)-1]
 			for n := range 6 {
-				if err := j.began(last, n, 1<<60, "a-zone-of-some-length"); err != nil {
+				if err := j.recordAttempt(last, n, 1<<60, "a-zone-of-some-length"); err != nil {
 					t.Fatal(err)
 				}
-				j.ended(last, n, port.Declined)
+				j.recordOutcome(last, n, port.Declined)
 			}
 			if used := folderSize(t, folder); used > int64(limit*1e6) {
 				t.Fatalf("%d bytes on disk", used)
 			}
 			if i%3 == 0 {
-				j.over(live[0])
+				j.complete(live[0])
 				live = live[1:]
 			}
 		}
@@ -172,7 +172,7 @@
 			t.Errorf("bodies of %d bytes never filled the folder", size)
 		}
 		j.close()
-		j, owed := reopen(t, folder, limit)
+		j, owed := reopenJournal(t, folder, limit)
 		j.close()
 		if len(owed) != len(live) {
 			t.Errorf("bodies of %d bytes: %d owed, want %d", size, len(owed), len(live))
@@ -182,20 +182,20 @@
 
 func TestSendThatNeverBeganIsNoneThatMayHaveRun(t *testing.T) {
 	folder := t.TempDir()
-	j, _ := reopen(t, folder, 3)
+	j, _ := reopenJournal(t, folder, 3)
 	e := &event{id: "e"}
-	if err := j.take(e, "alert", "acme"); err != nil {
+	if err := j.accept(e, "alert", "acme"); err != nil {
 		t.Fatal(err)
 	}
-	j.ended(e, 0, port.Unsent) // given up before it began
-	_ = j.began(e, 1, 50, "zone")
-	j.ended(e, 1, port.Declined)
+	j.recordOutcome(e, 0, port.Unsent) // given up before it began
+	_ = j.recordAttempt(e, 1, 50, "zone")
+	j.recordOutcome(e, 1, port.Declined)
 	for range 2 {
 		j.close()
 		var owed []*event
-		j, owed = reopen(t, folder, 3)
-		want := []store.Send{{At: 50, Zone: "zone", Ended: true, How: port.Unsent},
-			{At: 50, Zone: "zone", Ended: true, How: port.Declined}}
+		j, owed = reopenJournal(t, folder, 3)
+		want := []store.Attempt{{StartedAt: 50, Zone: "zone", Ended: true, Outcome: port.Unsent},
+			{StartedAt: 50, Zone: "zone", Ended: true, Outcome: port.Declined}}
 		if !slices.Equal(owed[0].past, want) {
 			t.Errorf("sends %+v", owed[0].past)
 		}
@@ -206,36 +206,36 @@
 func TestJournalTellsEventsOfOneIdApart(t *testing.T) {
 	folder, ahead := t.TempDir(), int64(0)
 	day := func() int64 { return wall() + ahead }
-	j, _, err := openJournal(folder, store.Dir(folder), day, 3, 6, anyName)
+	j, _, err := openJournal(folder, store.Dir(folder), day, 3, 6, findAnyType)
 	if err != nil {
 		t.Fatal(err)
 	}
 	first, second := &event{id: "e"}, &event{id: "e"}
-	_ = j.take(first, "alert", "acme")
-	_ = j.began(first, 0, 50, "zone")
-	j.over(first)
-	if err := j.take(second, "alert", "acme"); !errors.Is(err, errEnded) {
+	_ = j.accept(first, "alert", "acme")
+	_ = j.recordAttempt(first, 0, 50, "zone")
+	j.complete(first)
+	if err := j.accept(second, "alert", "acme"); !errors.Is(err, errAlreadyCompleted) {
 		t.Errorf("it is taken on again just after its end: %v", err)
 	}
 	ahead = int64(endedFor)
-	if err := j.take(second, "alert", "acme"); err != nil {
+	if err := j.accept(second, "alert", "acme"); err != nil {
 		t.Errorf("a later one of its id: %v", err)
 	}
-	j.ended(first, 0, port.Acked)
-	j.over(first)
-	if err := j.began(first, 1, 60, "zone"); !errors.Is(err, errOver) {
+	j.recordOutcome(first, 0, port.Acked)
+	j.complete(first)
+	if err := j.recordAttempt(first, 1, 60, "zone"); !errors.Is(err, errNotPending) {
 		t.Errorf("a send of the former began: %v", err)
 	}
 	j.close()
-	j, owed := reopen(t, folder, 3)
+	j, owed := reopenJournal(t, folder, 3)
 	defer j.close()
 	if len(owed) != 1 || len(owed[0].past) != 0 {
 		t.Errorf("owed %+v", owed)
 	}
 }
 
-// oldRec is a record as the version before wrote it.
-func oldRec(what byte, id string, rest ...any) []byte {
+// legacyRecord is a record as the version before wrote it.
+func legacyRecord(what byte, id string, rest ...any) []byte {
 	text := func(b []byte, s string) []byte { return append(binary.AppendUvarint(b, uint64(len(s))), s...) }
 	p := text([]byte{what}, id)
 	for _, r := range rest {
@@ -258,16 +258,16 @@
 	folder := t.TempDir()
 	long := strings.Repeat("long", 16<<10)
 	old := slices.Concat(
-		oldRec(oldTake, "e0", "alert", "acme", 7, 1<<60, "m", "over"),
-		oldRec(oldOver, "e0"),
-		oldRec(oldTake, "e1", "alert", "acme", 7, 1<<60, "m", "a\r\n\x00b"),
-		oldRec(oldBegan, "e1", byte(0), 50, "zone"),
-		oldRec(oldEnded, "e1", byte(0), byte(port.Declined)),
-		oldRec(oldBegan, "e1", byte(1), 60, "zone"),
-		oldRec(oldEnded, "e1", byte(1), byte(port.Reset)),
-		oldRec(oldBegan, "e1", byte(2), 70, "zone"),
-		oldRec(
-			oldTake,
+		legacyRecord(legacyAccepted, "e0", "alert", "acme", 7, 1<<60, "m", "over"),
+		legacyRecord(legacyCompleted, "e0"),
+		legacyRecord(legacyAccepted, "e1", "alert", "acme", 7, 1<<60, "m", "a\r\n\x00b"),
+		legacyRecord(legacyAttemptStarted, "e1", byte(0), 50, "zone"),
+		legacyRecord(legacyAttemptEnded, "e1", byte(0), byte(port.Declined)),
+		legacyRecord(legacyAttemptStarted, "e1", byte(1), 60, "zone"),
+		legacyRecord(legacyAttemptEnded, "e1", byte(1), byte(port.Reset)),
+		legacyRecord(legacyAttemptStarted, "e1", byte(2), 70, "zone"),
+		legacyRecord(
+			legacyAccepted,
 			"e2",
 			"alert",
 			"acme",
@@ -276,14 +276,14 @@
 			"m",
 			"",
 		),
-		oldRec(oldDecide, "e2", byte(declined), 500),
-		oldRec(oldTakeLong, "e3", "alert", "acme", 7, 1<<60, "m", 1, len(long)),
-		oldRec(oldTake, "e4", "alert", "acme", 7, 1<<60, "m", "cut off")[:20],
+		legacyRecord(legacyVerdict, "e2", byte(declined), 500),
+		legacyRecord(legacyAcceptedLongBody, "e3", "alert", "acme", 7, 1<<60, "m", 1, len(long)),
+		legacyRecord(legacyAccepted, "e4", "alert", "acme", 7, 1<<60, "m", "cut off")[:20],
 	)
 	write := func(folder string) {
 		t.Helper()
-		if errors.Join(os.WriteFile(filepath.Join(folder, oldName), old, 0o600),
-			os.WriteFile(filepath.Join(folder, oldName+oldBody+"1"), []byte(long), 0o600)) != nil {
+		if errors.Join(os.WriteFile(filepath.Join(folder, legacyName), old, 0o600),
+			os.WriteFile(filepath.Join(folder, legacyName+legacyBodyInfix+"1"), []byte(long), 0o600)) != nil {
 			t.Fatal("the old files cannot be written")
 		}
 	}
@@ -291,16 +291,16 @@
 	if r, err := ReadJournal(folder); err != nil || len(r.Owed) != 3 {
 		t.Errorf("before it is carried over: %+v, %v", r, err)
 	}
-	j, owed := reopen(t, folder, 3)
-	check(t, owed, 3)
-	if left, _ := filepath.Glob(filepath.Join(folder, oldName+"*")); len(left) > 0 {
+	j, owed := reopenJournal(t, folder, 3)
+	checkRecovered(t, owed, 3)
+	if left, _ := filepath.Glob(filepath.Join(folder, legacyName+"*")); len(left) > 0 {
 		t.Errorf("left behind: %v", left)
 	}
 	write(folder) // a crash between the two: the old file is there still
-	j.over(owed[2])
-	folder = killed(t, folder)
+	j.complete(owed[2])
+	folder = copyAsKilled(t, folder)
 	j.close()
-	j, owed = reopen(t, folder, 3)
+	j, owed = reopenJournal(t, folder, 3)
 	defer j.close()
 	for _, e := range owed {
 		if e.id == "e1" && len(e.past) != 3 {
@@ -314,9 +314,9 @@
 
 func TestAJournalIsReadWithoutChangingIt(t *testing.T) {
 	folder := t.TempDir()
-	j, _ := reopen(t, folder, 3)
-	fill(t, j)
-	folder = killed(t, folder)
+	j, _ := reopenJournal(t, folder, 3)
+	fillJournal(t, j)
+	folder = copyAsKilled(t, folder)
 	j.close()
 	names, _ := filepath.Glob(filepath.Join(folder, "seg-*"))
 	name := names[len(names)-1]
@@ -355,17 +355,17 @@
 // Guards against ended requests that come back from a file of the older form which could not be removed.
 func TestAnOldFileThatCannotBeRemovedKeepsItsBodies(t *testing.T) {
 	folder := t.TempDir()
-	old := &oldJournal{name: filepath.Join(folder, oldName)}
+	old := &legacyJournal{name: filepath.Join(folder, legacyName)}
 	if err := os.MkdirAll(filepath.Join(old.name, "in the way"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(old.body(1), []byte("body"), 0o600); err != nil {
+	if err := os.WriteFile(old.bodyPath(1), []byte("body"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := old.remove(); err == nil {
 		t.Error("it passes for removed")
 	}
-	if _, err := os.Stat(old.body(1)); err != nil {
+	if _, err := os.Stat(old.bodyPath(1)); err != nil {
 		t.Errorf("the body: %v", err)
 	}
 }
--- a/node/life.go
+++ b/node/life.go
@@ -50,7 +50,7 @@
 
 // pendingEnd is an end that is decided and may not be told yet.
 type pendingEnd struct {
-	record   *store.Receipt
+	record   *store.PendingWrite
 	written  <-chan struct{} // nil once it is told
 	toClient bool            // by a refusal, while its client waits
 	handOver <-chan time.Time
@@ -75,21 +75,21 @@
 
 // accept stores the event. It tells false where its client was refused, or handed in what is owed already.
 func (l *life) accept() bool {
-	err := l.node.journal.take(l.event, l.node.typeNames[l.typ], l.node.owner(l.customer))
+	err := l.node.journal.accept(l.event, l.node.typeNames[l.typ], l.node.owner(l.customer))
 	if err == nil {
 		l.request.Store()
 		return true
 	}
 	l.node.held.Add(-1)
 	switch {
-	case errors.Is(err, errKnown), errors.Is(err, errEnded): // it came before a restart
+	case errors.Is(err, errAlreadyPending), errors.Is(err, errAlreadyCompleted): // it came before a restart
 		l.answerClient(statusTaken, 0)
 		return false
 	case errors.Is(err, errFull):
 		logRefusal(l.id, refusedFull)
 	default:
 		logRefusal(l.id, refusedDisk)
-		l.node.journal.disk.note(err)
+		l.node.journal.writeFailures.note(err)
 		logs.Event("clients", l.id).WithError(err).Debug("refused: it cannot be stored")
 	}
 	l.answerClient(statusDeclined, l.node.desk.full())
@@ -110,7 +110,7 @@
 	l.request.Tell(l.node.clock.now(), true)
 	l.node.notices.post(l.notice())
 	<-l.steps
-	l.node.journal.over(l.event)
+	l.node.journal.complete(l.event)
 }
 
 // run takes one step after another until nothing more is owed and no attempt is out.
@@ -150,7 +150,7 @@
 		l.node.desk.tell(l.event, s.send, s.result)
 	case stepConfirmed:
 		l.request.ConfirmRefusal()
-		l.node.journal.ended(l.event, s.send.number, s.result.how)
+		l.node.journal.recordOutcome(l.event, s.send.number, s.result.how)
 		l.node.desk.confirm(l.event, s.send)
 	case stepDecline:
 		l.decide(declined, s.comeBack)
@@ -159,7 +159,7 @@
 	case stepNoticed:
 		l.waiting = false
 		l.node.ending.Add(-1)
-		l.node.journal.over(l.event)
+		l.node.journal.complete(l.event)
 	}
 }
 
@@ -180,7 +180,7 @@
 	case over && r.confirm != nil:
 		l.completeProvisionally(r.confirm)
 	case over:
-		l.node.journal.ended(l.event, s.number, r.how)
+		l.node.journal.recordOutcome(l.event, s.number, r.how)
 		l.complete()
 	case r.confirm != nil:
 		event := l.event
@@ -190,7 +190,7 @@
 			}
 		})
 	default:
-		l.node.journal.ended(l.event, s.number, r.how)
+		l.node.journal.recordOutcome(l.event, s.number, r.how)
 	}
 }
 
@@ -206,7 +206,7 @@
 		return
 	}
 	end := &provisionalEnd{node: l.node, id: l.id, came: l.came, due: l.due, request: l.request,
-		record: l.node.journal.decideBriefly(l.event, discarded)}
+		record: l.node.journal.recordVerdictAndTrim(l.event, discarded)}
 	c.whenSettled(end.settle)
 }
 
@@ -219,7 +219,7 @@
 	l.finish()
 	l.answerClient(statusTaken, 0)
 	l.request.Decide()
-	l.node.journal.over(l.event)
+	l.node.journal.complete(l.event)
 	l.request.Tell(l.node.clock.now(), true) // the endpoint knows
 }
 
@@ -240,10 +240,10 @@
 	l.waiting = true
 	l.node.ending.Add(1)
 	if l.client && v == declined {
-		l.end = pendingEnd{record: l.node.journal.over(l.event), toClient: true, handOver: time.After(refusalWithin)}
+		l.end = pendingEnd{record: l.node.journal.complete(l.event), toClient: true, handOver: time.After(refusalWithin)}
 	} else {
 		l.answerClient(statusTaken, 0)
-		l.end = pendingEnd{record: l.node.journal.decide(l.event)}
+		l.end = pendingEnd{record: l.node.journal.recordVerdict(l.event)}
 	}
 	l.end.written = l.end.record.Written()
 	if l.request.MayTell(l.node.clock.now(), false) {
--- a/node/node.go
+++ b/node/node.go
@@ -21,8 +21,8 @@
 	Peers                     []string
 	Known                     []byte // the list of endpoints as it was last had
 
-	disk    store.Folder // tests put one that fails in place of Folder
-	machine *machine     // and one whose wall clock steps in place of this one
+	disk    store.FS // tests put one that fails in place of Folder
+	machine *machine // and one whose wall clock steps in place of this one
 }
 
 // ClientTimes is how long clients' connections may take; 0 for the usual time.
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -51,7 +51,7 @@
 	diskMB  float64 // of the folder
 	hosts   []string
 	balk    int // so many notices are refused first
-	disk    store.Folder
+	disk    store.FS
 	machine *machine
 	prepare func(*Node) // before it runs
 	mu      sync.Mutex
@@ -343,7 +343,7 @@
 
 	// What the folder holds at any moment is what a killed process leaves.
 	again := newWorld(t)
-	again.folder = killed(t, w.folder)
+	again.folder = copyAsKilled(t, w.folder)
 	bodies := make(chan string, 10)
 	good := again.endpoint(1, func(conn net.Conn, body string) bool {
 		bodies <- body
@@ -413,7 +413,7 @@
 	w.dial().hand(request("x", "charge", "1", 8000, ""))
 	w.until("it is decided", func() bool { return w.held.Load() == 0 })
 	again := newWorld(t)
-	again.folder = killed(t, w.folder)
+	again.folder = copyAsKilled(t, w.folder)
 	at := again.endpoint(1, say(answerOf("200 OK", "", "")))
 	again.run()
 	again.until("nothing is owed", again.journal.empty)
--- a/node/phases.go
+++ b/node/phases.go
@@ -99,7 +99,7 @@
 
 // unowed tells whether nothing is owed, nor about to be, but for ends that wait to be confirmed.
 func (n *Node) unowed() bool {
-	return n.held.Load() == 0 && n.journal.owed() <= n.endpoints.unsettled() && n.journal.settled()
+	return n.held.Load() == 0 && n.journal.pendingCount() <= n.endpoints.unsettled() && n.journal.allWritten()
 }
 
 // settled tells whether no end waits to be confirmed, and none can come that would have to.
@@ -111,5 +111,5 @@
 // quiet tells whether nothing is left that ends by itself: no attempt is out, every end that is decided is told and
 // written. What is owed beyond that waits for the next start.
 func (n *Node) quiet() bool {
-	return n.unowed() || (n.endpoints.out.Load() == 0 && n.ending.Load() == 0 && n.journal.settled())
+	return n.unowed() || (n.endpoints.out.Load() == 0 && n.ending.Load() == 0 && n.journal.allWritten())
 }
--- a/node/sends.go
+++ b/node/sends.go
@@ -252,14 +252,14 @@
 		return false
 	}
 	for {
-		err := c.of.journal.began(s.event, s.number, c.of.clock.day(), c.of.site(c.endpoint))
+		err := c.of.journal.recordAttempt(s.event, s.number, c.of.clock.day(), c.of.site(c.endpoint))
 		if err == nil {
 			return true
 		}
-		if errors.Is(err, errOver) || !c.awaitsRecord(s) {
+		if errors.Is(err, errNotPending) || !c.awaitsRecord(s) {
 			return false
 		}
-		c.of.journal.disk.note(err)
+		c.of.journal.writeFailures.note(err)
 		time.Sleep(recordAgain)
 	}
 }
--- a/node/sends_test.go
+++ b/node/sends_test.go
@@ -101,7 +101,7 @@
 
 func newEndpoints(t *testing.T, dial string) *endpoints {
 	t.Helper()
-	j, _ := reopen(t, t.TempDir(), 3)
+	j, _ := reopenJournal(t, t.TempDir(), 3)
 	t.Cleanup(j.close)
 	p := &endpoints{clock: clock{start: time.Now()}, journal: j, dial: dialer(500 * ms),
 		idleFor: 15000 * ms, mostIdle: 10}
@@ -113,7 +113,7 @@
 	t.Helper()
 	e := &event{id: id, mark: "mark", body: []byte("a\r\nb"), due: math.MaxInt64, steps: make(chan step, maxSteps)}
 	e.request = lifecycle.RestoredRequest(id, e.due, true, false)
-	if err := c.of.journal.take(e, "alert", ""); err != nil {
+	if err := c.of.journal.accept(e, "alert", ""); err != nil {
 		t.Fatal(err)
 	}
 	return &send{event: e, timeout: int64(timeout), began: c.of.clock.now(), call: c}
@@ -248,7 +248,7 @@
 	if r := ending(t, s); r.how != port.Unsent {
 		t.Errorf("a send of an event that is over: %+v", r)
 	}
-	if err := p.journal.take(e, "alert", ""); err != nil {
+	if err := p.journal.accept(e, "alert", ""); err != nil {
 		t.Fatal(err)
 	}
 	c = &call{of: p}
@@ -311,7 +311,7 @@
 func TestACallRecalledWhileConnectingNeverGoes(t *testing.T) {
 	at := newPeer(t, say(answerOf("200 OK", "", "")))
 	p, up, folder := newEndpoints(t, at.Addr().String()), make(chan struct{}), t.TempDir()
-	p.journal, _ = reopen(t, folder, 3)
+	p.journal, _ = reopenJournal(t, folder, 3)
 	dialing := slowDoor(t, p, up)
 	c := &call{of: p}
 	c.sends = []*send{newSend(t, c, "a", long), newSend(t, c, "b", long)}
@@ -343,7 +343,7 @@
 		t.Errorf("%d calls reached the endpoint, one of them with what was not recalled", calls)
 	}
 	p.journal.close()
-	j, owed := reopen(t, folder, 3)
+	j, owed := reopenJournal(t, folder, 3)
 	defer j.close()
 	if len(owed) != 2 {
 		t.Errorf("%d events are owed, want 2", len(owed))
--- a/store/folder.go
+++ b/store/fs.go
@@ -21,9 +21,9 @@
 	"syscall"
 )
 
-// Folder is the files that a store stands on; tests put one that fails in its place.
-type Folder interface {
-	Names() ([]string, error)
+// FS is the files that a store stands on; tests put one that fails in its place.
+type FS interface {
+	List() ([]string, error)
 	Create(name string) (File, error) // an empty file to append to; one of that name is emptied
 	Append(name string) (File, error) // an existing file to append to
 	Read(name string) ([]byte, error) // all of it
@@ -53,8 +53,8 @@
 
 func (d Dir) path(name string) string { return filepath.Join(string(d), name) }
 
-// Names lists the files.
-func (d Dir) Names() (names []string, err error) {
+// List lists the files.
+func (d Dir) List() (names []string, err error) {
 	entries, err := os.ReadDir(string(d))
 	for _, e := range entries {
 		if e.Type().IsRegular() {
--- a/store/faulty_test.go
+++ b/store/memfs_test.go
@@ -121,7 +121,7 @@
 
 func nothing() {}
 
-func (m *memory) Names() ([]string, error) {
+func (m *memory) List() ([]string, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.refuses("names") {
--- a/store/record.go
+++ b/store/record.go
@@ -103,13 +103,13 @@
 	return append(binary.AppendUvarint(to, uint64(len(text))), text...)
 }
 
-// Fields reads a payload; past its end, or at what is no value, it turns bad.
-type Fields struct {
+// Decoder reads a payload; past its end, or at what is no value, it turns bad.
+type Decoder struct {
 	rest []byte
 	bad  bool
 }
 
-func (f *Fields) byte() byte {
+func (f *Decoder) byte() byte {
 	if len(f.rest) == 0 {
 		f.bad = true
 		return 0
@@ -119,7 +119,7 @@
 	return b
 }
 
-func (f *Fields) number() int64 {
+func (f *Decoder) number() int64 {
 	v, n := binary.Varint(f.rest)
 	if n <= 0 {
 		f.bad = true
@@ -129,7 +129,7 @@
 	return v
 }
 
-func (f *Fields) count() uint64 {
+func (f *Decoder) count() uint64 {
 	v, n := binary.Uvarint(f.rest)
 	if n <= 0 {
 		f.bad = true
@@ -139,7 +139,7 @@
 	return v
 }
 
-func (f *Fields) bytes() []byte {
+func (f *Decoder) bytes() []byte {
 	size, n := binary.Uvarint(f.rest)
 	if n <= 0 || size > uint64(len(f.rest)-n) {
 		f.bad = true
@@ -150,37 +150,37 @@
 	return b
 }
 
-func (f *Fields) text() string { return string(f.bytes()) }
+func (f *Decoder) text() string { return string(f.bytes()) }
 
-// Read begins to read a payload.
-func Read(payload []byte) *Fields { return &Fields{rest: payload} }
+// NewDecoder begins to read a payload.
+func NewDecoder(payload []byte) *Decoder { return &Decoder{rest: payload} }
 
 // Byte reads one byte, as the methods below read theirs.
-func (f *Fields) Byte() byte { return f.byte() }
+func (f *Decoder) Byte() byte { return f.byte() }
 
-// Number reads a number with a sign.
-func (f *Fields) Number() int64 { return f.number() }
+// Varint reads a number with a sign.
+func (f *Decoder) Varint() int64 { return f.number() }
 
 // Text reads a text with its length before it.
-func (f *Fields) Text() string { return f.text() }
+func (f *Decoder) Text() string { return f.text() }
 
-// Bad tells whether something was read that is not there.
-func (f *Fields) Bad() bool { return f.bad }
+// Invalid tells whether something was read that is not there.
+func (f *Decoder) Invalid() bool { return f.bad }
 
 type outcome = port.Outcome
 
 const unsent = port.Unsent
 
-// Send is one send of an event as the store has it.
-type Send struct {
-	At    int64 // time of day in ns
-	Zone  string
-	Ended bool
-	How   port.Outcome
+// Attempt is one send of an event as the store has it.
+type Attempt struct {
+	StartedAt int64 // time of day in ns
+	Zone      string
+	Ended     bool
+	Outcome   port.Outcome
 }
 
 // MayHaveRun tells whether the send may have taken effect, for all that is known.
-func (s *Send) MayHaveRun() bool { return !s.Ended || s.How.MayHaveRun() }
+func (s *Attempt) MayHaveRun() bool { return !s.Ended || s.Outcome.MayHaveRun() }
 
 // Verdict is how an event ends that is not delivered.
 type Verdict uint8
@@ -194,81 +194,81 @@
 
 // Event is an event that is owed its end.
 type Event struct {
-	ID, Kind, Owner, Mark string
-	Dest                  uint32
-	Deadline              int64 // time of day in ns
-	Body                  []byte
-	Sends                 []Send
-	Verdict               Verdict
-	ComeBack              int64  // ns, with Declined
-	Came                  uint64 // its place in the order of coming, from 1; the store gives it
+	ID, Kind, Owner, IdempotencyKey string
+	Dest                            uint32
+	Deadline                        int64 // time of day in ns
+	Body                            []byte
+	Attempts                        []Attempt
+	Verdict                         Verdict
+	RetryAfter                      int64  // ns, with Declined
+	ArrivalSeq                      uint64 // its place in the order of coming, from 1; the store gives it
 }
 
 // MayHaveRun tells whether one of its sends may have taken effect.
 func (e *Event) MayHaveRun() bool {
-	for i := range e.Sends {
-		if e.Sends[i].MayHaveRun() {
+	for i := range e.Attempts {
+		if e.Attempts[i].MayHaveRun() {
 			return true
 		}
 	}
 	return false
 }
 
-// Begin adds an attempt, or goes on with one that did not go out after all. One before it that never began cannot
+// BeginAttempt adds an attempt, or goes on with one that did not go out after all. One before it that never began cannot
 // have run.
-func (e *Event) Begin(number int, s Send) {
-	for len(e.Sends) < number {
-		e.Sends = append(e.Sends, Send{At: s.At, Zone: s.Zone, Ended: true, How: port.Unsent})
+func (e *Event) BeginAttempt(number int, s Attempt) {
+	for len(e.Attempts) < number {
+		e.Attempts = append(e.Attempts, Attempt{StartedAt: s.StartedAt, Zone: s.Zone, Ended: true, Outcome: port.Unsent})
 	}
 	switch {
-	case len(e.Sends) == number:
-		e.Sends = append(e.Sends, s)
-	case e.Sends[number].Ended && e.Sends[number].How == unsent:
-		e.Sends[number] = s
+	case len(e.Attempts) == number:
+		e.Attempts = append(e.Attempts, s)
+	case e.Attempts[number].Ended && e.Attempts[number].Outcome == unsent:
+		e.Attempts[number] = s
 	}
 }
 
 // unbegin notes that an attempt did not go out.
 func (e *Event) unbegin(number int) {
-	if number < len(e.Sends) {
-		e.Sends[number].Ended, e.Sends[number].How = true, unsent
+	if number < len(e.Attempts) {
+		e.Attempts[number].Ended, e.Attempts[number].Outcome = true, unsent
 	}
 }
 
 // state is an event's payload; the body stands last, so that it can be found without reading the rest.
 func (e *Event) state(to []byte) []byte {
-	to = putText(putText(putText(putText(to, e.ID), e.Kind), e.Owner), e.Mark)
+	to = putText(putText(putText(putText(to, e.ID), e.Kind), e.Owner), e.IdempotencyKey)
 	to = binary.AppendVarint(binary.AppendVarint(to, int64(e.Dest)), e.Deadline)
-	to = binary.AppendUvarint(to, e.Came)
-	to = binary.AppendVarint(append(to, byte(e.Verdict)), e.ComeBack)
-	to = binary.AppendVarint(to, int64(len(e.Sends)))
-	for i := range e.Sends {
-		s := &e.Sends[i]
+	to = binary.AppendUvarint(to, e.ArrivalSeq)
+	to = binary.AppendVarint(append(to, byte(e.Verdict)), e.RetryAfter)
+	to = binary.AppendVarint(to, int64(len(e.Attempts)))
+	for i := range e.Attempts {
+		s := &e.Attempts[i]
 		ended := byte(0)
 		if s.Ended {
 			ended = 1
 		}
-		to = append(putText(binary.AppendVarint(to, s.At), s.Zone), ended, byte(s.How))
+		to = append(putText(binary.AppendVarint(to, s.StartedAt), s.Zone), ended, byte(s.Outcome))
 	}
 	return append(binary.AppendUvarint(to, uint64(len(e.Body))), e.Body...)
 }
 
 const mostSends = 256 // that a record may claim
 
-func readState(f *Fields) *Event {
-	e := &Event{ID: f.text(), Kind: f.text(), Owner: f.text(), Mark: f.text()}
+func readState(f *Decoder) *Event {
+	e := &Event{ID: f.text(), Kind: f.text(), Owner: f.text(), IdempotencyKey: f.text()}
 	e.Dest, e.Deadline = uint32(f.number()), f.number()
-	e.Came = f.count()
-	e.Verdict, e.ComeBack = Verdict(f.byte()), f.number()
+	e.ArrivalSeq = f.count()
+	e.Verdict, e.RetryAfter = Verdict(f.byte()), f.number()
 	n := f.number()
 	if f.bad || n < 0 || n > mostSends || e.Verdict > Discarded || e.ID == "" {
 		f.bad = true
 		return nil
 	}
 	for range n {
-		s := Send{At: f.number(), Zone: f.text()}
-		s.Ended, s.How = f.byte() == 1, port.Outcome(f.byte())
-		e.Sends = append(e.Sends, s)
+		s := Attempt{StartedAt: f.number(), Zone: f.text()}
+		s.Ended, s.Outcome = f.byte() == 1, port.Outcome(f.byte())
+		e.Attempts = append(e.Attempts, s)
 	}
 	e.Body = f.bytes()
 	if f.bad {
--- a/store/recover.go
+++ b/store/recovery.go
@@ -7,17 +7,17 @@
 	"strings"
 )
 
-// Found is what a folder holds. Reading it changes nothing.
-type Found struct {
+// Recovery is what a folder holds. Reading it changes nothing.
+type Recovery struct {
 	Events   []*Event         // owed, in the order of their coming, with their bodies
-	Waits    map[string]int64 // until when, as time of day
+	Backoffs    map[string]int64 // until when, as time of day
 	Outages  map[string]int64 // since when
-	Past     map[string]int64 // ids that are over, until when that is known
+	Completed     map[string]int64 // ids that are over, until when that is known
 	Segments int
 	Size     int64    // bytes of all files of the store
 	Records  int      // that could be read
-	Torn     int      // bytes at the end of the log that were cut off
-	Lost     bool     // records are missing: what stood before may have gone on
+	TornBytes     int      // bytes at the end of the log that were cut off
+	RecordsLost     bool     // records are missing: what stood before may have gone on
 	Faults   []string // file, offset and reason of what is damaged, missing or foreign
 
 	epoch, seq, number uint64
@@ -35,12 +35,12 @@
 // Danger: where records are missing, one of them may have said that a charge went out, or that a destination
 // told to wait. So every event whose state stands before a gap counts as one that may have run, and waits
 // stand in two files.
-func Recover(folder Folder) (*Found, error) {
-	names, err := folder.Names()
+func Recover(folder FS) (*Recovery, error) {
+	names, err := folder.List()
 	if err != nil {
 		return nil, err
 	}
-	f := &Found{Waits: map[string]int64{}, Outages: map[string]int64{}, Past: map[string]int64{},
+	f := &Recovery{Backoffs: map[string]int64{}, Outages: map[string]int64{}, Completed: map[string]int64{},
 		sizes: map[string]int64{}}
 	var segs []read
 	for _, name := range names {
@@ -56,7 +56,7 @@
 		h, err := readHead(text)
 		if err != nil {
 			f.fault(name, 0, err.Error())
-			f.Lost = true
+			f.RecordsLost = true
 			if name != mirrorName {
 				segs = append(segs, read{name: name, bad: true})
 			}
@@ -130,11 +130,11 @@
 	return epoch
 }
 
-func (f *Found) fault(name string, offset int, reason string) {
+func (f *Recovery) fault(name string, offset int, reason string) {
 	f.Faults = append(f.Faults, fmt.Sprintf("%s: offset %d: %s", name, offset, reason))
 }
 
-func (f *Found) hasFault(name string) bool {
+func (f *Recovery) hasFault(name string) bool {
 	return slices.ContainsFunc(f.Faults, func(text string) bool { return strings.HasPrefix(text, name+":") })
 }
 
@@ -146,7 +146,7 @@
 
 // loader puts records together.
 type loader struct {
-	found  *Found
+	found  *Recovery
 	events map[string]*loaded
 	gap    uint64 // what stands before this may have gone on
 }
@@ -169,7 +169,7 @@
 				f.fault(r.name, at, "a record whose length is wrong")
 				l.lost(f.seq + 1)
 			case last: // half a record that a kill left: nobody was told that it is written
-				f.Torn = len(rest)
+				f.TornBytes = len(rest)
 			}
 			return
 		}
@@ -220,13 +220,13 @@
 }
 
 func (l *loader) lost(before uint64) {
-	l.found.Lost = true
+	l.found.RecordsLost = true
 	l.gap = max(l.gap, before)
 }
 
 // apply takes one record in; false for one that makes no sense.
 func (l *loader) apply(payload []byte, seq uint64) bool {
-	f := Fields{rest: payload}
+	f := Decoder{rest: payload}
 	k := kind(f.byte())
 	if k == recState {
 		e := readState(&f)
@@ -234,27 +234,27 @@
 			return false
 		}
 		l.events[e.ID] = &loaded{e, seq}
-		delete(l.found.Past, e.ID)
+		delete(l.found.Completed, e.ID)
 		return true
 	}
 	name := f.text()
 	o := l.events[name]
 	switch k {
 	case recBegan:
-		number, s := int(f.byte()), Send{At: f.number(), Zone: f.text()}
+		number, s := int(f.byte()), Attempt{StartedAt: f.number(), Zone: f.text()}
 		if f.bad {
 			return false
 		}
 		if o != nil {
-			o.event.Begin(number, s)
+			o.event.BeginAttempt(number, s)
 		}
 	case recEnded:
 		number, how := int(f.byte()), outcome(f.byte())
 		if f.bad {
 			return false
 		}
-		if o != nil && number < len(o.event.Sends) {
-			o.event.Sends[number].Ended, o.event.Sends[number].How = true, how
+		if o != nil && number < len(o.event.Attempts) {
+			o.event.Attempts[number].Ended, o.event.Attempts[number].Outcome = true, how
 		}
 	case recDecide:
 		v, comeBack := Verdict(f.byte()), f.number()
@@ -262,7 +262,7 @@
 			return false
 		}
 		if o != nil {
-			o.event.Verdict, o.event.ComeBack = v, comeBack
+			o.event.Verdict, o.event.RetryAfter = v, comeBack
 		}
 	case recOver:
 		until := f.number()
@@ -271,7 +271,7 @@
 		}
 		delete(l.events, name)
 		if until > 0 {
-			l.found.Past[name] = max(l.found.Past[name], until)
+			l.found.Completed[name] = max(l.found.Completed[name], until)
 		}
 	case recWait, recOutage:
 		value := f.number()
@@ -290,7 +290,7 @@
 	f := l.found
 	switch {
 	case k == recWait:
-		f.Waits[name] = max(f.Waits[name], value)
+		f.Backoffs[name] = max(f.Backoffs[name], value)
 	case value == 0:
 		delete(f.Outages, name)
 	default:
@@ -314,7 +314,7 @@
 			at += size
 			continue
 		}
-		d := Fields{rest: payload}
+		d := Decoder{rest: payload}
 		k, name, value := kind(d.byte()), d.text(), d.number()
 		if d.bad || (k != recWait && k != recOutage) {
 			f.fault(r.name, at, "a record that makes no sense")
@@ -330,7 +330,7 @@
 		f.fault(r.name, at, "it is cut off from here on")
 	}
 	for name, since := range outages {
-		if _, known := f.Outages[name]; f.Lost && since != 0 && !known {
+		if _, known := f.Outages[name]; f.RecordsLost && since != 0 && !known {
 			f.Outages[name] = since
 		}
 	}
@@ -340,18 +340,18 @@
 func (l *loader) finish() {
 	for _, o := range l.events {
 		if e := o.event; o.seq < l.gap && e.Verdict == Undecided && !e.MayHaveRun() &&
-			len(e.Sends) < mostSends {
-			e.Sends = append(e.Sends, Send{At: longAgo})
+			len(e.Attempts) < mostSends {
+			e.Attempts = append(e.Attempts, Attempt{StartedAt: longAgo})
 		}
 		l.found.Events = append(l.found.Events, o.event)
 	}
-	slices.SortFunc(l.found.Events, func(a, b *Event) int { return cmp.Compare(a.Came, b.Came) })
+	slices.SortFunc(l.found.Events, func(a, b *Event) int { return cmp.Compare(a.ArrivalSeq, b.ArrivalSeq) })
 }
 
 // Open opens a folder's store, or begins one, and returns what it holds. most is how many bytes its files may
 // take, 0 for 256 MiB; sends how many an event may have; clock tells the time of day in ns. Only one process
 // may have it open. Calls that fail for a moment are tried again.
-func Open(folder Folder, most int64, sends int, sync Sync, clock func() int64) (*Store, *Found, error) {
+func Open(folder FS, most int64, sends int, sync SyncPolicy, clock func() int64) (*Store, *Recovery, error) {
 	var release func()
 	err := again(func() (err error) {
 		release, err = folder.Lock()
@@ -360,7 +360,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	var found *Found
+	var found *Recovery
 	err = again(func() (err error) {
 		found, err = Recover(folder)
 		return err
@@ -382,7 +382,7 @@
 	return s, found, nil
 }
 
-func newStore(folder Folder, most int64, sends int, sync Sync, clock func() int64, found *Found) *Store {
+func newStore(folder FS, most int64, sends int, sync SyncPolicy, clock func() int64, found *Recovery) *Store {
 	if most <= 0 {
 		most = noLimit
 	}
@@ -405,10 +405,10 @@
 //
 // All is written anew since what is appended behind a torn record would be lost with it, and a doubt that is not
 // written down would be forgotten by the next start.
-func (s *Store) begin(found *Found) error {
+func (s *Store) begin(found *Recovery) error {
 	var names []string
 	err := again(func() (err error) {
-		names, err = s.folder.Names()
+		names, err = s.folder.List()
 		return err
 	})
 	if err != nil {
@@ -435,10 +435,10 @@
 
 func (s *Store) rewriteEvents(events []*Event) error {
 	for _, e := range events {
-		s.came = max(s.came, e.Came)
+		s.came = max(s.came, e.ArrivalSeq)
 		kept := *e
 		kept.Body = nil
-		kept.Sends = slices.Clone(e.Sends)
+		kept.Attempts = slices.Clone(e.Attempts)
 		it := &item{event: &kept, kind: recState, need: int32(s.need(e))}
 		s.keep(it)
 		s.put(it, recState, len(e.Body), e.state)
@@ -452,12 +452,12 @@
 }
 
 // queueMarks queues the waits, the outages and the ids that are over, as far as they are still in force.
-func (s *Store) queueMarks(found *Found) {
+func (s *Store) queueMarks(found *Recovery) {
 	now := s.clock()
 	for _, table := range []struct {
 		kind kind
 		of   map[string]int64
-	}{{recOver, found.Past}, {recWait, found.Waits}, {recOutage, found.Outages}} {
+	}{{recOver, found.Completed}, {recWait, found.Backoffs}, {recOutage, found.Outages}} {
 		for name, value := range table.of {
 			if table.kind != recOutage && value <= now {
 				continue
@@ -487,7 +487,7 @@
 
 // removeFormer removes the segments of former processes, oldest first. Where one cannot be removed, it and those
 // behind it are left to Compact.
-func (s *Store) removeFormer(names []string, found *Found) {
+func (s *Store) removeFormer(names []string, found *Recovery) {
 	own := map[string]bool{}
 	for _, g := range s.segs {
 		own[g.name()] = true
@@ -508,7 +508,7 @@
 }
 
 // foreign tells whether a file was passed over as another store's: it is left where it is.
-func (f *Found) foreign(name string) bool {
+func (f *Recovery) foreign(name string) bool {
 	return slices.ContainsFunc(f.Faults, func(text string) bool {
 		return strings.HasPrefix(text, name+":") && strings.Contains(text, "another store")
 	})
--- a/store/store.go
+++ b/store/store.go
@@ -9,13 +9,13 @@
 	"sync"
 )
 
-// Sync says when what was written is made to outlast a loss of power. A killed process loses nothing in any
+// SyncPolicy says when what was written is made to outlast a loss of power. A killed process loses nothing in any
 // case.
-type Sync uint8
+type SyncPolicy uint8
 
 const (
-	Never  Sync = iota // the system writes when it likes
-	Always             // before a call that writes returns
+	SyncNever  SyncPolicy = iota // the system writes when it likes
+	SyncAlways                   // before a call that writes returns
 )
 
 const (
@@ -33,11 +33,11 @@
 
 // Errors that callers tell apart.
 var (
-	ErrFull  = errors.New("store: no room for another event")
-	ErrKnown = errors.New("store: the event is owed already")
-	ErrEnded = errors.New("store: an event of this id has ended")
-	ErrOver  = errors.New("store: nothing is owed for the event")
-	errShut  = errors.New("store: closed")
+	ErrFull             = errors.New("store: no room for another event")
+	ErrAlreadyPending   = errors.New("store: the event is owed already")
+	ErrAlreadyCompleted = errors.New("store: an event of this id has ended")
+	ErrNotPending       = errors.New("store: nothing is owed for the event")
+	errShut             = errors.New("store: closed")
 )
 
 // item is one thing that the store keeps: its newest state stands in a segment.
@@ -71,12 +71,12 @@
 
 // Store is a store that is open. Its methods may be called by any goroutine.
 type Store struct {
-	folder  Folder
+	folder  FS
 	release func()
 	most    int64
 	segSize int64
 	from    int64 // bytes used from which it is compacted
-	sync    Sync
+	sync    SyncPolicy
 	sends   int // of an event at most
 	clock   func() int64
 
@@ -116,8 +116,8 @@
 	return total + blocks(s.mirrors) + s.pending
 }
 
-// Used is how many bytes the files take.
-func (s *Store) Used() int64 {
+// UsedBytes is how many bytes the files take.
+func (s *Store) UsedBytes() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.used()
@@ -125,7 +125,7 @@
 
 // need is what may be written of an event, all its sends included.
 func (s *Store) need(e *Event) int64 {
-	return int64(frameSize+64+len(e.ID)+len(e.Kind)+len(e.Owner)+len(e.Mark)+len(e.Body)) + s.reserve(e.ID)
+	return int64(frameSize+64+len(e.ID)+len(e.Kind)+len(e.Owner)+len(e.IdempotencyKey)+len(e.Body)) + s.reserve(e.ID)
 }
 
 func (s *Store) reserve(id string) int64 { return int64(s.sends+2) * int64(sendSize+2*len(id)) }
@@ -194,12 +194,12 @@
 	s.live += int64(it.need)
 }
 
-// Take writes that an event was taken on. Its body is not kept in memory. The error is ErrKnown for one that
+// Accept writes that an event was taken on. Its body is not kept in memory. The error is ErrKnown for one that
 // is owed already, ErrEnded while one of its id is known to be over, and ErrFull where there is no room for all that may be written of it.
 //
 // What it returns tells this event from another of the same id, in the calls about it: 0 stands for whichever
 // is owed.
-func (s *Store) Take(e Event) (came uint64, err error) {
+func (s *Store) Accept(e Event) (came uint64, err error) {
 	need := s.need(&e)
 	s.squeeze(need)
 	s.mu.Lock()
@@ -209,11 +209,11 @@
 	}
 	if s.events[e.ID] != nil {
 		s.mu.Unlock()
-		return 0, ErrKnown
+		return 0, ErrAlreadyPending
 	}
 	if past := s.past[e.ID]; past != nil && past.until > s.clock() {
 		s.mu.Unlock()
-		return 0, ErrEnded
+		return 0, ErrAlreadyCompleted
 	}
 	if (s.live+need)*8/liveEighth > s.most || s.used()+need > s.most-s.segSize {
 		s.mu.Unlock()
@@ -221,10 +221,10 @@
 	}
 	s.came++
 	kept := e
-	kept.Body, kept.Came = nil, s.came
+	kept.Body, kept.ArrivalSeq = nil, s.came
 	it := &item{event: &kept, kind: recState, need: int32(need)}
 	s.keep(it)
-	e.Came = s.came
+	e.ArrivalSeq = s.came
 	state := s.put(it, recState, len(e.Body), e.state)
 	s.mu.Unlock()
 	if err = <-state.tried; err != nil {
@@ -233,7 +233,7 @@
 		s.mu.Unlock()
 		return 0, err
 	}
-	return e.Came, nil
+	return e.ArrivalSeq, nil
 }
 
 // squeeze makes room for a record where dead ones fill the folder faster than Compact is called. Danger: over
@@ -255,7 +255,7 @@
 
 // owed is an event that is owed, nil where none is, or only another of that id; the lock is held.
 func (s *Store) owed(id string, came uint64) *item {
-	if it := s.events[id]; it != nil && (came == 0 || it.event.Came == came) {
+	if it := s.events[id]; it != nil && (came == 0 || it.event.ArrivalSeq == came) {
 		return it
 	}
 	return nil
@@ -270,7 +270,7 @@
 		defer s.mu.Unlock()
 		return absence(it)
 	}
-	it.event.Begin(number, Send{At: at, Zone: zone})
+	it.event.BeginAttempt(number, Attempt{StartedAt: at, Zone: zone})
 	record := s.put(nil, recBegan, 0, func(to []byte) []byte {
 		return putText(binary.AppendVarint(append(putText(to, id), byte(number)), at), zone)
 	})
@@ -287,29 +287,29 @@
 // absence is why there is no record to write: the event is over, or else the store is closed.
 func absence(it *item) error {
 	if it == nil {
-		return ErrOver
+		return ErrNotPending
 	}
 	return errShut
 }
 
 // RecordOutcome writes how an attempt ended.
-func (s *Store) RecordOutcome(id string, came uint64, number int, how outcome) *Receipt {
+func (s *Store) RecordOutcome(id string, came uint64, number int, how outcome) *PendingWrite {
 	return s.keepRecord(id, came, recEnded, func(e *Event) {
-		if number < len(e.Sends) {
-			e.Sends[number].Ended, e.Sends[number].How = true, how
+		if number < len(e.Attempts) {
+			e.Attempts[number].Ended, e.Attempts[number].Outcome = true, how
 		}
 	}, func(to []byte) []byte { return append(to, byte(number), byte(how)) })
 }
 
-// Resolve writes how an event ends whose notice is still owed.
-func (s *Store) Resolve(id string, came uint64, v Verdict, comeBack int64) *Receipt {
-	return s.keepRecord(id, came, recDecide, func(e *Event) { e.Verdict, e.ComeBack = v, comeBack },
+// RecordVerdict writes how an event ends whose notice is still owed.
+func (s *Store) RecordVerdict(id string, came uint64, v Verdict, comeBack int64) *PendingWrite {
+	return s.keepRecord(id, came, recDecide, func(e *Event) { e.Verdict, e.RetryAfter = v, comeBack },
 		func(to []byte) []byte { return binary.AppendVarint(append(to, byte(v)), comeBack) })
 }
 
-// ResolveBriefly writes how an event ends of which nothing but its notice may still be needed. Its body and its sends are
+// RecordVerdictAndTrim writes how an event ends of which nothing but its notice may still be needed. Its body and its sends are
 // dropped, so that it takes little room for as long as it is kept.
-func (s *Store) ResolveBriefly(id string, came uint64, v Verdict) *Receipt {
+func (s *Store) RecordVerdictAndTrim(id string, came uint64, v Verdict) *PendingWrite {
 	s.squeeze(sendSize)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -318,7 +318,7 @@
 		return noRecord(absence(it))
 	}
 	brief := *it.event
-	brief.Mark, brief.Sends, brief.Body, brief.Verdict = "", nil, nil, v
+	brief.IdempotencyKey, brief.Attempts, brief.Body, brief.Verdict = "", nil, nil, v
 	size := frameSize + len(brief.state([]byte{byte(recState)})) + frameSize + briefEndSize + len(id)
 	next := &item{event: &brief, kind: recState, need: int32(size)}
 	s.keep(next)
@@ -328,15 +328,15 @@
 // briefEndSize is what the record of an event's end takes, without the event's id and the frame.
 const briefEndSize = 16
 
-// Owed counts the events that are owed an end.
-func (s *Store) Owed() int {
+// PendingCount counts the events that are owed an end.
+func (s *Store) PendingCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.events)
 }
 
 // keepRecord writes a record about an event that is owed, and keeps it until it is written.
-func (s *Store) keepRecord(id string, came uint64, k kind, change func(*Event), fill func([]byte) []byte) *Receipt {
+func (s *Store) keepRecord(id string, came uint64, k kind, change func(*Event), fill func([]byte) []byte) *PendingWrite {
 	s.squeeze(sendSize)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -350,7 +350,7 @@
 
 // Complete writes that nothing more is owed for an event. Its id is known as over until a time of day, 0 for not at
 // all.
-func (s *Store) Complete(id string, came uint64, until int64) *Receipt {
+func (s *Store) Complete(id string, came uint64, until int64) *PendingWrite {
 	s.squeeze(sendSize)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -367,17 +367,17 @@
 	return s.putKept(past, recOver, func(to []byte) []byte { return binary.AppendVarint(putText(to, id), until) })
 }
 
-// IsOver tells whether an event of this id ended, as far as that is still known.
-func (s *Store) IsOver(id string) bool {
+// IsCompleted tells whether an event of this id ended, as far as that is still known.
+func (s *Store) IsCompleted(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	it := s.past[id]
 	return it != nil && it.until > s.clock()
 }
 
-// Wait writes that a destination, or a route of it, told to wait until a time of day. It never makes a wait
+// RecordBackoff writes that a destination, or a route of it, told to wait until a time of day. It never makes a wait
 // shorter.
-func (s *Store) Wait(name string, until int64) error {
+func (s *Store) RecordBackoff(name string, until int64) error {
 	s.mu.Lock()
 	if old := s.waits[name]; old != nil && old.until >= until {
 		s.mu.Unlock()
@@ -386,8 +386,8 @@
 	return s.mark(recWait, name, until)
 }
 
-// Outage writes that a destination is out since a time of day, or with 0 that it is back.
-func (s *Store) Outage(name string, since int64) error {
+// RecordOutage writes that a destination is out since a time of day, or with 0 that it is back.
+func (s *Store) RecordOutage(name string, since int64) error {
 	s.mu.Lock()
 	if old := s.outages[name]; (old == nil && since == 0) || (old != nil && old.until == since) {
 		s.mu.Unlock()
@@ -424,7 +424,7 @@
 func (s *Store) mirrored(rec []byte) error {
 	if s.mirror != nil && s.mirrors+int64(len(rec)) <= mirrorMost {
 		_, err := s.mirror.Write(rec)
-		if err == nil && s.sync == Always {
+		if err == nil && s.sync == SyncAlways {
 			err = s.mirror.Sync()
 		}
 		if err == nil {
@@ -452,13 +452,13 @@
 	if err != nil {
 		return err
 	}
-	if _, err = file.Write(text); err == nil && s.sync == Always {
+	if _, err = file.Write(text); err == nil && s.sync == SyncAlways {
 		err = file.Sync()
 	}
 	if err == nil {
 		err = s.folder.Rename(mirrorNext, mirrorName)
 	}
-	if err == nil && s.sync == Always {
+	if err == nil && s.sync == SyncAlways {
 		err = s.folder.Sync()
 	}
 	if err != nil {
@@ -573,13 +573,13 @@
 	return s.file.Sync()
 }
 
-// Body reads an event's body anew.
-func (s *Store) Body(id string) ([]byte, error) {
+// ReadBody reads an event's body anew.
+func (s *Store) ReadBody(id string) ([]byte, error) {
 	s.mu.Lock()
 	it := s.events[id]
 	if it == nil || it.seg == nil {
 		s.mu.Unlock()
-		return nil, ErrOver
+		return nil, ErrNotPending
 	}
 	name, at, body := it.seg.name(), it.at, make([]byte, it.body)
 	s.mu.Unlock()
@@ -593,8 +593,8 @@
 	return len(s.events) == 0 && s.kept == 0
 }
 
-// Unwritten counts the records that are kept until they are written.
-func (s *Store) Unwritten() int {
+// UnwrittenCount counts the records that are kept until they are written.
+func (s *Store) UnwrittenCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.kept
--- a/store/store_test.go
+++ b/store/store_test.go
@@ -22,9 +22,9 @@
 
 func clock() int64 { return now }
 
-func open(t testing.TB, f Folder, most int64) (*Store, *Found) {
+func open(t testing.TB, f FS, most int64) (*Store, *Recovery) {
 	t.Helper()
-	s, found, err := Open(f, most, 6, Never, clock)
+	s, found, err := Open(f, most, 6, SyncNever, clock)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,18 +33,18 @@
 
 func event(i int, body string) Event {
 	return Event{
-		ID:       fmt.Sprintf("e%d", i),
-		Kind:     "charge",
-		Owner:    "acme",
-		Mark:     "m",
-		Dest:     uint32(i),
-		Deadline: now + 1e9,
-		Body:     []byte(body),
+		ID:             fmt.Sprintf("e%d", i),
+		Kind:           "charge",
+		Owner:          "acme",
+		IdempotencyKey: "m",
+		Dest:           uint32(i),
+		Deadline:       now + 1e9,
+		Body:           []byte(body),
 	}
 }
 
 func take(s *Store, e Event) error {
-	_, err := s.Take(e)
+	_, err := s.Accept(e)
 	return err
 }
 
@@ -73,7 +73,7 @@
 	id, err := fmt.Sprintf("e%d", i), error(nil)
 	switch what {
 	case 0:
-		if _, err = s.Take(event(i, strings.Repeat("b", i*37%900))); err == nil {
+		if _, err = s.Accept(event(i, strings.Repeat("b", i*37%900))); err == nil {
 			if m.over[id] {
 				return fmt.Errorf("%s is known to be over and was taken on again", id)
 			}
@@ -90,7 +90,7 @@
 			m.ran[id] = true
 		}
 	case 3:
-		err = s.Resolve(id, 0, Discarded, 0).Wait()
+		err = s.RecordVerdict(id, 0, Discarded, 0).Wait()
 	case 4:
 		delete(m.owed, id) // from the call on the event may be over
 		until := int64(0)  // every second one may come again under its id
@@ -101,15 +101,15 @@
 			m.over[id] = true
 		}
 	case 5:
-		if err = s.Wait(fmt.Sprint("d", i), now+int64(i+1)*1e9); err == nil {
+		if err = s.RecordBackoff(fmt.Sprint("d", i), now+int64(i+1)*1e9); err == nil {
 			m.wait[fmt.Sprint("d", i)] = max(m.wait[fmt.Sprint("d", i)], now+int64(i+1)*1e9)
 		}
 	case 6:
-		err = s.Outage(fmt.Sprint("d", i), now-int64(i))
+		err = s.RecordOutage(fmt.Sprint("d", i), now-int64(i))
 	case 7:
 		_, err = s.Compact(500)
 	}
-	if errors.Is(err, ErrOver) || errors.Is(err, ErrKnown) || errors.Is(err, ErrEnded) || errors.Is(err, ErrFull) {
+	if errors.Is(err, ErrNotPending) || errors.Is(err, ErrAlreadyPending) || errors.Is(err, ErrAlreadyCompleted) || errors.Is(err, ErrFull) {
 		return nil
 	}
 	return err
@@ -117,7 +117,7 @@
 
 // check holds a recovery to the model. whole tells that no record was lost, so that nothing may be missing at
 // all.
-func (m *model) check(t interface{ Errorf(string, ...any) }, what string, f *Found, whole bool) {
+func (m *model) check(t interface{ Errorf(string, ...any) }, what string, f *Recovery, whole bool) {
 	seen := map[string]bool{}
 	for _, e := range f.Events {
 		if seen[e.ID] {
@@ -128,7 +128,7 @@
 			t.Errorf("%s: %s comes back though it is over", what, e.ID)
 		}
 		if m.ran[e.ID] && !e.MayHaveRun() && e.Verdict == Undecided && !m.over[e.ID] {
-			t.Errorf("%s: %s would be sent again, though it may have run: %+v", what, e.ID, e.Sends)
+			t.Errorf("%s: %s would be sent again, though it may have run: %+v", what, e.ID, e.Attempts)
 		}
 	}
 	for id := range m.owed {
@@ -137,8 +137,8 @@
 		}
 	}
 	for name, until := range m.wait {
-		if f.Waits[name] < until {
-			t.Errorf("%s: the wait of %s ends at %d, not at %d", what, name, f.Waits[name], until)
+		if f.Backoffs[name] < until {
+			t.Errorf("%s: the wait of %s ends at %d, not at %d", what, name, f.Backoffs[name], until)
 		}
 	}
 }
@@ -188,7 +188,7 @@
 	fill(t, m, folder).Close()
 	files := folder.restarted().files
 	whole, err := Recover(folder)
-	if err != nil || len(whole.Faults) > 0 || whole.Torn > 0 || whole.Lost {
+	if err != nil || len(whole.Faults) > 0 || whole.TornBytes > 0 || whole.RecordsLost {
 		t.Fatalf("as written: %v, %+v", err, whole.Faults)
 	}
 	m.check(t, "as written", whole, true)
@@ -207,13 +207,13 @@
 		if cut.put(name, slices.Clone(text)); text == nil {
 			delete(cut.files, name)
 		}
-		s, f, err := Open(cut, 0, 6, Never, clock)
+		s, f, err := Open(cut, 0, 6, SyncNever, clock)
 		if err != nil {
 			t.Fatalf("%s: %v", what, err)
 		}
 		// A cut at the end of a record of the last segment leaves no sign: the log is as it was then.
 		at := *m
-		if name == last && text != nil && !f.Lost {
+		if name == last && text != nil && !f.RecordsLost {
 			at.ran = map[string]bool{}
 			for _, e := range f.Events {
 				at.ran[e.ID] = m.ran[e.ID] && e.MayHaveRun()
@@ -268,7 +268,7 @@
 			m, folder := newModel(), newMemory()
 			folder.at, folder.how = at, how
 			what := fmt.Sprintf("call %d, fault %d", at, how)
-			s, _, err := Open(folder, 200<<10, 6, Never, clock)
+			s, _, err := Open(folder, 200<<10, 6, SyncNever, clock)
 			for i := 0; err == nil && i < 24; i++ {
 				for _, step := range []int{0, 1, 2, 5, 6} {
 					if err = m.step(s, step, i); err != nil && !folder.gone {
@@ -303,12 +303,12 @@
 			if s != nil {
 				s.Close()
 			}
-			_, found, err := Open(next, 200<<10, 6, Never, clock)
+			_, found, err := Open(next, 200<<10, 6, SyncNever, clock)
 			if err != nil {
 				t.Fatalf("%s: %v", what, err)
 			}
-			m.check(t, what, found, !found.Lost)
-			if how == noRoom && found.Lost { // it went on: nothing may look lost
+			m.check(t, what, found, !found.RecordsLost)
+			if how == noRoom && found.RecordsLost { // it went on: nothing may look lost
 				t.Errorf("%s: a write that failed leaves a gap: %v", what, found.Faults)
 			}
 		}
@@ -322,7 +322,7 @@
 func TestModelCheck(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, folder := newModel(), newMemory()
-		s, _, err := Open(folder, 400<<10, 6, Never, clock)
+		s, _, err := Open(folder, 400<<10, 6, SyncNever, clock)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -336,8 +336,8 @@
 					s.Close()
 				}
 				folder = folder.restarted() // a kill: all that was written is there
-				var f *Found
-				if s, f, err = Open(folder, 400<<10, 6, Never, clock); err != nil {
+				var f *Recovery
+				if s, f, err = Open(folder, 400<<10, 6, SyncNever, clock); err != nil {
 					t.Fatal(err)
 				}
 				m.check(t, "restarted", f, true)
@@ -354,7 +354,7 @@
 	s, _ := open(t, folder, 300<<10)
 	taken := 0
 	for i := range 5000 {
-		_, err := s.Take(event(i, strings.Repeat("x", 700)))
+		_, err := s.Accept(event(i, strings.Repeat("x", 700)))
 		if errors.Is(err, ErrFull) {
 			break
 		}
@@ -373,7 +373,7 @@
 				t.Fatal(err)
 			}
 		}
-		if used := s.Used(); used > 300<<10 {
+		if used := s.UsedBytes(); used > 300<<10 {
 			t.Fatalf("%d bytes used", used)
 		}
 		if err := s.Complete(id, 0, 0).Wait(); err != nil {
@@ -383,7 +383,7 @@
 	for more := true; more; {
 		more, _ = s.Compact(64 << 10)
 	}
-	if _, err := s.Take(event(9999, "x")); err != nil {
+	if _, err := s.Accept(event(9999, "x")); err != nil {
 		t.Errorf("room again: %v", err)
 	}
 	s.Close()
@@ -393,19 +393,19 @@
 	folder := Dir(t.TempDir())
 	s, _ := open(t, folder, 0)
 	body := "a\r\n\x00" + strings.Repeat("long", 20<<10)
-	if _, err := s.Take(event(1, body)); err != nil {
+	if _, err := s.Accept(event(1, body)); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := s.Body("e1"); err != nil || string(got) != body {
+	if got, err := s.ReadBody("e1"); err != nil || string(got) != body {
 		t.Errorf("%d bytes, %v", len(got), err)
 	}
-	if _, _, err := Open(folder, 0, 6, Never, clock); err == nil ||
+	if _, _, err := Open(folder, 0, 6, SyncNever, clock); err == nil ||
 		!strings.Contains(err.Error(), fmt.Sprint(os.Getpid())) {
 		t.Errorf("a second process: %v", err)
 	}
 	s.Close()
 	s, f := open(t, folder, 0)
-	if len(f.Events) != 1 || string(f.Events[0].Body) != body || f.Events[0].Mark != "m" ||
+	if len(f.Events) != 1 || string(f.Events[0].Body) != body || f.Events[0].IdempotencyKey != "m" ||
 		f.Events[0].Dest != 1 {
 		t.Errorf("came back as %+v", f.Events)
 	}
@@ -415,12 +415,12 @@
 func TestAnOldFileIsNotTakenForANewOne(t *testing.T) {
 	a, b := newMemory(), newMemory()
 	s, _ := open(t, a, 0)
-	if _, err := s.Take(event(1, "old")); err != nil {
+	if _, err := s.Accept(event(1, "old")); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
 	s, _ = open(t, b, 0)
-	if _, err := s.Take(event(2, "new")); err != nil {
+	if _, err := s.Accept(event(2, "new")); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
@@ -463,10 +463,10 @@
 	wg.Wait()
 	s.Close()
 	f, err := Recover(folder)
-	if err != nil || len(f.Events) != writers*each/2 || len(f.Faults) > 0 || f.Lost {
+	if err != nil || len(f.Events) != writers*each/2 || len(f.Faults) > 0 || f.RecordsLost {
 		t.Errorf("%d events, %v, %v", len(f.Events), f.Faults, err)
 	}
-	if !slices.IsSortedFunc(f.Events, func(a, b *Event) int { return int(a.Came) - int(b.Came) }) {
+	if !slices.IsSortedFunc(f.Events, func(a, b *Event) int { return int(a.ArrivalSeq) - int(b.ArrivalSeq) }) {
 		t.Error("not in the order of their coming")
 	}
 }
@@ -476,7 +476,7 @@
 	folder := newMemory()
 	s, _ := open(t, folder, 0)
 	for i := range 40 {
-		if _, err := s.Take(event(i, strings.Repeat("x", 900))); err != nil {
+		if _, err := s.Accept(event(i, strings.Repeat("x", 900))); err != nil {
 			t.Fatal(err)
 		}
 		s.segSize = 4 << 10
@@ -506,7 +506,7 @@
 // What is acknowledged with Always must be there after a loss of power: only what was synced is.
 func TestPowerLoss(t *testing.T) {
 	m, folder := newModel(), newMemory()
-	s, _, err := Open(folder, 0, 6, Always, clock)
+	s, _, err := Open(folder, 0, 6, SyncAlways, clock)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -566,7 +566,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		m := newMemory()
 		m.put("seg-0000000000000001", text)
-		s, _, err := Open(m, 0, 6, Never, clock)
+		s, _, err := Open(m, 0, 6, SyncNever, clock)
 		if err == nil {
 			s.Close()
 		}
@@ -575,7 +575,7 @@
 
 func TestFolderGone(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "none")
-	if _, _, err := Open(Dir(name), 0, 6, Never, clock); err == nil {
+	if _, _, err := Open(Dir(name), 0, 6, SyncNever, clock); err == nil {
 		t.Error("a folder that is not there is opened")
 	}
 }
--- a/store/failing_test.go
+++ b/store/write_failure_test.go
@@ -23,7 +23,7 @@
 }
 
 // pending is what a restart would find.
-func pending(t *testing.T, m *memory) *Found {
+func pending(t *testing.T, m *memory) *Recovery {
 	t.Helper()
 	f, err := Recover(m.restarted())
 	if err != nil {
@@ -55,8 +55,8 @@
 		for _, e := range f.Events {
 			ids = append(ids, e.ID)
 		}
-		if !slices.Equal(ids, []string{"e1", "e3"}) || f.Lost || len(f.Faults) > 0 {
-			t.Errorf("how %d: %v pending, lost %v, %v", how, ids, f.Lost, f.Faults)
+		if !slices.Equal(ids, []string{"e1", "e3"}) || f.RecordsLost || len(f.Faults) > 0 {
+			t.Errorf("how %d: %v pending, lost %v, %v", how, ids, f.RecordsLost, f.Faults)
 		}
 		s.Close()
 	}
@@ -74,11 +74,11 @@
 		}
 		folder.failNext(failures, "", refused)
 		s.RecordOutcome("e0", 0, 0, port.Declined).Wait()
-		s.Resolve("e1", 0, Discarded, 0).Wait()
+		s.RecordVerdict("e1", 0, Discarded, 0).Wait()
 		s.Complete("e2", 0, 0).Wait()
 		eventually(t, "all is written", func() bool {
 			f := pending(t, folder)
-			return len(f.Events) == 3 && f.Events[0].Sends[0].Ended && f.Events[1].Verdict == Discarded &&
+			return len(f.Events) == 3 && f.Events[0].Attempts[0].Ended && f.Events[1].Verdict == Discarded &&
 				f.Events[2].ID == "e3"
 		})
 		s.Close()
@@ -138,8 +138,8 @@
 				t.Fatalf("cut at %d of %d: %s counts as possibly run", size, len(whole), e.ID)
 			}
 		}
-		if f.Lost || len(f.Events) != 3 || f.Torn != size-before {
-			t.Errorf("cut at %d: lost %v, %d pending, %d bytes torn", size, f.Lost, len(f.Events), f.Torn)
+		if f.RecordsLost || len(f.Events) != 3 || f.TornBytes != size-before {
+			t.Errorf("cut at %d: lost %v, %d pending, %d bytes torn", size, f.RecordsLost, len(f.Events), f.TornBytes)
 		}
 		s.Close()
 	}
@@ -164,8 +164,8 @@
 			text := slices.Clone(whole)
 			text[at+bit/8] ^= 1 << (bit % 8)
 			damaged.put("seg-0000000000000001", text)
-			if f, err := Recover(damaged); err != nil || !f.Lost || len(f.Faults) == 0 {
-				t.Errorf("record %d, bit %d of its length: lost %v, %v, %v", record, bit, f.Lost, f.Faults, err)
+			if f, err := Recover(damaged); err != nil || !f.RecordsLost || len(f.Faults) == 0 {
+				t.Errorf("record %d, bit %d of its length: lost %v, %v, %v", record, bit, f.RecordsLost, f.Faults, err)
 			}
 		}
 	}
@@ -192,7 +192,7 @@
 // Guards against trusting a file whose sync failed once: the system may have dropped what was written.
 func TestARecordWhoseSyncFailedIsWrittenAnew(t *testing.T) {
 	folder := newMemory()
-	s, _, err := Open(folder, 0, 6, Always, clock)
+	s, _, err := Open(folder, 0, 6, SyncAlways, clock)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -223,7 +223,7 @@
 		for _, only := range []string{"lock", "names", "read", "create", "write", "rename", "remove"} {
 			folder := filled.restarted()
 			folder.failNext(failures, only, refused)
-			s, f, err := Open(folder, 300<<10, 6, Never, clock)
+			s, f, err := Open(folder, 300<<10, 6, SyncNever, clock)
 			if err != nil {
 				t.Errorf("%s fails %d times: %v", only, failures, err)
 				continue
--- a/store/writer.go
+++ b/store/writer.go
@@ -35,18 +35,18 @@
 // keeps tells whether the record stays queued until it is written.
 func (e *entry) keeps() bool { return e.written != nil }
 
-// Receipt follows a record that the store keeps until it is written.
-type Receipt struct {
+// PendingWrite follows a record that the store keeps until it is written.
+type PendingWrite struct {
 	tried   chan error
 	written chan struct{}
 	err     error
 }
 
 // Written is closed once the record stands in the log, or no record is needed. It never is in a store that is closed.
-func (r *Receipt) Written() <-chan struct{} { return r.written }
+func (r *PendingWrite) Written() <-chan struct{} { return r.written }
 
 // Wait waits for the first try to write the record. The error wraps ErrDeferred where it is tried again later.
-func (r *Receipt) Wait() error {
+func (r *PendingWrite) Wait() error {
 	if r.tried == nil {
 		return r.err
 	}
@@ -57,9 +57,9 @@
 }
 
 // noRecord is the receipt of a call that leads to no record. With ErrOver none is needed.
-func noRecord(err error) *Receipt {
-	r := &Receipt{err: err, written: make(chan struct{})}
-	if errors.Is(err, ErrOver) {
+func noRecord(err error) *PendingWrite {
+	r := &PendingWrite{err: err, written: make(chan struct{})}
+	if errors.Is(err, ErrNotPending) {
 		close(r.written)
 	}
 	return r
@@ -80,11 +80,11 @@
 }
 
 // putKept queues a record that is tried until it is written; the lock is held.
-func (s *Store) putKept(it *item, k kind, fill func([]byte) []byte) *Receipt {
+func (s *Store) putKept(it *item, k kind, fill func([]byte) []byte) *PendingWrite {
 	e := &entry{payload: fill([]byte{byte(k)}), item: it, tried: make(chan error, 1), written: make(chan struct{})}
 	s.kept++
 	s.queue(e)
-	return &Receipt{tried: e.tried, written: e.written}
+	return &PendingWrite{tried: e.tried, written: e.written}
 }
 
 // runWriter is the only goroutine that writes to the log. It takes what is queued in order, many records to a write.
@@ -178,7 +178,7 @@
 		ends[i] = len(text)
 	}
 	size, err := s.file.Write(text)
-	if err == nil && s.sync == Always {
+	if err == nil && s.sync == SyncAlways {
 		if err = s.file.Sync(); err != nil { // what the system has of it is unknown, now and after a later sync
 			size, s.sealed = 0, true
 		}
@@ -262,7 +262,7 @@
 		return err
 	}
 	text := head{epoch: s.epoch, number: next.number, first: s.seq + 1, previousSize: uint32(last.size)}.bytes()
-	if _, err = file.Write(text); err == nil && s.sync == Always {
+	if _, err = file.Write(text); err == nil && s.sync == SyncAlways {
 		if err = file.Sync(); err == nil {
 			err = s.folder.Sync()
 		}
