--- a/store/memfs_test.go
+++ b/store/memfs_test.go
@@ -15,133 +15,133 @@
 var errNoSpace = errors.New("no space left")
 
 // how a call goes wrong.
-type fault uint8
+type crashMode uint8
 
 const (
-	before fault = iota // the process is gone before the call does anything
-	after               // it is gone after the call did all
-	half                // half of what is written is, then it is gone
-	noRoom              // the call fails, half written, and the process goes on
+	crashBeforeCall crashMode = iota // the process is gone before the call does anything
+	crashAfterCall                   // it is gone after the call did all
+	crashMidWrite                    // half of what is written is, then it is gone
+	failNoSpace                      // the call fails, half written, and the process goes on
 )
 
-// refusal is how calls in a row fail while the process goes on.
-type refusal uint8
+// failureMode is how calls in a row fail while the process goes on.
+type failureMode uint8
 
 const (
-	refused refusal = iota // nothing is done
-	partly                 // half of what is written is
-	wholly                 // all is done, and the call fails all the same
+	failNothingDone failureMode = iota // nothing is done
+	failPartlyDone                     // half of what is written is
+	failFullyDone                      // all is done, and the call fails all the same
 )
 
-// memory is a folder in memory. At a chosen call that changes something it fails in a chosen way.
-type memory struct {
-	mu      sync.Mutex
-	files   map[string]*blob
-	calls   int
-	at      int // the call that fails, 0 for none
-	how     fault
-	gone    bool
-	locked  bool
-	reading func() // called at each ReadAt, where set
+// memFS is a folder in memFS. At a chosen call that changes something it fails in a chosen way.
+type memFS struct {
+	mu        sync.Mutex
+	files     map[string]*memBlob
+	callCount int
+	faultCall int // the call that fails, 0 for none
+	faultMode crashMode
+	crashed   bool
+	locked    bool
+	onReadAt  func() // called at each ReadAt, where set
 
 	failFrom, failCount int // so many calls in a row fail, from this one on
-	failHow             refusal
-	failOnly            string // the kind of call, or empty for all
+	failMode            failureMode
+	failKind            string // the kind of call, or empty for all
 }
 
 // failNext has the next calls fail, of one kind or of all.
-func (m *memory) failNext(count int, only string, how refusal) {
+func (m *memFS) failNext(count int, only string, how failureMode) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.failFrom, m.failCount, m.failOnly, m.failHow = m.calls+1, count, only, how
+	m.failFrom, m.failCount, m.failKind, m.failMode = m.callCount+1, count, only, how
 }
 
-// refuses tells whether a call is one that fails while the process goes on; the lock is held.
-func (m *memory) refuses(kind string) bool {
-	if m.failCount == 0 || m.calls < m.failFrom || (m.failOnly != "" && m.failOnly != kind) {
+// shouldFail tells whether a call is one that fails while the process goes on; the lock is held.
+func (m *memFS) shouldFail(kind string) bool {
+	if m.failCount == 0 || m.callCount < m.failFrom || (m.failKind != "" && m.failKind != kind) {
 		return false
 	}
 	m.failCount--
 	return true
 }
 
-// blob is a file: it keeps its handles when its name changes.
-type blob struct{ text, synced []byte }
+// memBlob is a file: it keeps its handles when its name changes.
+type memBlob struct{ text, synced []byte }
 
-func newMemory() *memory { return &memory{files: map[string]*blob{}} }
+func newMemFS() *memFS { return &memFS{files: map[string]*memBlob{}} }
 
-// put has a file hold a text.
-func (m *memory) put(name string, text []byte) { m.files[name] = &blob{text: text} }
+// putFile has a file hold a text.
+func (m *memFS) putFile(name string, text []byte) { m.files[name] = &memBlob{text: text} }
 
-// restarted is the folder as the next process finds it.
-func (m *memory) restarted() *memory {
+// afterRestart is the folder as the next process finds it.
+func (m *memFS) afterRestart() *memFS {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	n := newMemory()
+	n := newMemFS()
 	for name, b := range m.files {
-		n.put(name, slices.Clone(b.text))
+		n.putFile(name, slices.Clone(b.text))
 	}
 	return n
 }
 
-// act counts a call that changes something, and fails it when it is its turn. do does all of it, part half of
+// mutate counts a call that changes something, and fails it when it is its turn. do does all of it, part half of
 // it.
-func (m *memory) act(kind string, do, part func()) error {
+func (m *memFS) mutate(kind string, do, part func()) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.gone {
+	if m.crashed {
 		return errCrash
 	}
-	m.calls++
-	if m.refuses(kind) {
-		switch m.failHow {
-		case partly:
+	m.callCount++
+	if m.shouldFail(kind) {
+		switch m.failMode {
+		case failPartlyDone:
 			part()
-		case wholly:
+		case failFullyDone:
 			do()
 		}
 		return syscall.EIO
 	}
-	if m.calls != m.at {
+	if m.callCount != m.faultCall {
 		do()
 		return nil
 	}
-	switch m.how {
-	case after:
+	switch m.faultMode {
+	case crashAfterCall:
 		do()
-	case half:
+	case crashMidWrite:
 		part()
-	case noRoom:
+	case failNoSpace:
 		part()
 		return errNoSpace
 	}
-	m.gone = true
+	m.crashed = true
 	return errCrash
 }
 
 func nothing() {}
 
-func (m *memory) List() ([]string, error) {
+func (m *memFS) List() ([]string, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.refuses("names") {
+	if m.shouldFail("names") {
 		return nil, syscall.EIO
 	}
 	return slices.Sorted(maps.Keys(m.files)), nil
 }
 
-func (m *memory) Create(name string) (File, error) {
-	b := &blob{}
-	err := m.act("create", func() { m.files[name] = b }, nothing)
-	return &memoryFile{m, b}, err
+func (m *memFS) Create(name string) (File, error) {
+	b := &memBlob{}
+	err := m.mutate("create", func() { m.files[name] = b }, nothing)
+	return &memFile{m, b}, err
 }
 
-func (m *memory) Append(name string) (File, error) { return &memoryFile{m, m.files[name]}, nil }
+func (m *memFS) Append(name string) (File, error) { return &memFile{m, m.files[name]}, nil }
 
-func (m *memory) Read(name string) ([]byte, error) {
+func (m *memFS) Read(name string) ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.refuses("read") {
+	if m.shouldFail("read") {
 		return nil, syscall.EIO
 	}
 	b, ok := m.files[name]
@@ -151,9 +151,9 @@
 	return slices.Clone(b.text), nil
 }
 
-func (m *memory) ReadAt(name string, at int64, to []byte) error {
-	if m.reading != nil {
-		m.reading()
+func (m *memFS) ReadAt(name string, at int64, to []byte) error {
+	if m.onReadAt != nil {
+		m.onReadAt()
 	}
 	text, err := m.Read(name)
 	if err == nil && copy(to, text[min(at, int64(len(text))):]) < len(to) {
@@ -162,20 +162,20 @@
 	return err
 }
 
-func (m *memory) Rename(from, to string) error {
-	return m.act("rename", func() { m.files[to] = m.files[from]; delete(m.files, from) }, nothing)
+func (m *memFS) Rename(from, to string) error {
+	return m.mutate("rename", func() { m.files[to] = m.files[from]; delete(m.files, from) }, nothing)
 }
 
-func (m *memory) Remove(name string) error {
-	return m.act("remove", func() { delete(m.files, name) }, nothing)
+func (m *memFS) Remove(name string) error {
+	return m.mutate("remove", func() { delete(m.files, name) }, nothing)
 }
 
-func (m *memory) Sync() error { return m.act("sync", nothing, nothing) }
+func (m *memFS) Sync() error { return m.mutate("sync", nothing, nothing) }
 
-func (m *memory) Lock() (func(), error) {
+func (m *memFS) Lock() (func(), error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.refuses("lock") {
+	if m.shouldFail("lock") {
 		return nil, syscall.EINTR
 	}
 	if m.locked {
@@ -185,29 +185,29 @@
 	return func() { m.mu.Lock(); m.locked = false; m.mu.Unlock() }, nil
 }
 
-type memoryFile struct {
-	m *memory
-	b *blob
+type memFile struct {
+	m *memFS
+	b *memBlob
 }
 
 // Write fails wholly as a lying call would: all bytes are there and it names none of them.
-func (f *memoryFile) Write(p []byte) (n int, err error) {
+func (f *memFile) Write(p []byte) (n int, err error) {
 	write := func(p []byte) func() {
 		return func() { f.b.text = append(f.b.text, p...); n = len(p) }
 	}
-	err = f.m.act("write", write(p), write(p[:len(p)/2]))
-	if err != nil && f.m.failHow == wholly {
+	err = f.m.mutate("write", write(p), write(p[:len(p)/2]))
+	if err != nil && f.m.failMode == failFullyDone {
 		n = 0
 	}
 	return n, err
 }
 
-func (f *memoryFile) Truncate(size int64) error {
-	return f.m.act("truncate", func() { f.b.text = f.b.text[:size] }, nothing)
+func (f *memFile) Truncate(size int64) error {
+	return f.m.mutate("truncate", func() { f.b.text = f.b.text[:size] }, nothing)
 }
 
-func (f *memoryFile) Sync() error {
-	return f.m.act("sync", func() { f.b.synced = slices.Clone(f.b.text) }, nothing)
+func (f *memFile) Sync() error {
+	return f.m.mutate("sync", func() { f.b.synced = slices.Clone(f.b.text) }, nothing)
 }
 
-func (f *memoryFile) Close() error { return nil }
+func (f *memFile) Close() error { return nil }
--- a/store/record.go
+++ b/store/record.go
@@ -13,61 +13,61 @@
 type kind byte
 
 const (
-	recState  kind = 1 + iota // all that is known of an event
-	recBegan                  // a send goes out
-	recEnded                  // it ended
-	recDecide                 // the event's end is decided, and its notice owed
-	recOver                   // nothing more is owed; its id may be known until a time
-	recWait                   // a destination told to wait until a time
-	recOutage                 // a destination is out since a time, or back with 0
+	recState          kind = 1 + iota // all that is known of an event
+	recAttemptStarted                 // a send goes out
+	recAttemptEnded                   // it ended
+	recVerdict                        // the event's end is decided, and its notice owed
+	recCompleted                      // nothing more is owed; its id may be known until a time
+	recBackoff                        // a destination told to wait until a time
+	recOutage                         // a destination is out since a time, or back with 0
 )
 
 const (
-	headSize   = 40      // bytes of a segment's head
-	frameSize  = 16      // bytes of a record before its payload: length, checksum, sequence number
-	mostRecord = 1 << 20 // bytes of a payload; a longer one is none
-	magic      = "JSPRSTR1"
+	headerSize      = 40      // bytes of a segment's head
+	frameHeaderSize = 16      // bytes of a record before its payload: length, checksum, sequence number
+	maxPayload      = 1 << 20 // bytes of a payload; a longer one is none
+	magic           = "JSPRSTR1"
 )
 
 var (
-	le       = binary.LittleEndian
-	crcTable = crc32.MakeTable(crc32.Castagnoli)
-	errHead  = errors.New("no head of a segment")
+	le               = binary.LittleEndian
+	crcTable         = crc32.MakeTable(crc32.Castagnoli)
+	errInvalidHeader = errors.New("no head of a segment")
 )
 
-// head begins a segment.
-type head struct {
-	epoch  uint64 // of the store: an old file is never taken for one of a new store
-	number uint64
-	first  uint64 // sequence number of its first record
+// segmentHeader begins a segment.
+type segmentHeader struct {
+	epoch    uint64 // of the store: an old file is never taken for one of a new store
+	number   uint64
+	firstSeq uint64 // sequence number of its first record
 
 	// previousSize is where the segment before ends: what stands behind was not written, for all that anybody was
 	// told. 0 stands for all of it.
 	previousSize uint32
 }
 
-func (h head) bytes() []byte {
-	b := make([]byte, headSize)
+func (h segmentHeader) encode() []byte {
+	b := make([]byte, headerSize)
 	copy(b, magic)
 	le.PutUint64(b[8:], h.epoch)
 	le.PutUint64(b[16:], h.number)
-	le.PutUint64(b[24:], h.first)
+	le.PutUint64(b[24:], h.firstSeq)
 	le.PutUint32(b[32:], h.previousSize)
 	le.PutUint32(b[36:], crc32.Checksum(b[:36], crcTable))
 	return b
 }
 
-func readHead(b []byte) (h head, err error) {
-	if len(b) < headSize || string(b[:8]) != magic || le.Uint32(b[36:]) != crc32.Checksum(b[:36], crcTable) {
-		return h, errHead
+func decodeHeader(b []byte) (h segmentHeader, err error) {
+	if len(b) < headerSize || string(b[:8]) != magic || le.Uint32(b[36:]) != crc32.Checksum(b[:36], crcTable) {
+		return h, errInvalidHeader
 	}
-	return head{le.Uint64(b[8:]), le.Uint64(b[16:]), le.Uint64(b[24:]), le.Uint32(b[32:])}, nil
+	return segmentHeader{le.Uint64(b[8:]), le.Uint64(b[16:]), le.Uint64(b[24:]), le.Uint32(b[32:])}, nil
 }
 
-// frame appends a record of a payload, whose first byte is its kind.
-func frame(to []byte, seq uint64, payload []byte) []byte {
+// appendFrame appends a record of a payload, whose first byte is its kind.
+func appendFrame(to []byte, seq uint64, payload []byte) []byte {
 	at := len(to)
-	to = append(to, make([]byte, frameSize)...)
+	to = append(to, make([]byte, frameHeaderSize)...)
 	to = append(to, payload...)
 	le.PutUint32(to[at:], uint32(len(payload)))
 	le.PutUint64(to[at+8:], seq)
@@ -77,29 +77,29 @@
 
 // checksum covers a record's sequence number, which stands in its frame, and its payload.
 func checksum(frame, payload []byte) uint32 {
-	return crc32.Update(crc32.Checksum(frame[8:frameSize], crcTable), crcTable, payload)
+	return crc32.Update(crc32.Checksum(frame[8:frameHeaderSize], crcTable), crcTable, payload)
 }
 
-// next reads the record at the beginning of some bytes. torn tells that they end within it.
-func next(b []byte) (payload []byte, seq uint64, size int, torn bool, err error) {
-	if len(b) < frameSize {
+// decodeFrame reads the record at the beginning of some bytes. torn tells that they end within it.
+func decodeFrame(b []byte) (payload []byte, seq uint64, size int, torn bool, err error) {
+	if len(b) < frameHeaderSize {
 		return nil, 0, 0, true, nil
 	}
 	n := int(le.Uint32(b))
-	if n < 1 || n > mostRecord {
-		return nil, 0, 0, false, fmt.Errorf("a record of %d bytes: want 1 to %d", n, mostRecord)
+	if n < 1 || n > maxPayload {
+		return nil, 0, 0, false, fmt.Errorf("a record of %d bytes: want 1 to %d", n, maxPayload)
 	}
-	if len(b) < frameSize+n {
+	if len(b) < frameHeaderSize+n {
 		return nil, 0, 0, true, nil
 	}
-	payload = b[frameSize : frameSize+n]
+	payload = b[frameHeaderSize : frameHeaderSize+n]
 	if le.Uint32(b[4:]) != checksum(b, payload) {
-		return nil, 0, frameSize + n, false, errors.New("a record whose checksum is wrong")
+		return nil, 0, frameHeaderSize + n, false, errors.New("a record whose checksum is wrong")
 	}
-	return payload, le.Uint64(b[8:]), frameSize + n, false, nil
+	return payload, le.Uint64(b[8:]), frameHeaderSize + n, false, nil
 }
 
-func putText(to []byte, text string) []byte {
+func appendText(to []byte, text string) []byte {
 	return append(binary.AppendUvarint(to, uint64(len(text))), text...)
 }
 
@@ -119,7 +119,7 @@
 	return b
 }
 
-func (f *Decoder) number() int64 {
+func (f *Decoder) varint() int64 {
 	v, n := binary.Varint(f.rest)
 	if n <= 0 {
 		f.bad = true
@@ -129,7 +129,7 @@
 	return v
 }
 
-func (f *Decoder) count() uint64 {
+func (f *Decoder) uvarint() uint64 {
 	v, n := binary.Uvarint(f.rest)
 	if n <= 0 {
 		f.bad = true
@@ -159,7 +159,7 @@
 func (f *Decoder) Byte() byte { return f.byte() }
 
 // Varint reads a number with a sign.
-func (f *Decoder) Varint() int64 { return f.number() }
+func (f *Decoder) Varint() int64 { return f.varint() }
 
 // Text reads a text with its length before it.
 func (f *Decoder) Text() string { return f.text() }
@@ -228,16 +228,16 @@
 	}
 }
 
-// unbegin notes that an attempt did not go out.
-func (e *Event) unbegin(number int) {
+// markUnsent notes that an attempt did not go out.
+func (e *Event) markUnsent(number int) {
 	if number < len(e.Attempts) {
 		e.Attempts[number].Ended, e.Attempts[number].Outcome = true, unsent
 	}
 }
 
-// state is an event's payload; the body stands last, so that it can be found without reading the rest.
-func (e *Event) state(to []byte) []byte {
-	to = putText(putText(putText(putText(to, e.ID), e.Kind), e.Owner), e.IdempotencyKey)
+// appendState is an event's payload; the body stands last, so that it can be found without reading the rest.
+func (e *Event) appendState(to []byte) []byte {
+	to = appendText(appendText(appendText(appendText(to, e.ID), e.Kind), e.Owner), e.IdempotencyKey)
 	to = binary.AppendVarint(binary.AppendVarint(to, int64(e.Dest)), e.Deadline)
 	to = binary.AppendUvarint(to, e.ArrivalSeq)
 	to = binary.AppendVarint(append(to, byte(e.Verdict)), e.RetryAfter)
@@ -248,25 +248,25 @@
 		if s.Ended {
 			ended = 1
 		}
-		to = append(putText(binary.AppendVarint(to, s.StartedAt), s.Zone), ended, byte(s.Outcome))
+		to = append(appendText(binary.AppendVarint(to, s.StartedAt), s.Zone), ended, byte(s.Outcome))
 	}
 	return append(binary.AppendUvarint(to, uint64(len(e.Body))), e.Body...)
 }
 
-const mostSends = 256 // that a record may claim
+const maxRecordedAttempts = 256 // that a record may claim
 
-func readState(f *Decoder) *Event {
+func decodeState(f *Decoder) *Event {
 	e := &Event{ID: f.text(), Kind: f.text(), Owner: f.text(), IdempotencyKey: f.text()}
-	e.Dest, e.Deadline = uint32(f.number()), f.number()
-	e.ArrivalSeq = f.count()
-	e.Verdict, e.RetryAfter = Verdict(f.byte()), f.number()
-	n := f.number()
-	if f.bad || n < 0 || n > mostSends || e.Verdict > Discarded || e.ID == "" {
+	e.Dest, e.Deadline = uint32(f.varint()), f.varint()
+	e.ArrivalSeq = f.uvarint()
+	e.Verdict, e.RetryAfter = Verdict(f.byte()), f.varint()
+	n := f.varint()
+	if f.bad || n < 0 || n > maxRecordedAttempts || e.Verdict > Discarded || e.ID == "" {
 		f.bad = true
 		return nil
 	}
 	for range n {
-		s := Attempt{StartedAt: f.number(), Zone: f.text()}
+		s := Attempt{StartedAt: f.varint(), Zone: f.text()}
 		s.Ended, s.Outcome = f.byte() == 1, port.Outcome(f.byte())
 		e.Attempts = append(e.Attempts, s)
 	}
@@ -277,4 +277,4 @@
 	return e
 }
 
-func varint(v int64) []byte { return binary.AppendVarint(nil, v) }
+func encodeVarint(v int64) []byte { return binary.AppendVarint(nil, v) }
