--- a/store/recovery.go
+++ b/store/recovery.go
@@ -7,71 +7,71 @@
 	"strings"
 )
 
-// Recovery is what a folder holds. Reading it changes nothing.
+// Recovery is the state recovered from a folder. Recovering it does not change the folder.
 type Recovery struct {
-	Events      []*Event         // owed, in the order of their coming, with their bodies
-	Backoffs    map[string]int64 // until when, as time of day
-	Outages     map[string]int64 // since when
-	Completed   map[string]int64 // ids that are over, until when that is known
+	Events      []*Event         // pending events in order of arrival, with their bodies
+	Backoffs    map[string]int64 // time of day at which each ends, in ns
+	Outages     map[string]int64 // time of day at which each began, in ns
+	Completed   map[string]int64 // IDs of completed events, with the time of day until which they are retained
 	Segments    int
 	Size        int64    // bytes of all files of the store
-	Records     int      // that could be read
-	TornBytes   int      // bytes at the end of the log that were cut off
-	RecordsLost bool     // records are missing: what stood before may have gone on
-	Faults      []string // file, offset and reason of what is damaged, missing or foreign
+	Records     int      // number of readable records
+	TornBytes   int      // size of the incomplete record at the end of the log
+	RecordsLost bool     // records are missing, so events recorded before the gap may have progressed further
+	Faults      []string // file, offset and description of anything damaged, missing or foreign
 
 	epoch, seq, lastSegment uint64
-	mirrorSize              int              // whole bytes of the mirror
-	fileSizes               map[string]int64 // of each file
+	mirrorSize              int              // bytes of the mirror up to its last complete record
+	fileSizes               map[string]int64 // by file name
 }
 
-// unknownStart is when a send went out of which nothing but that it may have is known: no window of repeats
-// reaches so far.
+// unknownStart is the start time of an attempt that may have been made but has no record. It is so long ago that no
+// deduplication window reaches back to it.
 const unknownStart = 1
 
-// Recover reads a folder without changing it. The error is for one that cannot be read; damage is told in
+// Recover reads a folder without changing it. It returns an error if the folder cannot be read; damage is reported in
 // Faults.
 //
-// Danger: where records are missing, one of them may have said that a charge went out, or that a destination
-// told to wait. So every event whose state stands before a gap counts as one that may have run, and waits
-// stand in two files.
-func Recover(folder FS) (*Recovery, error) {
-	names, err := folder.List()
+// A missing record may have said that an attempt started, for a charge for example, or that a destination asked for a
+// backoff. Therefore every event whose state precedes a gap is treated as possibly executed, and backoffs are stored in
+// two files.
+func Recover(fsys FS) (*Recovery, error) {
+	names, err := fsys.List()
 	if err != nil {
 		return nil, err
 	}
 	f := &Recovery{Backoffs: map[string]int64{}, Outages: map[string]int64{}, Completed: map[string]int64{},
 		fileSizes: map[string]int64{}}
-	var segs []segmentFile
+	var files []segmentFile
 	for _, name := range names {
 		if !strings.HasPrefix(name, "seg-") && name != mirrorName {
 			continue
 		}
-		text, err := folder.Read(name)
+		data, err := fsys.Read(name)
 		if err != nil {
 			return nil, err
 		}
-		f.Size += int64(len(text))
-		f.fileSizes[name] = int64(len(text))
-		h, err := decodeHeader(text)
+		f.Size += int64(len(data))
+		f.fileSizes[name] = int64(len(data))
+		h, err := decodeHeader(data)
 		if err != nil {
 			f.addFault(name, 0, err.Error())
 			f.RecordsLost = true
 			if name != mirrorName {
-				segs = append(segs, segmentFile{name: name, invalidHeader: true})
+				files = append(files, segmentFile{name: name, invalidHeader: true})
 			}
 			continue
 		}
-		segs = append(segs, segmentFile{name: name, segmentHeader: h, data: text})
+		files = append(files, segmentFile{name: name, segmentHeader: h, data: data})
 	}
-	f.epoch = majorityEpoch(segs)
+	f.epoch = majorityEpoch(files)
 	var mirror *segmentFile
-	segs = slices.DeleteFunc(segs, func(r segmentFile) bool {
+	files = slices.DeleteFunc(files, func(r segmentFile) bool {
 		switch {
 		case r.invalidHeader:
 			return true
 		case r.epoch != f.epoch:
-			f.addFault(r.name, 8, "it is of another store and is passed over")
+			f.addFault(r.name, 8, "file belongs to another store; ignored")
 			return true
 		case r.name == mirrorName:
 			mirror = &r
@@ -79,25 +79,25 @@
 		}
 		return false
 	})
-	slices.SortFunc(segs, func(a, b segmentFile) int { return cmp.Compare(a.number, b.number) })
-	f.Segments = len(segs)
+	slices.SortFunc(files, func(a, b segmentFile) int { return cmp.Compare(a.number, b.number) })
+	f.Segments = len(files)
 	l := loader{recovery: f, events: map[string]*loadedEvent{}}
-	for i := range segs {
-		if i+1 < len(segs) {
-			segs[i].truncateTo(&segs[i+1])
+	for i := range files {
+		if i+1 < len(files) {
+			files[i].truncateTo(&files[i+1])
 		}
-		l.loadSegment(&segs[i], i == 0, i == len(segs)-1)
+		l.loadSegment(&files[i], i == 0, i == len(files)-1)
 	}
 	if mirror != nil {
 		l.loadMirror(mirror)
-	} else if len(segs) > 0 && !f.hasFault(mirrorName) {
-		f.addFault(mirrorName, 0, "it is missing")
+	} else if len(files) > 0 && !f.hasFault(mirrorName) {
+		f.addFault(mirrorName, 0, "file is missing")
 	}
 	l.finish()
 	return f, nil
 }
 
-// segmentFile is a file of the store as it was segmentFile.
+// segmentFile is a segment, or the mirror, as read from disk.
 type segmentFile struct {
 	segmentHeader
 	name          string
@@ -105,14 +105,15 @@
 	invalidHeader bool
 }
 
-// truncateTo cuts off what the next segment says was not written.
+// truncateTo drops the data after the end that the next segment's header records for this one.
 func (r *segmentFile) truncateTo(next *segmentFile) {
 	if size := int(next.previousSize); next.number == r.number+1 && size >= headerSize && size < len(r.data) {
 		r.data = r.data[:size]
 	}
 }
 
-// majorityEpoch is the epoch that most files are of; of as many, the later's.
+// majorityEpoch returns the epoch of most files. Of epochs with equally many files, the one with the highest segment
+// number wins.
 func majorityEpoch(files []segmentFile) (epoch uint64) {
 	count, last := map[uint64]int{}, map[uint64]uint64{}
 	for _, r := range files {
@@ -135,28 +136,28 @@
 }
 
 func (f *Recovery) hasFault(name string) bool {
-	return slices.ContainsFunc(f.Faults, func(text string) bool { return strings.HasPrefix(text, name+":") })
+	return slices.ContainsFunc(f.Faults, func(fault string) bool { return strings.HasPrefix(fault, name+":") })
 }
 
-// loadedEvent is an event with the sequence number of its state.
+// loadedEvent is an event with the sequence number of its state record.
 type loadedEvent struct {
 	event *Event
 	seq   uint64
 }
 
-// loader puts records together.
+// loader builds a Recovery from records.
 type loader struct {
 	recovery      *Recovery
 	events        map[string]*loadedEvent
-	doubtedBefore uint64 // what stands before this may have gone on
+	doubtedBefore uint64 // sequence number; events whose state precedes it may have progressed further
 }
 
-// loadSegment reads one loadSegment's records.
+// loadSegment applies the records of one segment.
 func (l *loader) loadSegment(r *segmentFile, first, last bool) {
 	f := l.recovery
 	f.lastSegment = max(f.lastSegment, r.number)
 	if !first && r.firstSeq != f.seq+1 {
-		f.addFault(r.name, 24, fmt.Sprintf("records %d to %d are missing before it", f.seq+1, r.firstSeq-1))
+		f.addFault(r.name, 24, fmt.Sprintf("records %d to %d are missing before this segment", f.seq+1, r.firstSeq-1))
 		l.markLost(r.firstSeq)
 	}
 	f.seq = max(f.seq, r.firstSeq-1)
@@ -166,9 +167,9 @@
 			rest := r.data[at:]
 			switch {
 			case hasIntactRecord(rest, f.seq):
-				f.addFault(r.name, at, "a record whose length is wrong")
+				f.addFault(r.name, at, "record has a wrong length")
 				l.markLost(f.seq + 1)
-			case last: // half a record that a kill left: nobody was told that it is written
+			case last: // incomplete record left by a kill; it was never acknowledged
 				f.TornBytes = len(rest)
 			}
 			return
@@ -184,12 +185,12 @@
 			continue
 		}
 		if seq != f.seq+1 {
-			f.addFault(r.name, at, fmt.Sprintf("record %d where %d is due", seq, f.seq+1))
+			f.addFault(r.name, at, fmt.Sprintf("found record %d, expected record %d", seq, f.seq+1))
 			l.markLost(seq)
 		}
 		f.seq = max(f.seq, seq)
 		if !l.apply(payload, seq) {
-			f.addFault(r.name, at, "a record that makes no sense")
+			f.addFault(r.name, at, "record cannot be decoded")
 			l.markLost(seq)
 		} else {
 			f.Records++
@@ -198,8 +199,8 @@
 	}
 }
 
-// hasIntactRecord tells whether bytes that end within a record, going by its length, hold records that were whole:
-// its own, under another length, or later ones. Then the length is damaged.
+// hasIntactRecord reports whether rest, which according to its length field ends within a record, contains a complete
+// record: that record itself with a different length, or a later one. If so, the length field is damaged.
 func hasIntactRecord(rest []byte, seq uint64) bool {
 	for at := range rest {
 		if len(rest)-at <= frameHeaderSize {
@@ -224,7 +225,7 @@
 	l.doubtedBefore = max(l.doubtedBefore, before)
 }
 
-// apply takes one record in; false for one that makes no sense.
+// apply applies one record. It returns false if the record cannot be decoded.
 func (l *loader) apply(payload []byte, seq uint64) bool {
 	f := Decoder{rest: payload}
 	k := kind(f.byte())
@@ -238,31 +239,31 @@
 		return true
 	}
 	name := f.text()
-	o := l.events[name]
+	entry := l.events[name]
 	switch k {
 	case recAttemptStarted:
 		number, s := int(f.byte()), Attempt{StartedAt: f.varint(), Zone: f.text()}
 		if f.bad {
 			return false
 		}
-		if o != nil {
-			o.event.BeginAttempt(number, s)
+		if entry != nil {
+			entry.event.BeginAttempt(number, s)
 		}
 	case recAttemptEnded:
-		number, how := int(f.byte()), outcome(f.byte())
+		number, result := int(f.byte()), outcome(f.byte())
 		if f.bad {
 			return false
 		}
-		if o != nil && number < len(o.event.Attempts) {
-			o.event.Attempts[number].Ended, o.event.Attempts[number].Outcome = true, how
+		if entry != nil && number < len(entry.event.Attempts) {
+			entry.event.Attempts[number].Ended, entry.event.Attempts[number].Outcome = true, result
 		}
 	case recVerdict:
-		v, comeBack := Verdict(f.byte()), f.varint()
-		if f.bad || v > Discarded {
+		verdict, retryAfter := Verdict(f.byte()), f.varint()
+		if f.bad || verdict > Discarded {
 			return false
 		}
-		if o != nil {
-			o.event.Verdict, o.event.RetryAfter = v, comeBack
+		if entry != nil {
+			entry.event.Verdict, entry.event.RetryAfter = verdict, retryAfter
 		}
 	case recCompleted:
 		until := f.varint()
@@ -285,7 +286,7 @@
 	return !f.bad && len(f.rest) == 0
 }
 
-// applyMark takes in a wait, which is never made shorter, or an outage.
+// applyMark applies a backoff, which is never shortened, or an outage.
 func (l *loader) applyMark(k kind, name string, value int64) {
 	f := l.recovery
 	switch {
@@ -298,8 +299,8 @@
 	}
 }
 
-// loadMirror takes in the second copy of waits and outages: it makes up for what the log lost, and has no say
-// where the log is whole.
+// loadMirror applies the second copy of backoffs and outages. Its backoffs are always merged, since that never shortens
+// one. Its outages are used only if the log lost records.
 func (l *loader) loadMirror(r *segmentFile) {
 	f := l.recovery
 	outages := map[string]int64{}
@@ -317,7 +318,7 @@
 		d := Decoder{rest: payload}
 		k, name, value := kind(d.byte()), d.text(), d.varint()
 		if d.bad || (k != recBackoff && k != recOutage) {
-			f.addFault(r.name, at, "a record that makes no sense")
+			f.addFault(r.name, at, "record cannot be decoded")
 		} else if k == recBackoff {
 			l.applyMark(k, name, value)
 		} else {
@@ -327,7 +328,7 @@
 	}
 	f.mirrorSize = at
 	if at < len(r.data) {
-		f.addFault(r.name, at, "it is cut off from here on")
+		f.addFault(r.name, at, "file is truncated from this offset on")
 	}
 	for name, since := range outages {
 		if _, known := f.Outages[name]; f.RecordsLost && since != 0 && !known {
@@ -336,60 +337,61 @@
 	}
 }
 
-// finish puts the events in order, and doubts those before a gap.
+// finish sorts the events by arrival and treats undecided ones from before a gap as possibly executed.
 func (l *loader) finish() {
-	for _, o := range l.events {
-		if e := o.event; o.seq < l.doubtedBefore && e.Verdict == Undecided && !e.MayHaveRun() &&
+	for _, entry := range l.events {
+		if e := entry.event; entry.seq < l.doubtedBefore && e.Verdict == Undecided && !e.MayHaveRun() &&
 			len(e.Attempts) < maxRecordedAttempts {
 			e.Attempts = append(e.Attempts, Attempt{StartedAt: unknownStart})
 		}
-		l.recovery.Events = append(l.recovery.Events, o.event)
+		l.recovery.Events = append(l.recovery.Events, entry.event)
 	}
 	slices.SortFunc(l.recovery.Events, func(a, b *Event) int { return cmp.Compare(a.ArrivalSeq, b.ArrivalSeq) })
 }
 
-// Open opens a folder's store, or begins one, and returns what it holds. most is how many bytes its files may
-// take, 0 for 256 MiB; sends how many an event may have; clock tells the time of day in ns. Only one process
-// may have it open. Calls that fail for a moment are tried again.
-func Open(folder FS, most int64, sends int, sync SyncPolicy, clock func() int64) (*Store, *Recovery, error) {
-	var release func()
+// Open opens the store in a folder, or creates one, and returns the recovered state. The files of the store take
+// maxBytes at most, or 256 MiB if maxBytes is 0. maxAttempts is the most attempts that an event can have, and clock
+// returns the time of day in ns. Only one process can have the store open. File operations that fail with a transient
+// error are retried.
+func Open(fsys FS, maxBytes int64, maxAttempts int, sync SyncPolicy, clock func() int64) (*Store, *Recovery, error) {
+	var unlock func()
 	err := retryAtStart(func() (err error) {
-		release, err = folder.Lock()
+		unlock, err = fsys.Lock()
 		return err
 	})
 	if err != nil {
 		return nil, nil, err
 	}
-	var found *Recovery
+	var recovery *Recovery
 	err = retryAtStart(func() (err error) {
-		found, err = Recover(folder)
+		recovery, err = Recover(fsys)
 		return err
 	})
 	if err != nil {
-		release()
+		unlock()
 		return nil, nil, err
 	}
-	s := newStore(folder, most, sends, sync, clock, found)
-	s.unlock = release
-	if err := s.rewriteRecovered(found); err != nil {
+	s := newStore(fsys, maxBytes, maxAttempts, sync, clock, recovery)
+	s.unlock = unlock
+	if err := s.rewriteRecovered(recovery); err != nil {
 		if s.file != nil {
 			s.file.Close()
 		}
-		release()
+		unlock()
 		return nil, nil, err
 	}
 	go s.runWriter()
-	return s, found, nil
+	return s, recovery, nil
 }
 
-func newStore(folder FS, most int64, sends int, sync SyncPolicy, clock func() int64, found *Recovery) *Store {
-	if most <= 0 {
-		most = defaultMaxBytes
+func newStore(fsys FS, maxBytes int64, maxAttempts int, sync SyncPolicy, clock func() int64, recovery *Recovery) *Store {
+	if maxBytes <= 0 {
+		maxBytes = defaultMaxBytes
 	}
-	most -= overheadSize
-	s := &Store{fs: folder, maxBytes: most, sync: sync, maxAttempts: sends, clock: clock,
-		segmentSize:         min(max(most/segmentsPerStore, minSegmentSize), maxSegmentSize),
-		compactionThreshold: most / compactionDivisor, epoch: found.epoch, seq: found.seq, closing: make(chan struct{}),
+	maxBytes -= overheadSize
+	s := &Store{fs: fsys, maxBytes: maxBytes, sync: sync, maxAttempts: maxAttempts, clock: clock,
+		segmentSize:         min(max(maxBytes/segmentsPerStore, minSegmentSize), maxSegmentSize),
+		compactionThreshold: maxBytes / compactionDivisor, epoch: recovery.epoch, seq: recovery.seq, closing: make(chan struct{}),
 		writerDone: make(chan struct{}),
 		events:     map[string]*indexItem{}, completed: map[string]*indexItem{}, backoffs: map[string]*indexItem{},
 		outages: map[string]*indexItem{}}
@@ -400,12 +402,12 @@
 	return s
 }
 
-// rewriteRecovered writes all that is kept anew into new segments, and removes the old ones. A crash on the way leaves
+// rewriteRecovered writes the recovered state to new segments and then removes the old ones. A crash in between leaves
 // both.
 //
-// All is written anew since what is appended behind a torn record would be lost with it, and a doubt that is not
-// written down would be forgotten by the next start.
-func (s *Store) rewriteRecovered(found *Recovery) error {
+// Everything is rewritten, because records appended after an incomplete one would be lost with it, and the next start
+// would otherwise not know which events may have been executed according to this recovery.
+func (s *Store) rewriteRecovered(recovery *Recovery) error {
 	var names []string
 	err := retryAtStart(func() (err error) {
 		names, err = s.fs.List()
@@ -414,34 +416,34 @@
 	if err != nil {
 		return err
 	}
-	s.segments = []*segment{{number: found.lastSegment}} // to count from
+	s.segments = []*segment{{number: recovery.lastSegment}} // numbering continues from here
 	if err := retryAtStart(s.rollSegment); err != nil {
 		return err
 	}
 	s.segments = s.segments[1:]
-	if err := s.rewriteEvents(found.Events); err != nil {
+	if err := s.rewriteEvents(recovery.Events); err != nil {
 		return err
 	}
-	s.queueMarks(found)
+	s.queueMarks(recovery)
 	if err := s.flushInitialQueue(); err != nil {
 		return err
 	}
 	if err := retryAtStart(s.rewriteMirror); err != nil {
 		return err
 	}
-	s.removeRecoveredSegments(names, found)
+	s.removeRecoveredSegments(names, recovery)
 	return nil
 }
 
 func (s *Store) rewriteEvents(events []*Event) error {
 	for _, e := range events {
 		s.lastArrival = max(s.lastArrival, e.ArrivalSeq)
-		kept := *e
-		kept.Body = nil
-		kept.Attempts = slices.Clone(e.Attempts)
-		it := &indexItem{event: &kept, kind: recState, reservedBytes: int32(s.reservationFor(e))}
-		s.insert(it)
-		s.enqueueOnce(it, recState, len(e.Body), e.appendState)
+		indexed := *e
+		indexed.Body = nil
+		indexed.Attempts = slices.Clone(e.Attempts)
+		item := &indexItem{event: &indexed, kind: recState, reservedBytes: int32(s.reservationFor(e))}
+		s.insert(item)
+		s.enqueueOnce(item, recState, len(e.Body), e.appendState)
 		if s.queuedBytes > s.segmentSize {
 			if err := s.flushInitialQueue(); err != nil {
 				return err
@@ -451,30 +453,30 @@
 	return nil
 }
 
-// queueMarks queues the waits, the outages and the ids that are over, as far as they are still in force.
-func (s *Store) queueMarks(found *Recovery) {
+// queueMarks queues the outages, and the backoffs and IDs of completed events that have not expired.
+func (s *Store) queueMarks(recovery *Recovery) {
 	now := s.clock()
 	for _, table := range []struct {
 		kind kind
 		of   map[string]int64
-	}{{recCompleted, found.Completed}, {recBackoff, found.Backoffs}, {recOutage, found.Outages}} {
+	}{{recCompleted, recovery.Completed}, {recBackoff, recovery.Backoffs}, {recOutage, recovery.Outages}} {
 		for name, value := range table.of {
 			if table.kind != recOutage && value <= now {
 				continue
 			}
-			it := &indexItem{
+			item := &indexItem{
 				name:          name,
 				value:         value,
 				kind:          table.kind,
 				reservedBytes: int32(2 * (frameHeaderSize + 24 + len(name))),
 			}
-			s.insert(it)
-			s.enqueueOnce(it, table.kind, 0, func(to []byte) []byte { return append(appendText(to, name), encodeVarint(value)...) })
+			s.insert(item)
+			s.enqueueOnce(item, table.kind, 0, func(to []byte) []byte { return append(appendText(to, name), encodeVarint(value)...) })
 		}
 	}
 }
 
-// flushInitialQueue writes what is queued, before there is a writer.
+// flushInitialQueue writes the queued records, before the writer goroutine is started.
 func (s *Store) flushInitialQueue() error {
 	batch := s.writeQueue
 	s.writeQueue = nil
@@ -485,31 +487,31 @@
 	})
 }
 
-// removeRecoveredSegments removes the segments of former processes, oldest first. Where one cannot be removed, it and those
-// behind it are left to Compact.
-func (s *Store) removeRecoveredSegments(names []string, found *Recovery) {
+// removeRecoveredSegments removes the segments of earlier processes, oldest first. If one cannot be removed, it and the
+// later ones are left to Compact.
+func (s *Store) removeRecoveredSegments(names []string, recovery *Recovery) {
 	own := map[string]bool{}
 	for _, g := range s.segments {
 		own[g.fileName()] = true
 	}
-	var former []*segment
+	var remaining []*segment
 	slices.Sort(names)
 	for _, name := range names {
-		foreign := found.hasFault(name) && found.isForeign(name)
+		foreign := recovery.hasFault(name) && recovery.isForeign(name)
 		if !strings.HasPrefix(name, "seg-") || own[name] || foreign {
 			continue
 		}
-		if len(former) == 0 && s.fs.Remove(name) == nil {
+		if len(remaining) == 0 && s.fs.Remove(name) == nil {
 			continue
 		}
-		former = append(former, &segment{recoveredName: name, stale: true, size: found.fileSizes[name]})
+		remaining = append(remaining, &segment{recoveredName: name, stale: true, size: recovery.fileSizes[name]})
 	}
-	s.segments = append(former, s.segments...)
+	s.segments = append(remaining, s.segments...)
 }
 
-// isForeign tells whether a file was passed over as another store's: it is left where it is.
+// isForeign reports whether a file was ignored because it belongs to another store. Such files are not removed.
 func (f *Recovery) isForeign(name string) bool {
-	return slices.ContainsFunc(f.Faults, func(text string) bool {
-		return strings.HasPrefix(text, name+":") && strings.Contains(text, "another store")
+	return slices.ContainsFunc(f.Faults, func(fault string) bool {
+		return strings.HasPrefix(fault, name+":") && strings.Contains(fault, "another store")
 	})
 }
--- a/store/store.go
+++ b/store/store.go
@@ -9,121 +9,121 @@
 	"sync"
 )
 
-// SyncPolicy says when what was written is made to outlast a loss of power. A killed process loses nothing in any
-// case.
+// SyncPolicy selects when written data is flushed to stable storage, so that it survives a power failure. Data
+// written by a process that is killed survives under either policy.
 type SyncPolicy uint8
 
 const (
-	SyncNever  SyncPolicy = iota // the system writes when it likes
-	SyncAlways                   // before a call that writes returns
+	SyncNever  SyncPolicy = iota // left to the operating system
+	SyncAlways                   // before the writing call returns
 )
 
 const (
-	blockSize          = 512       // bytes in which files are counted
-	overheadSize       = 8 << 10   // bytes of the folder left alone: heads, last blocks, the lock
-	maxPendingEighths  = 3         // eighths of the folder that owed events may take: the rest is for what is dead
-	segmentsPerStore   = 16        // parts of the folder that a segment is
-	minSegmentSize     = 16 << 10  // bytes of a segment at least
-	maxSegmentSize     = 4 << 20   // and at most: emptying one takes so long
-	compactionDivisor  = 2         // the folder is compacted from this part of it on
-	attemptRecordsSize = 96        // bytes that the two records of a send take, without the event's id
-	maxMirrorSize      = 64 << 10  // bytes of the mirror, from which it is written anew
-	defaultMaxBytes    = 256 << 20 // bytes of the folder where none is told
+	blockSize          = 512       // granularity of disk usage, in bytes
+	overheadSize       = 8 << 10   // bytes set aside for segment headers, partly filled blocks and the lock file
+	maxLiveEighths     = 3         // eighths of the space that live records may occupy; the rest is for superseded records
+	segmentsPerStore   = 16        // a segment is this fraction of the space
+	minSegmentSize     = 16 << 10  // bytes
+	maxSegmentSize     = 4 << 20   // bytes; bounds the time needed to compact one segment
+	compactionDivisor  = 2         // compaction starts once this fraction of the space is used
+	attemptRecordsSize = 96        // bytes of the two records of an attempt, without the event ID
+	maxMirrorSize      = 64 << 10  // bytes; a mirror that would grow beyond this is rewritten
+	defaultMaxBytes    = 256 << 20 // size limit when none is configured
 )
 
-// Errors that callers tell apart.
+// Errors that callers can test for with errors.Is.
 var (
-	ErrFull             = errors.New("store: no room for another event")
-	ErrAlreadyPending   = errors.New("store: the event is owed already")
-	ErrAlreadyCompleted = errors.New("store: an event of this id has ended")
-	ErrNotPending       = errors.New("store: nothing is owed for the event")
+	ErrFull             = errors.New("store: not enough space for another event")
+	ErrAlreadyPending   = errors.New("store: event is already pending")
+	ErrAlreadyCompleted = errors.New("store: an event with this ID has already completed")
+	ErrNotPending       = errors.New("store: event is not pending")
 	errClosed           = errors.New("store: closed")
 )
 
-// indexItem is one thing that the store keeps: its newest state stands in a segment.
+// indexItem is an in-memory index entry. Its latest state record is stored in a segment.
 type indexItem struct {
-	event         *Event // without its body, nil for what is no event
-	name          string // of a wait, an outage or an id that is over
-	value         int64
+	event         *Event     // without its body; nil unless kind is recState
+	name          string     // of a backoff or an outage, or the ID of a completed event
+	value         int64      // time of day in ns: end of a backoff or of an ID's retention, or start of an outage
 	segment       *segment   // nil while its state is being written
-	prev, next    *indexItem // in its segment
-	bodyOffset    int64      // where its body stands in the segment
-	bodySize      int32      // bytes of it
-	reservedBytes int32      // bytes that it may take, all its sends included
-	kind          kind       // recState, recOver, recWait or recOutage
+	prev, next    *indexItem // list of the items in the same segment
+	bodyOffset    int64      // of the event body within the segment
+	bodySize      int32
+	reservedBytes int32 // upper bound of its records, all attempts included
+	kind          kind  // recState, recCompleted, recBackoff or recOutage
 }
 
-// segment is one file of the log.
+// segment is one log file.
 type segment struct {
 	number        uint64
 	size          int64
 	firstItem     *indexItem
-	recoveredName string // its file's name, where a former process left it
-	stale         bool   // of a former process, or one that could not be removed: it goes as soon as it can
+	recoveredName string // file name of a segment left by an earlier process
+	stale         bool   // left by an earlier process or not removable so far; removed as soon as possible
 }
 
-func (g *segment) fileName() string {
-	if g.recoveredName != "" {
-		return g.recoveredName
+func (seg *segment) fileName() string {
+	if seg.recoveredName != "" {
+		return seg.recoveredName
 	}
-	return fmt.Sprintf("seg-%016x", g.number)
+	return fmt.Sprintf("seg-%016x", seg.number)
 }
 
-// Store is a store that is open. Its methods may be called by any goroutine.
+// Store is an open store. Its methods are safe for concurrent use.
 type Store struct {
 	fs                  FS
 	unlock              func()
 	maxBytes            int64
 	segmentSize         int64
-	compactionThreshold int64 // bytes used from which it is compacted
+	compactionThreshold int64 // used bytes from which compaction runs
 	sync                SyncPolicy
-	maxAttempts         int // of an event at most
+	maxAttempts         int // per event
 	clock               func() int64
 
-	compactionMu  sync.Mutex // one compaction at a time
+	compactionMu  sync.Mutex // allows one compaction at a time
 	mu            sync.Mutex
 	epoch         uint64
 	seq           uint64
 	lastArrival   uint64
-	segments      []*segment // the last is written to
+	segments      []*segment // the last one is the active segment
 	file          File
 	mirror        File
-	mirrorSize    int64 // bytes of the mirror
+	mirrorSize    int64
 	events        map[string]*indexItem
-	completed     map[string]*indexItem // ids that are over, and known until a time
+	completed     map[string]*indexItem // IDs of completed events, retained to detect duplicates
 	backoffs      map[string]*indexItem
 	outages       map[string]*indexItem
-	reservedBytes int64           // bytes that what is kept may take
-	queuedBytes   int64           // bytes on their way
-	writeQueue    []*queuedRecord // on their way to the log, in order
-	unwritten     int             // of them, and of those being written, those that are tried until they are written
+	reservedBytes int64           // sum over all indexed items
+	queuedBytes   int64           // of records queued or being written
+	writeQueue    []*queuedRecord // in log order
+	unwritten     int             // records, queued or being written, that are retried until written
 	closed        bool
 
-	workAvailable sync.Cond // there are entries, or the store is closed
+	workAvailable sync.Cond // writeQueue is not empty, or the store is closed
 	closing       chan struct{}
 	writerDone    chan struct{}
-	closeErr      error // why records are not written at the end
-	sealed        bool  // nothing more is appended to the last segment; the writer's, as the file is
+	closeErr      error // why the last records could not be written on Close
+	sealed        bool  // the active segment takes no more records; owned by the writer goroutine, as is file
 }
 
 func roundUpToBlock(size int64) int64 { return (size + blockSize - 1) / blockSize * blockSize }
 
-// usedBytes is what the files take; the lock is held.
+// usedBytes returns the disk space used by all files and queued records. The caller holds mu.
 func (s *Store) usedBytes() (total int64) {
-	for _, g := range s.segments {
-		total += roundUpToBlock(g.size)
+	for _, seg := range s.segments {
+		total += roundUpToBlock(seg.size)
 	}
 	return total + roundUpToBlock(s.mirrorSize) + s.queuedBytes
 }
 
-// UsedBytes is how many bytes the files take.
+// UsedBytes returns the disk space used by all files and queued records.
 func (s *Store) UsedBytes() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.usedBytes()
 }
 
-// reservationFor is what may be written of an event, all its sends included.
+// reservationFor returns an upper bound of the bytes written for an event, all its attempts included.
 func (s *Store) reservationFor(e *Event) int64 {
 	return int64(frameHeaderSize+64+len(e.ID)+len(e.Kind)+len(e.Owner)+len(e.IdempotencyKey)+len(e.Body)) + s.attemptsReservation(e.ID)
 }
@@ -132,32 +132,32 @@
 	return int64(s.maxAttempts+2) * int64(attemptRecordsSize+2*len(id))
 }
 
-// link has an item's state stand in a segment; the lock is held, as for unlink.
-func (s *Store) link(it *indexItem, g *segment, at int64, body int32) {
-	it.segment, it.bodyOffset, it.bodySize = g, at, body
-	it.prev, it.next = nil, g.firstItem
-	if g.firstItem != nil {
-		g.firstItem.prev = it
+// link registers a segment as the location of an item's state. The caller of link or unlink holds mu.
+func (s *Store) link(item *indexItem, seg *segment, offset int64, body int32) {
+	item.segment, item.bodyOffset, item.bodySize = seg, offset, body
+	item.prev, item.next = nil, seg.firstItem
+	if seg.firstItem != nil {
+		seg.firstItem.prev = item
 	}
-	g.firstItem = it
+	seg.firstItem = item
 }
 
-func (s *Store) unlink(it *indexItem) {
-	if it.segment == nil {
+func (s *Store) unlink(item *indexItem) {
+	if item.segment == nil {
 		return
 	}
-	if it.prev != nil {
-		it.prev.next = it.next
+	if item.prev != nil {
+		item.prev.next = item.next
 	} else {
-		it.segment.firstItem = it.next
+		item.segment.firstItem = item.next
 	}
-	if it.next != nil {
-		it.next.prev = it.prev
+	if item.next != nil {
+		item.next.prev = item.prev
 	}
-	it.segment, it.prev, it.next = nil, nil, nil
+	item.segment, item.prev, item.next = nil, nil, nil
 }
 
-// table is the table in which things table a kind are kept.
+// table returns the index for records of a kind.
 func (s *Store) table(k kind) map[string]*indexItem {
 	switch k {
 	case recState:
@@ -170,40 +170,41 @@
 	return s.outages
 }
 
-func (it *indexItem) key() string {
-	if it.event != nil {
-		return it.event.ID
+func (item *indexItem) key() string {
+	if item.event != nil {
+		return item.event.ID
 	}
-	return it.name
+	return item.name
 }
 
-// isCurrent tells whether an item is still the one that is kept under its name; the lock is held.
-func (s *Store) isCurrent(it *indexItem) bool { return s.table(it.kind)[it.key()] == it }
+// isCurrent reports whether the index still holds this item under its key. The caller holds mu.
+func (s *Store) isCurrent(item *indexItem) bool { return s.table(item.kind)[item.key()] == item }
 
-func (s *Store) remove(it *indexItem) {
-	if s.isCurrent(it) {
-		delete(s.table(it.kind), it.key())
-		s.reservedBytes -= int64(it.reservedBytes)
-		s.unlink(it)
+func (s *Store) remove(item *indexItem) {
+	if s.isCurrent(item) {
+		delete(s.table(item.kind), item.key())
+		s.reservedBytes -= int64(item.reservedBytes)
+		s.unlink(item)
 	}
 }
 
-func (s *Store) insert(it *indexItem) {
-	if old := s.table(it.kind)[it.key()]; old != nil {
+func (s *Store) insert(item *indexItem) {
+	if old := s.table(item.kind)[item.key()]; old != nil {
 		s.remove(old)
 	}
-	s.table(it.kind)[it.key()] = it
-	s.reservedBytes += int64(it.reservedBytes)
+	s.table(item.kind)[item.key()] = item
+	s.reservedBytes += int64(item.reservedBytes)
 }
 
-// Accept writes that an event was taken on. Its body is not kept in memory. The error is ErrKnown for one that
-// is owed already, ErrEnded while one of its id is known to be over, and ErrFull where there is no room for all that may be written of it.
+// Accept records an event as pending. Its body is not kept in memory. It returns ErrAlreadyPending if an event with
+// the same ID is pending, ErrAlreadyCompleted while the ID of a completed event is retained, and ErrFull if there is
+// not enough space for all records that the event may need.
 //
-// What it returns tells this event from another of the same id, in the calls about it: 0 stands for whichever
-// is owed.
-func (s *Store) Accept(e Event) (came uint64, err error) {
-	need := s.reservationFor(&e)
-	s.makeRoom(need)
+// The returned arrival sequence number distinguishes the event from others with the same ID in later calls; there, 0
+// selects whichever event with that ID is pending.
+func (s *Store) Accept(e Event) (arrivalSeq uint64, err error) {
+	reservation := s.reservationFor(&e)
+	s.makeRoom(reservation)
 	s.mu.Lock()
 	if s.closed {
 		s.mu.Unlock()
@@ -213,36 +214,36 @@
 		s.mu.Unlock()
 		return 0, ErrAlreadyPending
 	}
-	if past := s.completed[e.ID]; past != nil && past.value > s.clock() {
+	if completed := s.completed[e.ID]; completed != nil && completed.value > s.clock() {
 		s.mu.Unlock()
 		return 0, ErrAlreadyCompleted
 	}
-	if (s.reservedBytes+need)*8/maxPendingEighths > s.maxBytes || s.usedBytes()+need > s.maxBytes-s.segmentSize {
+	if (s.reservedBytes+reservation)*8/maxLiveEighths > s.maxBytes || s.usedBytes()+reservation > s.maxBytes-s.segmentSize {
 		s.mu.Unlock()
 		return 0, ErrFull
 	}
 	s.lastArrival++
-	kept := e
-	kept.Body, kept.ArrivalSeq = nil, s.lastArrival
-	it := &indexItem{event: &kept, kind: recState, reservedBytes: int32(need)}
-	s.insert(it)
+	indexed := e
+	indexed.Body, indexed.ArrivalSeq = nil, s.lastArrival
+	item := &indexItem{event: &indexed, kind: recState, reservedBytes: int32(reservation)}
+	s.insert(item)
 	e.ArrivalSeq = s.lastArrival
-	state := s.enqueueOnce(it, recState, len(e.Body), e.appendState)
+	state := s.enqueueOnce(item, recState, len(e.Body), e.appendState)
 	s.mu.Unlock()
 	if err = <-state.firstTry; err != nil {
 		s.mu.Lock()
-		s.remove(it)
+		s.remove(item)
 		s.mu.Unlock()
 		return 0, err
 	}
 	return e.ArrivalSeq, nil
 }
 
-// makeRoom makes room for a record where dead ones fill the folder faster than Compact is called. Danger: over
-// its limit, even for a moment, the node counts as crashed. What is owed takes no more than its part, so
-// there is room.
+// makeRoom compacts until a record fits, for when superseded records accumulate faster than Compact is called. A node
+// that exceeds its disk limit even briefly counts as crashed. Live records are limited to maxLiveEighths of the
+// space, so compaction can always free enough.
 func (s *Store) makeRoom(size int64) {
-	for range 2 * segmentsPerStore { // danger: where what is owed does not fit, it would go on for ever
+	for range 2 * segmentsPerStore { // bounded, so that it cannot loop forever if live records do not fit
 		s.mu.Lock()
 		enough := s.usedBytes()+size <= s.maxBytes-s.segmentSize
 		s.mu.Unlock()
@@ -255,130 +256,131 @@
 	}
 }
 
-// pendingItem is an event that is pendingItem, nil where none is, or only another of that id; the lock is held.
-func (s *Store) pendingItem(id string, came uint64) *indexItem {
-	if it := s.events[id]; it != nil && (came == 0 || it.event.ArrivalSeq == came) {
-		return it
+// pendingItem returns the item of a pending event, or nil if there is none or only another one with the same ID. The
+// caller holds mu.
+func (s *Store) pendingItem(id string, arrivalSeq uint64) *indexItem {
+	if item := s.events[id]; item != nil && (arrivalSeq == 0 || item.event.ArrivalSeq == arrivalSeq) {
+		return item
 	}
 	return nil
 }
 
-// RecordAttempt writes that an attempt goes out. Where it fails, nothing may go.
-func (s *Store) RecordAttempt(id string, came uint64, number int, at int64, zone string) error {
+// RecordAttempt records that an attempt starts. If it returns an error, the request must not be sent.
+func (s *Store) RecordAttempt(id string, arrivalSeq uint64, number int, startedAt int64, zone string) error {
 	s.makeRoom(attemptRecordsSize)
 	s.mu.Lock()
-	it := s.pendingItem(id, came)
-	if it == nil || s.closed {
+	item := s.pendingItem(id, arrivalSeq)
+	if item == nil || s.closed {
 		defer s.mu.Unlock()
-		return missingRecordError(it)
+		return missingRecordError(item)
 	}
-	it.event.BeginAttempt(number, Attempt{StartedAt: at, Zone: zone})
+	item.event.BeginAttempt(number, Attempt{StartedAt: startedAt, Zone: zone})
 	record := s.enqueueOnce(nil, recAttemptStarted, 0, func(to []byte) []byte {
-		return appendText(binary.AppendVarint(append(appendText(to, id), byte(number)), at), zone)
+		return appendText(binary.AppendVarint(append(appendText(to, id), byte(number)), startedAt), zone)
 	})
 	s.mu.Unlock()
 	err := <-record.firstTry
 	if err != nil {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		it.event.markUnsent(number)
+		item.event.markUnsent(number)
 	}
 	return err
 }
 
-// missingRecordError is why there is no record to write: the event is over, or else the store is closed.
-func missingRecordError(it *indexItem) error {
-	if it == nil {
+// missingRecordError returns why no record is written: the event is not pending, or the store is closed.
+func missingRecordError(item *indexItem) error {
+	if item == nil {
 		return ErrNotPending
 	}
 	return errClosed
 }
 
-// RecordOutcome writes how an attempt ended.
-func (s *Store) RecordOutcome(id string, came uint64, number int, how outcome) *PendingWrite {
-	return s.updateEvent(id, came, recAttemptEnded, func(e *Event) {
+// RecordOutcome records how an attempt ended.
+func (s *Store) RecordOutcome(id string, arrivalSeq uint64, number int, result outcome) *PendingWrite {
+	return s.updateEvent(id, arrivalSeq, recAttemptEnded, func(e *Event) {
 		if number < len(e.Attempts) {
-			e.Attempts[number].Ended, e.Attempts[number].Outcome = true, how
+			e.Attempts[number].Ended, e.Attempts[number].Outcome = true, result
 		}
-	}, func(to []byte) []byte { return append(to, byte(number), byte(how)) })
+	}, func(to []byte) []byte { return append(to, byte(number), byte(result)) })
 }
 
-// RecordVerdict writes how an event ends whose notice is still owed.
-func (s *Store) RecordVerdict(id string, came uint64, v Verdict, comeBack int64) *PendingWrite {
-	return s.updateEvent(id, came, recVerdict, func(e *Event) { e.Verdict, e.RetryAfter = v, comeBack },
-		func(to []byte) []byte { return binary.AppendVarint(append(to, byte(v)), comeBack) })
+// RecordVerdict records how an event ends, before its notice has been delivered.
+func (s *Store) RecordVerdict(id string, arrivalSeq uint64, verdict Verdict, retryAfter int64) *PendingWrite {
+	return s.updateEvent(id, arrivalSeq, recVerdict, func(e *Event) { e.Verdict, e.RetryAfter = verdict, retryAfter },
+		func(to []byte) []byte { return binary.AppendVarint(append(to, byte(verdict)), retryAfter) })
 }
 
-// RecordVerdictAndTrim writes how an event ends of which nothing but its notice may still be needed. Its body and its sends are
-// dropped, so that it takes little room for as long as it is kept.
-func (s *Store) RecordVerdictAndTrim(id string, came uint64, v Verdict) *PendingWrite {
+// RecordVerdictAndTrim records how an event ends that may at most need its notice delivered. Its body and attempts are
+// dropped, so that it occupies little space while it is kept.
+func (s *Store) RecordVerdictAndTrim(id string, arrivalSeq uint64, verdict Verdict) *PendingWrite {
 	s.makeRoom(attemptRecordsSize)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	it := s.pendingItem(id, came)
-	if it == nil || s.closed {
-		return noPendingWrite(missingRecordError(it))
-	}
-	brief := *it.event
-	brief.IdempotencyKey, brief.Attempts, brief.Body, brief.Verdict = "", nil, nil, v
-	size := frameHeaderSize + len(brief.appendState([]byte{byte(recState)})) + frameHeaderSize + trimmedCompletionSize + len(id)
-	next := &indexItem{event: &brief, kind: recState, reservedBytes: int32(size)}
+	item := s.pendingItem(id, arrivalSeq)
+	if item == nil || s.closed {
+		return noPendingWrite(missingRecordError(item))
+	}
+	trimmed := *item.event
+	trimmed.IdempotencyKey, trimmed.Attempts, trimmed.Body, trimmed.Verdict = "", nil, nil, verdict
+	size := frameHeaderSize + len(trimmed.appendState([]byte{byte(recState)})) + frameHeaderSize + trimmedCompletionSize + len(id)
+	next := &indexItem{event: &trimmed, kind: recState, reservedBytes: int32(size)}
 	s.insert(next)
-	return s.enqueueUntilWritten(next, recState, brief.appendState)
+	return s.enqueueUntilWritten(next, recState, trimmed.appendState)
 }
 
-// trimmedCompletionSize is what the record of an event's end takes, without the event's id and the frame.
+// trimmedCompletionSize is the size of an event's completion record, without the event ID and the frame header.
 const trimmedCompletionSize = 16
 
-// PendingCount counts the events that are owed an end.
+// PendingCount returns the number of pending events.
 func (s *Store) PendingCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.events)
 }
 
-// updateEvent writes a record about an event that is owed, and keeps it until it is written.
-func (s *Store) updateEvent(id string, came uint64, k kind, change func(*Event), fill func([]byte) []byte) *PendingWrite {
+// updateEvent changes a pending event and queues a record of the change, which is retried until written.
+func (s *Store) updateEvent(id string, arrivalSeq uint64, k kind, change func(*Event), fill func([]byte) []byte) *PendingWrite {
 	s.makeRoom(attemptRecordsSize)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	it := s.pendingItem(id, came)
-	if it == nil || s.closed {
-		return noPendingWrite(missingRecordError(it))
+	item := s.pendingItem(id, arrivalSeq)
+	if item == nil || s.closed {
+		return noPendingWrite(missingRecordError(item))
 	}
-	change(it.event)
+	change(item.event)
 	return s.enqueueUntilWritten(nil, k, func(to []byte) []byte { return fill(appendText(to, id)) })
 }
 
-// Complete writes that nothing more is owed for an event. Its id is known as over until a time of day, 0 for not at
-// all.
-func (s *Store) Complete(id string, came uint64, until int64) *PendingWrite {
+// Complete records that an event needs nothing more. Its ID is retained until the given time of day, or not at all if
+// that is 0.
+func (s *Store) Complete(id string, arrivalSeq uint64, until int64) *PendingWrite {
 	s.makeRoom(attemptRecordsSize)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	it := s.pendingItem(id, came)
-	if it == nil || s.closed {
-		return noPendingWrite(missingRecordError(it))
+	item := s.pendingItem(id, arrivalSeq)
+	if item == nil || s.closed {
+		return noPendingWrite(missingRecordError(item))
 	}
-	s.remove(it)
-	var past *indexItem
+	s.remove(item)
+	var completed *indexItem
 	if until > s.clock() {
-		past = &indexItem{name: id, value: until, kind: recCompleted, reservedBytes: int32(frameHeaderSize + 24 + len(id))}
-		s.insert(past)
+		completed = &indexItem{name: id, value: until, kind: recCompleted, reservedBytes: int32(frameHeaderSize + 24 + len(id))}
+		s.insert(completed)
 	}
-	return s.enqueueUntilWritten(past, recCompleted, func(to []byte) []byte { return binary.AppendVarint(appendText(to, id), until) })
+	return s.enqueueUntilWritten(completed, recCompleted, func(to []byte) []byte { return binary.AppendVarint(appendText(to, id), until) })
 }
 
-// IsCompleted tells whether an event of this id ended, as far as that is still known.
+// IsCompleted reports whether the ID of a completed event is still retained.
 func (s *Store) IsCompleted(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	it := s.completed[id]
-	return it != nil && it.value > s.clock()
+	item := s.completed[id]
+	return item != nil && item.value > s.clock()
 }
 
-// RecordBackoff writes that a destination, or a route of it, told to wait until a time of day. It never makes a wait
-// shorter.
+// RecordBackoff records that a destination, or a route to it, asked for no calls until the given time of day. It never
+// shortens a backoff.
 func (s *Store) RecordBackoff(name string, until int64) error {
 	s.mu.Lock()
 	if old := s.backoffs[name]; old != nil && old.value >= until {
@@ -388,7 +390,8 @@
 	return s.recordMark(recBackoff, name, until)
 }
 
-// RecordOutage writes that a destination is out since a time of day, or with 0 that it is back.
+// RecordOutage records that a destination has been unavailable since the given time of day, or with 0 that it is
+// available again.
 func (s *Store) RecordOutage(name string, since int64) error {
 	s.mu.Lock()
 	if old := s.outages[name]; (old == nil && since == 0) || (old != nil && old.value == since) {
@@ -398,20 +401,20 @@
 	return s.recordMark(recOutage, name, since)
 }
 
-// recordMark writes a wait or an outage, into the log and the mirror; the lock is held, and given up.
+// recordMark writes a backoff or an outage to the log and the mirror. The caller holds mu; recordMark releases it.
 func (s *Store) recordMark(k kind, name string, value int64) error {
 	if s.closed {
 		s.mu.Unlock()
 		return errClosed
 	}
-	it := &indexItem{name: name, value: value, kind: k, reservedBytes: int32(2 * (frameHeaderSize + 24 + len(name)))}
-	s.insert(it)
+	item := &indexItem{name: name, value: value, kind: k, reservedBytes: int32(2 * (frameHeaderSize + 24 + len(name)))}
+	s.insert(item)
 	fill := func(to []byte) []byte { return binary.AppendVarint(appendText(to, name), value) }
-	// Danger: with the one file that has a wait, the wait would be gone. Waits and outages stand in two.
+	// Backoffs and outages are written to two files, so that the loss of one file does not lose them.
 	err := s.appendToMirror(appendFrame(nil, s.seq+1, fill([]byte{byte(k)})))
-	record := s.enqueueUntilWritten(it, k, fill)
+	record := s.enqueueUntilWritten(item, k, fill)
 	if k == recOutage && value == 0 {
-		s.remove(it)
+		s.remove(item)
 	}
 	s.mu.Unlock()
 	return errors.Join(record.Wait(), err)
@@ -422,15 +425,16 @@
 	mirrorNewName = "mirror.new"
 )
 
-// appendToMirror appends a record to the mirror, and writes it anew when it is long; the lock is held.
-func (s *Store) appendToMirror(rec []byte) error {
-	if s.mirror != nil && s.mirrorSize+int64(len(rec)) <= maxMirrorSize {
-		_, err := s.mirror.Write(rec)
+// appendToMirror appends a record to the mirror, or rewrites the mirror if it would exceed maxMirrorSize. The caller
+// holds mu.
+func (s *Store) appendToMirror(encoded []byte) error {
+	if s.mirror != nil && s.mirrorSize+int64(len(encoded)) <= maxMirrorSize {
+		_, err := s.mirror.Write(encoded)
 		if err == nil && s.sync == SyncAlways {
 			err = s.mirror.Sync()
 		}
 		if err == nil {
-			s.mirrorSize += int64(len(rec))
+			s.mirrorSize += int64(len(encoded))
 			return nil
 		}
 		s.mirror.Truncate(s.mirrorSize)
@@ -439,14 +443,14 @@
 	return s.rewriteMirror()
 }
 
-// rewriteMirror writes what is in force into a new mirror; the lock is held.
+// rewriteMirror replaces the mirror by one with the backoffs and outages in effect. The caller holds mu.
 func (s *Store) rewriteMirror() error {
-	text := segmentHeader{epoch: s.epoch}.encode()
+	data := segmentHeader{epoch: s.epoch}.encode()
 	now := s.clock()
 	for _, k := range []kind{recBackoff, recOutage} {
-		for _, it := range s.table(k) {
-			if k == recOutage || it.value > now {
-				text = appendFrame(text, s.seq, binary.AppendVarint(appendText([]byte{byte(k)}, it.name), it.value))
+		for _, item := range s.table(k) {
+			if k == recOutage || item.value > now {
+				data = appendFrame(data, s.seq, binary.AppendVarint(appendText([]byte{byte(k)}, item.name), item.value))
 			}
 		}
 	}
@@ -454,7 +458,7 @@
 	if err != nil {
 		return err
 	}
-	if _, err = file.Write(text); err == nil && s.sync == SyncAlways {
+	if _, err = file.Write(data); err == nil && s.sync == SyncAlways {
 		err = file.Sync()
 	}
 	if err == nil {
@@ -471,14 +475,14 @@
 	if s.mirror != nil {
 		s.mirror.Close()
 	}
-	s.mirror, s.mirrorSize = file, int64(len(text))
+	s.mirror, s.mirrorSize = file, int64(len(data))
 	return nil
 }
 
-// Compact goes on with emptying the oldest segment, by so many bytes at most, where the folder is full
-// enough. It tells whether there is more to do. It is meant for a goroutine of its own; others go on
-// meanwhile.
-func (s *Store) Compact(most int) (more bool, err error) {
+// Compact continues to move live records out of the oldest segment, about budget bytes at most, if used space is above
+// the compaction threshold. It reports whether there is more to do. It is meant to run in its own goroutine and does
+// not block other operations.
+func (s *Store) Compact(budget int) (more bool, err error) {
 	s.compactionMu.Lock()
 	defer s.compactionMu.Unlock()
 	s.mu.Lock()
@@ -488,50 +492,50 @@
 	}
 	oldest := s.segments[0]
 	now := s.clock()
-	for it := oldest.firstItem; it != nil; it = oldest.firstItem {
-		if it.kind != recState {
-			if it.kind != recOutage && it.value <= now { // it stands for nothing any more
-				s.remove(it)
+	for item := oldest.firstItem; item != nil; item = oldest.firstItem {
+		if item.kind != recState {
+			if item.kind != recOutage && item.value <= now { // expired
+				s.remove(item)
 				continue
 			}
-			s.unlink(it)
-			state := s.enqueueOnce(it, it.kind, 0, func(to []byte) []byte {
-				return binary.AppendVarint(appendText(to, it.name), it.value)
+			s.unlink(item)
+			state := s.enqueueOnce(item, item.kind, 0, func(to []byte) []byte {
+				return binary.AppendVarint(appendText(to, item.name), item.value)
 			})
 			s.mu.Unlock()
 			if err := <-state.firstTry; err != nil {
-				return s.relink(it, oldest, err)
+				return s.relink(item, oldest, err)
 			}
-			most -= 64
+			budget -= 64
 		} else {
-			at, body := it.bodyOffset, make([]byte, it.bodySize)
+			offset, body := item.bodyOffset, make([]byte, item.bodySize)
 			s.mu.Unlock()
 			if len(body) > 0 {
-				if err := s.fs.ReadAt(oldest.fileName(), at, body); err != nil {
+				if err := s.fs.ReadAt(oldest.fileName(), offset, body); err != nil {
 					return false, err
 				}
 			}
 			s.mu.Lock()
-			if !s.isCurrent(it) || it.segment != oldest { // over, meanwhile
+			if !s.isCurrent(item) || item.segment != oldest { // completed or rewritten while its body was read
 				continue
 			}
-			s.unlink(it)
-			e := *it.event
+			s.unlink(item)
+			e := *item.event
 			e.Body = body
-			state := s.enqueueOnce(it, recState, len(body), e.appendState)
+			state := s.enqueueOnce(item, recState, len(body), e.appendState)
 			s.mu.Unlock()
 			if err := <-state.firstTry; err != nil {
 				s.mu.Lock()
-				if s.isCurrent(it) && it.segment == nil {
-					s.link(it, oldest, at, int32(len(body)))
+				if s.isCurrent(item) && item.segment == nil {
+					s.link(item, oldest, offset, int32(len(body)))
 				}
 				s.mu.Unlock()
 				return false, err
 			}
-			most -= len(body) + 64
+			budget -= len(body) + 64
 		}
 		s.mu.Lock()
-		if most <= 0 && oldest.firstItem != nil {
+		if budget <= 0 && oldest.firstItem != nil {
 			s.mu.Unlock()
 			return true, nil
 		}
@@ -540,8 +544,8 @@
 	return true, s.removeOldest(oldest)
 }
 
-// removeOldest removes the oldest segment, of which nothing counts any more. One that cannot be removed stays the
-// oldest: the records that end its events stand in later ones, which must not be removed before it.
+// removeOldest removes the oldest segment, which holds no live record. One that cannot be removed stays the oldest:
+// the completion records of its events are in later segments, which must not be removed before it.
 func (s *Store) removeOldest(oldest *segment) error {
 	if err := s.fs.Remove(oldest.fileName()); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		s.mu.Lock()
@@ -555,17 +559,17 @@
 	return nil
 }
 
-// relink has an item stand where it stood, after its state could not be written anew.
-func (s *Store) relink(it *indexItem, g *segment, err error) (bool, error) {
+// relink restores an item's location after its state could not be rewritten.
+func (s *Store) relink(item *indexItem, seg *segment, err error) (bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.isCurrent(it) && it.segment == nil {
-		s.link(it, g, 0, 0)
+	if s.isCurrent(item) && item.segment == nil {
+		s.link(item, seg, 0, 0)
 	}
 	return false, err
 }
 
-// Flush makes all that was written outlast a loss of power.
+// Flush syncs the active segment, so that its records survive a power failure.
 func (s *Store) Flush() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -575,34 +579,35 @@
 	return s.file.Sync()
 }
 
-// ReadBody reads an event's body anew.
+// ReadBody reads the body of a pending event from its segment.
 func (s *Store) ReadBody(id string) ([]byte, error) {
 	s.mu.Lock()
-	it := s.events[id]
-	if it == nil || it.segment == nil {
+	item := s.events[id]
+	if item == nil || item.segment == nil {
 		s.mu.Unlock()
 		return nil, ErrNotPending
 	}
-	name, at, body := it.segment.fileName(), it.bodyOffset, make([]byte, it.bodySize)
+	name, offset, body := item.segment.fileName(), item.bodyOffset, make([]byte, item.bodySize)
 	s.mu.Unlock()
-	return body, s.fs.ReadAt(name, at, body)
+	return body, s.fs.ReadAt(name, offset, body)
 }
 
-// Empty tells whether nothing is owed, and all that was is written.
+// Empty reports whether no event is pending and no record is waiting to be written.
 func (s *Store) Empty() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.events) == 0 && s.unwritten == 0
 }
 
-// UnwrittenCount counts the records that are kept until they are written.
+// UnwrittenCount returns the number of records that are still being retried until written.
 func (s *Store) UnwrittenCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.unwritten
 }
 
-// Close writes what is queued and lets go of the folder. The error tells what could not be written.
+// Close writes the queued records and releases the lock on the folder. It returns an error if records could not be
+// written.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	if s.closed {
--- a/store/writer.go
+++ b/store/writer.go
@@ -9,43 +9,44 @@
 )
 
 const (
-	writeRetryInterval = 10 * time.Millisecond  // between tries to write what is kept
-	undoRetryInterval  = 5 * time.Millisecond   // between tries to take a failed write back
-	undoTimeout        = 250 * time.Millisecond // a refusal is held so long for it: clients wait 400 ms for their answer
-	closeTimeout       = 300 * time.Millisecond // for the last records at the end of the process
-	startRetryTimeout  = 10 * time.Second       // for calls that fail at the start
+	writeRetryInterval = 10 * time.Millisecond  // between attempts to write records that must be retried
+	undoRetryInterval  = 5 * time.Millisecond   // between attempts to undo a failed write
+	undoTimeout        = 250 * time.Millisecond // how long undoing may delay an error; clients wait 400 ms for their response
+	closeTimeout       = 300 * time.Millisecond // for writing the last records on Close
+	startRetryTimeout  = 10 * time.Second       // for file operations that fail during Open
 	startRetryInterval = 20 * time.Millisecond
-	batchCapacity      = 64 // entries, to begin with
+	batchCapacity      = 64 // initial buffer capacity, in records
 )
 
-// ErrDeferred tells that a record could not be written yet. The store keeps it and tries again.
-var ErrDeferred = errors.New("store: the record is written later")
+// ErrDeferred means that a record could not be written yet. The store retries it until it is written.
+var ErrDeferred = errors.New("store: record not written yet, will be retried")
 
-// queuedRecord is a record on its way to the log.
+// queuedRecord is a record that is to be written to the log.
 type queuedRecord struct {
 	payload  []byte
-	item     *indexItem // whose state it is, nil for a record that is no state
-	body     int        // bytes of the body at its end
+	item     *indexItem // whose state the record holds; nil for other records
+	body     int        // bytes of the event body at the end of the payload
 	firstTry chan error
-	written  chan struct{} // nil for a record that is refused when its first write fails
+	written  chan struct{} // nil for a record that is dropped if its first write fails
 }
 
 func (e *queuedRecord) size() int64 { return int64(frameHeaderSize + len(e.payload)) }
 
-// retriesUntilWritten tells whether the record stays queued until it is written.
+// retriesUntilWritten reports whether the record stays queued until it is written.
 func (e *queuedRecord) retriesUntilWritten() bool { return e.written != nil }
 
-// PendingWrite follows a record that the store keeps until it is written.
+// PendingWrite tracks a record that the store retries until it is written.
 type PendingWrite struct {
 	firstTry chan error
 	written  chan struct{}
 	err      error
 }
 
-// Written is closed once the record stands in the log, or no record is needed. It never is in a store that is closed.
+// Written returns a channel that is closed once the record is in the log, or if no record is needed. It is never closed
+// if the store is closed first.
 func (r *PendingWrite) Written() <-chan struct{} { return r.written }
 
-// Wait waits for the first try to write the record. The error wraps ErrDeferred where it is tried again later.
+// Wait waits for the first attempt to write the record. The error wraps ErrDeferred if the store will retry.
 func (r *PendingWrite) Wait() error {
 	if r.firstTry == nil {
 		return r.err
@@ -56,7 +57,8 @@
 	return nil
 }
 
-// noPendingWrite is the receipt of a call that leads to no record. With ErrOver none is needed.
+// noPendingWrite returns the PendingWrite of a call that writes no record. With ErrNotPending, none is needed, so it
+// counts as written.
 func noPendingWrite(err error) *PendingWrite {
 	r := &PendingWrite{err: err, written: make(chan struct{})}
 	if errors.Is(err, ErrNotPending) {
@@ -65,60 +67,60 @@
 	return r
 }
 
-// enqueue hands an entry to the writer; the lock is held.
+// enqueue hands a record to the writer goroutine. The caller holds mu.
 func (s *Store) enqueue(e *queuedRecord) {
 	s.queuedBytes += e.size()
 	s.writeQueue = append(s.writeQueue, e)
 	s.workAvailable.Signal()
 }
 
-// enqueueOnce queues a record that is refused when its first write fails; the lock is held.
-func (s *Store) enqueueOnce(it *indexItem, k kind, body int, fill func([]byte) []byte) *queuedRecord {
-	e := &queuedRecord{payload: fill([]byte{byte(k)}), item: it, body: body, firstTry: make(chan error, 1)}
+// enqueueOnce queues a record that is dropped if its first write fails. The caller holds mu.
+func (s *Store) enqueueOnce(item *indexItem, k kind, body int, fill func([]byte) []byte) *queuedRecord {
+	e := &queuedRecord{payload: fill([]byte{byte(k)}), item: item, body: body, firstTry: make(chan error, 1)}
 	s.enqueue(e)
 	return e
 }
 
-// enqueueUntilWritten queues a record that is tried until it is written; the lock is held.
-func (s *Store) enqueueUntilWritten(it *indexItem, k kind, fill func([]byte) []byte) *PendingWrite {
-	e := &queuedRecord{payload: fill([]byte{byte(k)}), item: it, firstTry: make(chan error, 1), written: make(chan struct{})}
+// enqueueUntilWritten queues a record that is retried until it is written. The caller holds mu.
+func (s *Store) enqueueUntilWritten(item *indexItem, k kind, fill func([]byte) []byte) *PendingWrite {
+	e := &queuedRecord{payload: fill([]byte{byte(k)}), item: item, firstTry: make(chan error, 1), written: make(chan struct{})}
 	s.unwritten++
 	s.enqueue(e)
 	return &PendingWrite{firstTry: e.firstTry, written: e.written}
 }
 
-// runWriter is the only goroutine that writes to the log. It takes what is queued in order, many records to a write.
-// What it may not refuse it keeps at the head of the queue until it is written.
+// runWriter is the only goroutine that writes to the log. It writes queued records in order, in batches. Records that
+// must be retried stay at the front of the queue until they are written.
 func (s *Store) runWriter() {
 	defer close(s.writerDone)
-	var shutSince time.Time
+	var closedSince time.Time
 	for {
-		batch, shut := s.nextBatch()
+		batch, closed := s.nextBatch()
 		if batch == nil {
 			return
 		}
-		kept, err := s.writeBatch(batch)
+		mustRetry, err := s.writeBatch(batch)
 		if err == nil {
 			continue
 		}
-		if shut && shutSince.IsZero() {
-			shutSince = time.Now()
+		if closed && closedSince.IsZero() {
+			closedSince = time.Now()
 		}
-		if shut && (errclass.File(err) != errclass.Momentary || time.Since(shutSince) > closeTimeout) {
+		if closed && (errclass.File(err) != errclass.Momentary || time.Since(closedSince) > closeTimeout) {
 			s.mu.Lock()
 			s.closeErr = err
 			s.mu.Unlock()
 			return
 		}
-		if kept {
-			s.waitBeforeRetry(shut)
+		if mustRetry {
+			s.waitBeforeRetry(closed)
 		}
 	}
 }
 
-// waitBeforeRetry waits for a moment, which the closing of the store cuts short once.
-func (s *Store) waitBeforeRetry(shut bool) {
-	if shut {
+// waitBeforeRetry waits for the retry interval. Close cuts one such wait short.
+func (s *Store) waitBeforeRetry(closed bool) {
+	if closed {
 		time.Sleep(writeRetryInterval)
 		return
 	}
@@ -128,8 +130,9 @@
 	}
 }
 
-// nextBatch waits for records and takes all that are queued; nil once the store is closed and all is written.
-func (s *Store) nextBatch() (batch []*queuedRecord, shut bool) {
+// nextBatch waits for records and takes all that are queued. It returns nil once the store is closed and the queue is
+// empty.
+func (s *Store) nextBatch() (batch []*queuedRecord, closed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for len(s.writeQueue) == 0 && !s.closed {
@@ -139,47 +142,47 @@
 	return batch, s.closed
 }
 
-// writeBatch writes records in order. Those that it could not write go back to the head of the queue if they are
-// kept, and are refused if not. It tells whether there are any of the former.
-func (s *Store) writeBatch(batch []*queuedRecord) (keeps bool, err error) {
+// writeBatch writes records in order. Those that could not be written go back to the front of the queue if they must be
+// retried, and are dropped otherwise. It reports whether any must be retried.
+func (s *Store) writeBatch(batch []*queuedRecord) (mustRetry bool, err error) {
 	written, err := s.appendBatch(batch)
 	if err == nil {
 		return false, nil
 	}
 	rest := batch[written:]
-	var kept []*queuedRecord
+	var retried []*queuedRecord
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, e := range rest {
 		select {
 		case e.firstTry <- err:
-		default: // it was tried before
+		default: // the result of the first attempt was already reported
 		}
 		if e.retriesUntilWritten() {
-			kept = append(kept, e)
+			retried = append(retried, e)
 		} else {
 			s.queuedBytes -= e.size()
 		}
 	}
-	s.writeQueue = append(kept, s.writeQueue...)
-	return len(kept) > 0, err
+	s.writeQueue = append(retried, s.writeQueue...)
+	return len(retried) > 0, err
 }
 
-// appendBatch appends records to the last segment. It tells how many of them stand there, which are all if there is
-// no error. What was written of the others is taken back.
+// appendBatch appends records to the active segment. It returns how many of them are in the log, which is all of them
+// if there is no error. Whatever was written of the others is undone.
 func (s *Store) appendBatch(batch []*queuedRecord) (written int, err error) {
 	if err := s.prepareSegment(); err != nil {
 		return 0, err
 	}
-	text := make([]byte, 0, batchCapacity*frameHeaderSize)
+	data := make([]byte, 0, batchCapacity*frameHeaderSize)
 	ends := make([]int, len(batch))
 	for i, e := range batch {
-		text = appendFrame(text, s.seq+uint64(i)+1, e.payload)
-		ends[i] = len(text)
+		data = appendFrame(data, s.seq+uint64(i)+1, e.payload)
+		ends[i] = len(data)
 	}
-	size, err := s.file.Write(text)
+	size, err := s.file.Write(data)
 	if err == nil && s.sync == SyncAlways {
-		if err = s.file.Sync(); err != nil { // what the system has of it is unknown, now and after a later sync
+		if err = s.file.Sync(); err != nil { // which data reached the disk is unknown, even after a later sync succeeds
 			size, s.sealed = 0, true
 		}
 	}
@@ -193,18 +196,18 @@
 	return written, err
 }
 
-// commit notes that records stand in the last segment.
+// commit notes that records were written to the active segment.
 func (s *Store) commit(batch []*queuedRecord) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	segment := s.segments[len(s.segments)-1]
+	seg := s.segments[len(s.segments)-1]
 	for _, e := range batch {
 		s.seq++
-		segment.size += e.size()
+		seg.size += e.size()
 		s.queuedBytes -= e.size()
 		if e.item != nil && s.isCurrent(e.item) {
 			s.unlink(e.item)
-			s.link(e.item, segment, segment.size-int64(e.body), int32(e.body))
+			s.link(e.item, seg, seg.size-int64(e.body), int32(e.body))
 		}
 		select {
 		case e.firstTry <- nil:
@@ -217,12 +220,13 @@
 	}
 }
 
-// undoFailedWrite takes back what a failed write left behind the last whole record: the file is cut there, or a new segment
-// says that nothing behind it counts. A refusal must not be told before, for a restart would find what was refused.
+// undoFailedWrite discards what a failed write left after the last complete record: it truncates the file there, or
+// starts a new segment whose header says where this one ends. The write's error must not be reported before that, or a
+// restart would recover an event that was refused.
 func (s *Store) undoFailedWrite() {
 	for began := time.Now(); ; time.Sleep(undoRetryInterval) {
-		segment := s.activeSegment()
-		err := s.file.Truncate(segment.size)
+		seg := s.activeSegment()
+		err := s.file.Truncate(seg.size)
 		if err == nil {
 			return
 		}
@@ -236,7 +240,7 @@
 	}
 }
 
-// prepareSegment makes sure that the last segment takes records.
+// prepareSegment starts a new segment if the active one is full or sealed.
 func (s *Store) prepareSegment() error {
 	if last := s.activeSegment(); !s.sealed && last.size < s.segmentSize {
 		return nil
@@ -244,15 +248,16 @@
 	return s.rollSegment()
 }
 
-// activeSegment is the segment that is written to.
+// activeSegment returns the segment that records are appended to.
 func (s *Store) activeSegment() *segment {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.segments[len(s.segments)-1]
 }
 
-// rollSegment begins a new segment. Its head says where the one before ends, whatever a failed write left behind that. Once
-// it was tried, nothing more is appended to the one before: the new head may stand on the disk although it failed.
+// rollSegment starts a new segment. Its header records where the previous one ends, regardless of what a failed write
+// left after that. Once rollSegment was attempted, nothing more is appended to the previous segment: the new header may
+// be on disk even though writing it failed.
 func (s *Store) rollSegment() error {
 	s.sealed = true
 	last := s.activeSegment()
@@ -261,15 +266,15 @@
 	if err != nil {
 		return err
 	}
-	text := segmentHeader{epoch: s.epoch, number: next.number, firstSeq: s.seq + 1, previousSize: uint32(last.size)}.encode()
-	if _, err = file.Write(text); err == nil && s.sync == SyncAlways {
+	data := segmentHeader{epoch: s.epoch, number: next.number, firstSeq: s.seq + 1, previousSize: uint32(last.size)}.encode()
+	if _, err = file.Write(data); err == nil && s.sync == SyncAlways {
 		if err = file.Sync(); err == nil {
 			err = s.fs.Sync()
 		}
 	}
 	if err != nil {
 		file.Close()
-		s.fs.Remove(next.fileName()) // a file that stays is begun anew by the next try
+		s.fs.Remove(next.fileName()) // if this fails, the next attempt truncates the file
 		return err
 	}
 	if s.file != nil {
@@ -281,7 +286,7 @@
 	return nil
 }
 
-// retryAtStart repeats a call of the start for as long as it fails for a moment.
+// retryAtStart retries a step of Open while it fails with a transient error, for up to startRetryTimeout.
 func retryAtStart(call func() error) error {
 	return errclass.Retry(errclass.File, startRetryTimeout, startRetryInterval, call)
 }
