--- a/store/fs.go
+++ b/store/fs.go
@@ -1,12 +1,11 @@
-// Package store keeps what a delivery node must remember across a crash: events that are owed an end, with
-// their sends; waits in force and outages; ids whose repeat would do harm. It is a log of segments with an
-// index in memory.
+// Package store persists what a delivery node must remember across a crash: pending events with their attempts,
+// backoffs and outages of destinations, and the IDs of completed events whose repetition would do harm. It is a
+// segmented log with an in-memory index.
 //
-// A segment is a head and a row of records; a record is framed by its length, a checksum and its sequence
-// number, so that a cut, a gap and an old file all show. The newest whole record of an item, its state,
-// stands for all before it; the oldest segment is emptied by writing the states that still stand in it anew
-// at the end, and then removed. Nothing else is ever moved, so a crash at any moment leaves each state at
-// least once.
+// A segment is a header followed by records. Each record is framed by its length, a checksum and its sequence number, so
+// that truncation, gaps and files of another store can be detected. The latest state record of an item supersedes all
+// earlier records of it. Compaction rewrites the states that are live in the oldest segment to the end of the log and
+// then removes that segment. Nothing else is moved, so a crash at any point leaves at least one copy of each state.
 package store
 
 import (
@@ -21,39 +20,40 @@
 	"syscall"
 )
 
-// FS is the files that a store stands on; tests put one that fails in its place.
+// FS provides the files of a store. Tests substitute implementations that fail.
 type FS interface {
 	List() ([]string, error)
-	Create(name string) (File, error) // an empty file to append to; one of that name is emptied
-	Append(name string) (File, error) // an existing file to append to
-	Read(name string) ([]byte, error) // all of it
+	Create(name string) (File, error) // opens an empty file for appending, truncating an existing one
+	Append(name string) (File, error) // opens an existing file for appending
+	Read(name string) ([]byte, error) // reads the whole file
 	ReadAt(name string, at int64, to []byte) error
 	Rename(from, to string) error
 	Remove(name string) error
-	Sync() error // names that were made, changed or removed outlast a loss of power
-	// Lock keeps other processes out until the release it returns is called. The error names the holder.
-	Lock() (release func(), err error)
+	Sync() error // makes created, renamed and removed names survive a power failure
+	// Lock excludes other processes until the returned function is called. If another process holds the lock, the
+	// error says which.
+	Lock() (unlock func(), err error)
 }
 
-// File is one file that is written.
+// File is a file open for appending.
 type File interface {
 	io.Writer
 	Truncate(size int64) error
-	Sync() error // what was written outlasts a loss of power
+	Sync() error // makes written data survive a power failure
 	io.Closer
 }
 
 const (
-	fileMode = 0o600 // the bodies are nobody else's
+	fileMode = 0o600 // event bodies are private to the owner of the process
 	lockName = "lock"
 )
 
-// Dir is a folder of the operating system.
+// Dir implements FS on a folder of the operating system's file system.
 type Dir string
 
 func (d Dir) path(name string) string { return filepath.Join(string(d), name) }
 
-// List lists the files.
+// List returns the names of the regular files.
 func (d Dir) List() (names []string, err error) {
 	entries, err := os.ReadDir(string(d))
 	for _, e := range entries {
@@ -64,7 +64,7 @@
 	return names, err
 }
 
-// Create implements Folder, as do the methods below.
+// Create implements FS, as do the methods below.
 func (d Dir) Create(name string) (File, error) {
 	return os.OpenFile(d.path(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY|os.O_APPEND, fileMode)
 }
@@ -97,21 +97,21 @@
 	return f.Sync()
 }
 
-// Lock takes the folder's lock, which ends with the process.
-func (d Dir) Lock() (release func(), err error) {
+// Lock takes the folder's lock file. The lock is released at the latest when the process exits.
+func (d Dir) Lock() (unlock func(), err error) {
 	f, err := os.OpenFile(d.path(lockName), os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
 		return nil, err
 	}
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		text, _ := os.ReadFile(d.path(lockName))
+		data, _ := os.ReadFile(d.path(lockName))
 		f.Close()
 		if errors.Is(err, syscall.EWOULDBLOCK) {
 			holder := "another process"
-			if pid, bad := strconv.Atoi(strings.TrimSpace(string(text))); bad == nil {
+			if pid, parseErr := strconv.Atoi(strings.TrimSpace(string(data))); parseErr == nil {
 				holder = fmt.Sprintf("process %d", pid)
 			}
-			return nil, fmt.Errorf("%s: held by %s", d.path(lockName), holder)
+			return nil, fmt.Errorf("%s: locked by %s", d.path(lockName), holder)
 		}
 		return nil, err
 	}
--- a/store/record.go
+++ b/store/record.go
@@ -9,40 +9,40 @@
 	"jaspersill/port"
 )
 
-// kind is what a record says.
+// kind is the type of a record.
 type kind byte
 
 const (
-	recState          kind = 1 + iota // all that is known of an event
-	recAttemptStarted                 // a send goes out
-	recAttemptEnded                   // it ended
-	recVerdict                        // the event's end is decided, and its notice owed
-	recCompleted                      // nothing more is owed; its id may be known until a time
-	recBackoff                        // a destination told to wait until a time
-	recOutage                         // a destination is out since a time, or back with 0
+	recState          kind = 1 + iota // complete state of an event
+	recAttemptStarted                 // an attempt starts
+	recAttemptEnded                   // an attempt ended
+	recVerdict                        // the event's verdict is decided; its notice is still to be delivered
+	recCompleted                      // the event needs nothing more; its ID may be retained for a time
+	recBackoff                        // a destination asked for no calls until a given time
+	recOutage                         // a destination is unavailable since a given time, or available again if 0
 )
 
 const (
-	headerSize      = 40      // bytes of a segment's head
-	frameHeaderSize = 16      // bytes of a record before its payload: length, checksum, sequence number
-	maxPayload      = 1 << 20 // bytes of a payload; a longer one is none
+	headerSize      = 40      // size of a segment's header
+	frameHeaderSize = 16      // size of what precedes a record's payload: length, checksum, sequence number
+	maxPayload      = 1 << 20 // bytes; a greater length is treated as damage
 	magic           = "JSPRSTR1"
 )
 
 var (
 	le               = binary.LittleEndian
 	crcTable         = crc32.MakeTable(crc32.Castagnoli)
-	errInvalidHeader = errors.New("no head of a segment")
+	errInvalidHeader = errors.New("invalid segment header")
 )
 
-// segmentHeader begins a segment.
+// segmentHeader is at the start of each segment and of the mirror.
 type segmentHeader struct {
-	epoch    uint64 // of the store: an old file is never taken for one of a new store
+	epoch    uint64 // identifies the store, so that a file of another store is not taken for one of this one
 	number   uint64
-	firstSeq uint64 // sequence number of its first record
+	firstSeq uint64 // sequence number of the segment's first record
 
-	// previousSize is where the segment before ends: what stands behind was not written, for all that anybody was
-	// told. 0 stands for all of it.
+	// previousSize is where the previous segment ends. Data after that offset was never acknowledged and is ignored.
+	// 0 means that the whole file is valid.
 	previousSize uint32
 }
 
@@ -64,7 +64,7 @@
 	return segmentHeader{le.Uint64(b[8:]), le.Uint64(b[16:]), le.Uint64(b[24:]), le.Uint32(b[32:])}, nil
 }
 
-// appendFrame appends a record of a payload, whose first byte is its kind.
+// appendFrame appends a record with the given payload, whose first byte is the kind.
 func appendFrame(to []byte, seq uint64, payload []byte) []byte {
 	at := len(to)
 	to = append(to, make([]byte, frameHeaderSize)...)
@@ -75,26 +75,27 @@
 	return to
 }
 
-// checksum covers a record's sequence number, which stands in its frame, and its payload.
+// checksum covers the sequence number in the frame header, and the payload.
 func checksum(frame, payload []byte) uint32 {
 	return crc32.Update(crc32.Checksum(frame[8:frameHeaderSize], crcTable), crcTable, payload)
 }
 
-// decodeFrame reads the record at the beginning of some bytes. torn tells that they end within it.
+// decodeFrame decodes the record at the start of b. torn is true if b ends within the record. With an error, size is
+// that of the damaged record, or 0 if it is unknown.
 func decodeFrame(b []byte) (payload []byte, seq uint64, size int, torn bool, err error) {
 	if len(b) < frameHeaderSize {
 		return nil, 0, 0, true, nil
 	}
 	n := int(le.Uint32(b))
 	if n < 1 || n > maxPayload {
-		return nil, 0, 0, false, fmt.Errorf("a record of %d bytes: want 1 to %d", n, maxPayload)
+		return nil, 0, 0, false, fmt.Errorf("invalid record length %d, expected 1 to %d bytes", n, maxPayload)
 	}
 	if len(b) < frameHeaderSize+n {
 		return nil, 0, 0, true, nil
 	}
 	payload = b[frameHeaderSize : frameHeaderSize+n]
 	if le.Uint32(b[4:]) != checksum(b, payload) {
-		return nil, 0, frameHeaderSize + n, false, errors.New("a record whose checksum is wrong")
+		return nil, 0, frameHeaderSize + n, false, errors.New("record has a wrong checksum")
 	}
 	return payload, le.Uint64(b[8:]), frameHeaderSize + n, false, nil
 }
@@ -103,75 +104,75 @@
 	return append(binary.AppendUvarint(to, uint64(len(text))), text...)
 }
 
-// Decoder reads a payload; past its end, or at what is no value, it turns bad.
+// Decoder decodes the fields of a payload. It becomes invalid on a read past the end or of a malformed value.
 type Decoder struct {
-	rest []byte
-	bad  bool
+	rest    []byte
+	invalid bool
 }
 
-func (f *Decoder) byte() byte {
-	if len(f.rest) == 0 {
-		f.bad = true
+func (d *Decoder) readByte() byte {
+	if len(d.rest) == 0 {
+		d.invalid = true
 		return 0
 	}
-	b := f.rest[0]
-	f.rest = f.rest[1:]
+	b := d.rest[0]
+	d.rest = d.rest[1:]
 	return b
 }
 
-func (f *Decoder) varint() int64 {
-	v, n := binary.Varint(f.rest)
+func (d *Decoder) readVarint() int64 {
+	v, n := binary.Varint(d.rest)
 	if n <= 0 {
-		f.bad = true
+		d.invalid = true
 		return 0
 	}
-	f.rest = f.rest[n:]
+	d.rest = d.rest[n:]
 	return v
 }
 
-func (f *Decoder) uvarint() uint64 {
-	v, n := binary.Uvarint(f.rest)
+func (d *Decoder) readUvarint() uint64 {
+	v, n := binary.Uvarint(d.rest)
 	if n <= 0 {
-		f.bad = true
+		d.invalid = true
 		return 0
 	}
-	f.rest = f.rest[n:]
+	d.rest = d.rest[n:]
 	return v
 }
 
-func (f *Decoder) bytes() []byte {
-	size, n := binary.Uvarint(f.rest)
-	if n <= 0 || size > uint64(len(f.rest)-n) {
-		f.bad = true
+func (d *Decoder) readBytes() []byte {
+	size, n := binary.Uvarint(d.rest)
+	if n <= 0 || size > uint64(len(d.rest)-n) {
+		d.invalid = true
 		return nil
 	}
-	b := f.rest[n : n+int(size)]
-	f.rest = f.rest[n+int(size):]
+	b := d.rest[n : n+int(size)]
+	d.rest = d.rest[n+int(size):]
 	return b
 }
 
-func (f *Decoder) text() string { return string(f.bytes()) }
+func (d *Decoder) readText() string { return string(d.readBytes()) }
 
-// NewDecoder begins to read a payload.
+// NewDecoder returns a Decoder for a payload.
 func NewDecoder(payload []byte) *Decoder { return &Decoder{rest: payload} }
 
-// Byte reads one byte, as the methods below read theirs.
-func (f *Decoder) Byte() byte { return f.byte() }
+// Byte reads one byte. Like the methods below, it returns a zero value if the read fails.
+func (d *Decoder) Byte() byte { return d.readByte() }
 
-// Varint reads a number with a sign.
-func (f *Decoder) Varint() int64 { return f.varint() }
+// Varint reads a signed varint.
+func (d *Decoder) Varint() int64 { return d.readVarint() }
 
-// Text reads a text with its length before it.
-func (f *Decoder) Text() string { return f.text() }
+// Text reads a length-prefixed string.
+func (d *Decoder) Text() string { return d.readText() }
 
-// Invalid tells whether something was read that is not there.
-func (f *Decoder) Invalid() bool { return f.bad }
+// Invalid reports whether any read failed.
+func (d *Decoder) Invalid() bool { return d.invalid }
 
 type outcome = port.Outcome
 
 const unsent = port.Unsent
 
-// Attempt is one send of an event as the store has it.
+// Attempt is an attempt to deliver an event, as recorded.
 type Attempt struct {
 	StartedAt int64 // time of day in ns
 	Zone      string
@@ -179,20 +180,20 @@
 	Outcome   port.Outcome
 }
 
-// MayHaveRun tells whether the send may have taken effect, for all that is known.
+// MayHaveRun reports whether the attempt may have taken effect, as far as is known.
 func (s *Attempt) MayHaveRun() bool { return !s.Ended || s.Outcome.MayHaveRun() }
 
-// Verdict is how an event ends that is not delivered.
+// Verdict is the final state of an event that is not delivered.
 type Verdict uint8
 
-// The verdicts; an event that is Undecided has none yet.
+// The verdicts. Undecided means that there is none yet.
 const (
 	Undecided Verdict = iota
 	Declined
 	Discarded
 )
 
-// Event is an event that is owed its end.
+// Event is a pending event.
 type Event struct {
 	ID, Kind, Owner, IdempotencyKey string
 	Dest                            uint32
@@ -200,11 +201,11 @@
 	Body                            []byte
 	Attempts                        []Attempt
 	Verdict                         Verdict
-	RetryAfter                      int64  // ns, with Declined
-	ArrivalSeq                      uint64 // its place in the order of coming, from 1; the store gives it
+	RetryAfter                      int64  // ns; set with Declined
+	ArrivalSeq                      uint64 // position in order of arrival, from 1; assigned by the store
 }
 
-// MayHaveRun tells whether one of its sends may have taken effect.
+// MayHaveRun reports whether any attempt may have taken effect.
 func (e *Event) MayHaveRun() bool {
 	for i := range e.Attempts {
 		if e.Attempts[i].MayHaveRun() {
@@ -214,8 +215,8 @@
 	return false
 }
 
-// BeginAttempt adds an attempt, or goes on with one that did not go out after all. One before it that never began cannot
-// have run.
+// BeginAttempt adds an attempt, or replaces one of the same number that was never sent. Attempts with lower numbers that
+// were never started are filled in as unsent, since they cannot have taken effect.
 func (e *Event) BeginAttempt(number int, s Attempt) {
 	for len(e.Attempts) < number {
 		e.Attempts = append(e.Attempts, Attempt{StartedAt: s.StartedAt, Zone: s.Zone, Ended: true, Outcome: port.Unsent})
@@ -228,14 +229,14 @@
 	}
 }
 
-// markUnsent notes that an attempt did not go out.
+// markUnsent marks an attempt as never sent.
 func (e *Event) markUnsent(number int) {
 	if number < len(e.Attempts) {
 		e.Attempts[number].Ended, e.Attempts[number].Outcome = true, unsent
 	}
 }
 
-// appendState is an event's payload; the body stands last, so that it can be found without reading the rest.
+// appendState appends an event's state payload. The body is last, so that it can be located without decoding the rest.
 func (e *Event) appendState(to []byte) []byte {
 	to = appendText(appendText(appendText(appendText(to, e.ID), e.Kind), e.Owner), e.IdempotencyKey)
 	to = binary.AppendVarint(binary.AppendVarint(to, int64(e.Dest)), e.Deadline)
@@ -253,25 +254,25 @@
 	return append(binary.AppendUvarint(to, uint64(len(e.Body))), e.Body...)
 }
 
-const maxRecordedAttempts = 256 // that a record may claim
+const maxRecordedAttempts = 256 // limit on what a decoded record may claim
 
-func decodeState(f *Decoder) *Event {
-	e := &Event{ID: f.text(), Kind: f.text(), Owner: f.text(), IdempotencyKey: f.text()}
-	e.Dest, e.Deadline = uint32(f.varint()), f.varint()
-	e.ArrivalSeq = f.uvarint()
-	e.Verdict, e.RetryAfter = Verdict(f.byte()), f.varint()
-	n := f.varint()
-	if f.bad || n < 0 || n > maxRecordedAttempts || e.Verdict > Discarded || e.ID == "" {
-		f.bad = true
+func decodeState(d *Decoder) *Event {
+	e := &Event{ID: d.readText(), Kind: d.readText(), Owner: d.readText(), IdempotencyKey: d.readText()}
+	e.Dest, e.Deadline = uint32(d.readVarint()), d.readVarint()
+	e.ArrivalSeq = d.readUvarint()
+	e.Verdict, e.RetryAfter = Verdict(d.readByte()), d.readVarint()
+	n := d.readVarint()
+	if d.invalid || n < 0 || n > maxRecordedAttempts || e.Verdict > Discarded || e.ID == "" {
+		d.invalid = true
 		return nil
 	}
 	for range n {
-		s := Attempt{StartedAt: f.varint(), Zone: f.text()}
-		s.Ended, s.Outcome = f.byte() == 1, port.Outcome(f.byte())
+		s := Attempt{StartedAt: d.readVarint(), Zone: d.readText()}
+		s.Ended, s.Outcome = d.readByte() == 1, port.Outcome(d.readByte())
 		e.Attempts = append(e.Attempts, s)
 	}
-	e.Body = f.bytes()
-	if f.bad {
+	e.Body = d.readBytes()
+	if d.invalid {
 		return nil
 	}
 	return e
--- a/store/recovery.go
+++ b/store/recovery.go
@@ -227,47 +227,47 @@
 
 // apply applies one record. It returns false if the record cannot be decoded.
 func (l *loader) apply(payload []byte, seq uint64) bool {
-	f := Decoder{rest: payload}
-	k := kind(f.byte())
+	d := Decoder{rest: payload}
+	k := kind(d.readByte())
 	if k == recState {
-		e := decodeState(&f)
-		if e == nil || len(f.rest) > 0 {
+		e := decodeState(&d)
+		if e == nil || len(d.rest) > 0 {
 			return false
 		}
 		l.events[e.ID] = &loadedEvent{e, seq}
 		delete(l.recovery.Completed, e.ID)
 		return true
 	}
-	name := f.text()
+	name := d.readText()
 	entry := l.events[name]
 	switch k {
 	case recAttemptStarted:
-		number, s := int(f.byte()), Attempt{StartedAt: f.varint(), Zone: f.text()}
-		if f.bad {
+		number, s := int(d.readByte()), Attempt{StartedAt: d.readVarint(), Zone: d.readText()}
+		if d.invalid {
 			return false
 		}
 		if entry != nil {
 			entry.event.BeginAttempt(number, s)
 		}
 	case recAttemptEnded:
-		number, result := int(f.byte()), outcome(f.byte())
-		if f.bad {
+		number, result := int(d.readByte()), outcome(d.readByte())
+		if d.invalid {
 			return false
 		}
 		if entry != nil && number < len(entry.event.Attempts) {
 			entry.event.Attempts[number].Ended, entry.event.Attempts[number].Outcome = true, result
 		}
 	case recVerdict:
-		verdict, retryAfter := Verdict(f.byte()), f.varint()
-		if f.bad || verdict > Discarded {
+		verdict, retryAfter := Verdict(d.readByte()), d.readVarint()
+		if d.invalid || verdict > Discarded {
 			return false
 		}
 		if entry != nil {
 			entry.event.Verdict, entry.event.RetryAfter = verdict, retryAfter
 		}
 	case recCompleted:
-		until := f.varint()
-		if f.bad {
+		until := d.readVarint()
+		if d.invalid {
 			return false
 		}
 		delete(l.events, name)
@@ -275,15 +275,15 @@
 			l.recovery.Completed[name] = max(l.recovery.Completed[name], until)
 		}
 	case recBackoff, recOutage:
-		value := f.varint()
-		if f.bad {
+		value := d.readVarint()
+		if d.invalid {
 			return false
 		}
 		l.applyMark(k, name, value)
 	default:
 		return false
 	}
-	return !f.bad && len(f.rest) == 0
+	return !d.invalid && len(d.rest) == 0
 }
 
 // applyMark applies a backoff, which is never shortened, or an outage.
@@ -316,8 +316,8 @@
 			continue
 		}
 		d := Decoder{rest: payload}
-		k, name, value := kind(d.byte()), d.text(), d.varint()
-		if d.bad || (k != recBackoff && k != recOutage) {
+		k, name, value := kind(d.readByte()), d.readText(), d.readVarint()
+		if d.invalid || (k != recBackoff && k != recOutage) {
 			f.addFault(r.name, at, "record cannot be decoded")
 		} else if k == recBackoff {
 			l.applyMark(k, name, value)
@@ -491,8 +491,8 @@
 // later ones are left to Compact.
 func (s *Store) removeRecoveredSegments(names []string, recovery *Recovery) {
 	own := map[string]bool{}
-	for _, g := range s.segments {
-		own[g.fileName()] = true
+	for _, seg := range s.segments {
+		own[seg.fileName()] = true
 	}
 	var remaining []*segment
 	slices.Sort(names)
