--- a/node/journal_bench_test.go
+++ b/node/journal_bench_test.go
@@ -12,7 +12,7 @@
 )
 
 // 64 lives at once, each writing that an event is taken on, sent, acked and over.
-func BenchmarkLives(b *testing.B) {
+func BenchmarkJournalEventLifecycle(b *testing.B) {
 	const writers = 64
 	body := make([]byte, 300)
 	play := func(b *testing.B, live func(id string) error) {
--- a/node/journal_test.go
+++ b/node/journal_test.go
@@ -106,7 +106,7 @@
 	}
 }
 
-func TestJournalOutlastsItsProcess(t *testing.T) {
+func TestJournalSurvivesKill(t *testing.T) {
 	folder := t.TempDir()
 	j, _ := reopenJournal(t, folder, 3)
 	fillJournal(t, j)
@@ -128,7 +128,7 @@
 	}
 }
 
-func TestJournalKeepsToItsRoomAndRefusesBeforeTakingOn(t *testing.T) {
+func TestJournalStaysWithinDiskLimit(t *testing.T) {
 	for _, size := range []int{0, 300, 8 << 10, mostBody} {
 		folder, limit := t.TempDir(), 1.0
 		j, _ := reopenJournal(t, folder, limit)
@@ -180,7 +180,7 @@
 	}
 }
 
-func TestSendThatNeverBeganIsNoneThatMayHaveRun(t *testing.T) {
+func TestUnsentAttemptIsNotRecoveredAsPossiblyRun(t *testing.T) {
 	folder := t.TempDir()
 	j, _ := reopenJournal(t, folder, 3)
 	e := &event{id: "e"}
@@ -203,7 +203,7 @@
 	j.close()
 }
 
-func TestJournalTellsEventsOfOneIdApart(t *testing.T) {
+func TestJournalDistinguishesEventsWithSameID(t *testing.T) {
 	folder, ahead := t.TempDir(), int64(0)
 	day := func() int64 { return wall() + ahead }
 	j, _, err := openJournal(folder, store.Dir(folder), day, 3, 6, findAnyType)
@@ -254,7 +254,7 @@
 		p...)
 }
 
-func TestAnOldJournalIsCarriedOver(t *testing.T) {
+func TestLegacyJournalIsImported(t *testing.T) {
 	folder := t.TempDir()
 	long := strings.Repeat("long", 16<<10)
 	old := slices.Concat(
@@ -312,7 +312,7 @@
 	}
 }
 
-func TestAJournalIsReadWithoutChangingIt(t *testing.T) {
+func TestReadJournalDoesNotModifyFolder(t *testing.T) {
 	folder := t.TempDir()
 	j, _ := reopenJournal(t, folder, 3)
 	fillJournal(t, j)
@@ -353,7 +353,7 @@
 }
 
 // Guards against ended requests that come back from a file of the older form which could not be removed.
-func TestAnOldFileThatCannotBeRemovedKeepsItsBodies(t *testing.T) {
+func TestUnremovableLegacyJournalKeepsItsBodies(t *testing.T) {
 	folder := t.TempDir()
 	old := &legacyJournal{name: filepath.Join(folder, legacyName)}
 	if err := os.MkdirAll(filepath.Join(old.name, "in the way"), 0o700); err != nil {
--- a/store/store_test.go
+++ b/store/store_test.go
@@ -183,7 +183,7 @@
 	return s
 }
 
-func TestEveryFileCutAtEveryByte(t *testing.T) {
+func TestRecoveryAfterTruncationAndBitFlips(t *testing.T) {
 	m, folder := newModel(), newMemFS()
 	fillStore(t, m, folder).Close()
 	files := folder.afterRestart().files
@@ -261,7 +261,7 @@
 }
 
 // Every call that changes a file is failed once, in each way, on the way through all that a store does.
-func TestACrashAtEveryCall(t *testing.T) {
+func TestRecoveryAfterCrashAtEveryCall(t *testing.T) {
 	calls := 0
 	for _, how := range []crashMode{crashBeforeCall, crashAfterCall, crashMidWrite, failNoSpace} {
 		for at := 1; ; at++ {
@@ -349,7 +349,7 @@
 	})
 }
 
-func TestDiskFullThenRoomAgain(t *testing.T) {
+func TestAcceptWhenFullAndAfterCompaction(t *testing.T) {
 	folder := newMemFS()
 	s, _ := openStore(t, folder, 300<<10)
 	taken := 0
@@ -389,7 +389,7 @@
 	s.Close()
 }
 
-func TestBodiesComeBackAsTheyCame(t *testing.T) {
+func TestBodiesSurviveReopen(t *testing.T) {
 	folder := Dir(t.TempDir())
 	s, _ := openStore(t, folder, 0)
 	body := "a\r\n\x00" + strings.Repeat("long", 20<<10)
@@ -412,7 +412,7 @@
 	s.Close()
 }
 
-func TestAnOldFileIsNotTakenForANewOne(t *testing.T) {
+func TestSegmentOfAnotherStoreIsIgnored(t *testing.T) {
 	a, b := newMemFS(), newMemFS()
 	s, _ := openStore(t, a, 0)
 	if _, err := s.Accept(testEvent(1, "old")); err != nil {
@@ -437,7 +437,7 @@
 	}
 }
 
-func TestManyWritersShareWrites(t *testing.T) {
+func TestConcurrentWriters(t *testing.T) {
 	folder := newMemFS()
 	s, _ := openStore(t, folder, 0)
 	var wg sync.WaitGroup
@@ -472,7 +472,7 @@
 }
 
 // An event that is over while its state is copied must not come back with the copy.
-func TestOverWhileItIsCopied(t *testing.T) {
+func TestCompletionDuringCompaction(t *testing.T) {
 	folder := newMemFS()
 	s, _ := openStore(t, folder, 0)
 	for i := range 40 {
@@ -528,7 +528,7 @@
 	m.check(t, "power lost", f, true)
 }
 
-func TestMemoryOfAHeldEvent(t *testing.T) {
+func TestMemoryPerPendingEvent(t *testing.T) {
 	folder := Dir(t.TempDir())
 	s, _ := openStore(t, folder, 0)
 	defer s.Close()
@@ -573,7 +573,7 @@
 	})
 }
 
-func TestFolderGone(t *testing.T) {
+func TestOpenMissingFolder(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "none")
 	if _, _, err := Open(Dir(name), 0, 6, SyncNever, testClock); err == nil {
 		t.Error("a folder that is not there is opened")
--- a/store/write_failure_test.go
+++ b/store/write_failure_test.go
@@ -38,7 +38,7 @@
 }
 
 // Guards against a store that refuses everything until the restart once a write and its truncation have failed.
-func TestTheLogGoesOnAfterAWriteAndItsTruncationFailed(t *testing.T) {
+func TestLogRecoversFromFailedWriteAndTruncation(t *testing.T) {
 	for _, how := range []failureMode{failNothingDone, failPartlyDone, failFullyDone} {
 		folder := newMemFS()
 		s, _ := openStore(t, folder, 0)
@@ -63,7 +63,7 @@
 }
 
 // Guards against ends, verdicts and outcomes that are forgotten when their write fails.
-func TestARecordThatCouldNotBeWrittenIsWrittenLater(t *testing.T) {
+func TestFailedRecordIsRetried(t *testing.T) {
 	for _, failures := range []int{1, 2, 4} {
 		folder := newMemFS()
 		s, _ := openStore(t, folder, 0)
@@ -86,7 +86,7 @@
 }
 
 // Guards against ended requests that come back from a segment which could not be removed.
-func TestASegmentThatCannotBeRemovedBringsNothingBack(t *testing.T) {
+func TestUnremovableSegmentRestoresNoCompletedEvents(t *testing.T) {
 	folder := newMemFS()
 	s, _ := openStore(t, folder, 300<<10)
 	s.mu.Lock()
@@ -115,7 +115,7 @@
 }
 
 // Guards against giving up untried requests because a kill left half a record that nobody was told of.
-func TestAHalfWrittenLastRecordDoubtsNothing(t *testing.T) {
+func TestTornLastRecordCausesNoDoubt(t *testing.T) {
 	folder := newMemFS()
 	s, _ := openStore(t, folder, 0)
 	for i := range 3 {
@@ -146,7 +146,7 @@
 }
 
 // Guards against taking damage for a tail that a kill left: what stands behind it was acknowledged.
-func TestADamagedLengthIsNotAHalfWrittenRecord(t *testing.T) {
+func TestDamagedLengthIsNotTakenForTornRecord(t *testing.T) {
 	folder := newMemFS()
 	s, _ := openStore(t, folder, 0)
 	var ends []int
@@ -172,7 +172,7 @@
 }
 
 // Guards against a refused request that a restart finds, because the write that failed had reached the file.
-func TestARefusedRequestIsNotFoundByARestart(t *testing.T) {
+func TestRefusedRequestIsNotRecovered(t *testing.T) {
 	for _, failures := range []int{1, 2, 3} {
 		for _, how := range []failureMode{failNothingDone, failPartlyDone, failFullyDone} {
 			folder := newMemFS()
@@ -190,7 +190,7 @@
 }
 
 // Guards against trusting a file whose sync failed once: the system may have dropped what was written.
-func TestARecordWhoseSyncFailedIsWrittenAnew(t *testing.T) {
+func TestRecordIsRewrittenAfterFailedSync(t *testing.T) {
 	folder := newMemFS()
 	s, _, err := Open(folder, 0, 6, SyncAlways, testClock)
 	if err != nil {
@@ -215,7 +215,7 @@
 }
 
 // Guards against a start that ends the process because one call failed for a moment.
-func TestAStartOutlastsCallsThatFailForAMoment(t *testing.T) {
+func TestOpenRetriesTransientErrors(t *testing.T) {
 	filled := newMemFS()
 	m := newModel()
 	fillStore(t, m, filled).Close()
