--- a/store/memfs_test.go
+++ b/store/memfs_test.go
@@ -9,54 +9,54 @@
 	"syscall"
 )
 
-// errCrash is what every call gets from the moment that the process is gone.
-var errCrash = errors.New("the process is gone")
+// errCrashed is returned by every call from the simulated crash on.
+var errCrashed = errors.New("simulated crash")
 
 var errNoSpace = errors.New("no space left")
 
-// how a call goes wrong.
+// crashMode is how the chosen call goes wrong.
 type crashMode uint8
 
 const (
-	crashBeforeCall crashMode = iota // the process is gone before the call does anything
-	crashAfterCall                   // it is gone after the call did all
-	crashMidWrite                    // half of what is written is, then it is gone
-	failNoSpace                      // the call fails, half written, and the process goes on
+	crashBeforeCall crashMode = iota // the process crashes before the call takes effect
+	crashAfterCall                   // the process crashes after the call took full effect
+	crashMidWrite                    // the process crashes after half of the data is written
+	failNoSpace                      // the call fails with half of the data written, and the process continues
 )
 
-// failureMode is how calls in a row fail while the process goes on.
+// failureMode is how consecutive calls fail while the process continues.
 type failureMode uint8
 
 const (
-	failNothingDone failureMode = iota // nothing is done
-	failPartlyDone                     // half of what is written is
-	failFullyDone                      // all is done, and the call fails all the same
+	failNothingDone failureMode = iota // the call has no effect
+	failPartlyDone                     // half of the data is written
+	failFullyDone                      // the call takes full effect but returns an error
 )
 
-// memFS is a folder in memFS. At a chosen call that changes something it fails in a chosen way.
+// memFS is an in-memory FS. A chosen modifying call fails in a chosen way.
 type memFS struct {
 	mu        sync.Mutex
 	files     map[string]*memBlob
 	callCount int
-	faultCall int // the call that fails, 0 for none
+	faultCall int // number of the call that fails, 0 for none
 	faultMode crashMode
 	crashed   bool
 	locked    bool
-	onReadAt  func() // called at each ReadAt, where set
+	onReadAt  func() // called on each ReadAt if not nil
 
-	failFrom, failCount int // so many calls in a row fail, from this one on
+	failFrom, failCount int // failCount calls fail, from call number failFrom on
 	failMode            failureMode
-	failKind            string // the kind of call, or empty for all
+	failKind            string // the kind of call that fails, or empty for all kinds
 }
 
-// failNext has the next calls fail, of one kind or of all.
-func (m *memFS) failNext(count int, only string, how failureMode) {
+// failNext makes the next calls fail, of one kind or of all kinds if kind is empty.
+func (m *memFS) failNext(count int, kind string, mode failureMode) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.failFrom, m.failCount, m.failKind, m.failMode = m.callCount+1, count, only, how
+	m.failFrom, m.failCount, m.failKind, m.failMode = m.callCount+1, count, kind, mode
 }
 
-// shouldFail tells whether a call is one that fails while the process goes on; the lock is held.
+// shouldFail reports whether a call is to fail while the process continues. The caller holds mu.
 func (m *memFS) shouldFail(kind string) bool {
 	if m.failCount == 0 || m.callCount < m.failFrom || (m.failKind != "" && m.failKind != kind) {
 		return false
@@ -65,32 +65,31 @@
 	return true
 }
 
-// memBlob is a file: it keeps its handles when its name changes.
-type memBlob struct{ text, synced []byte }
+// memBlob is the content of a file. Open handles stay valid when the file is renamed.
+type memBlob struct{ data, syncedData []byte }
 
 func newMemFS() *memFS { return &memFS{files: map[string]*memBlob{}} }
 
-// putFile has a file hold a text.
-func (m *memFS) putFile(name string, text []byte) { m.files[name] = &memBlob{text: text} }
+// putFile sets the content of a file.
+func (m *memFS) putFile(name string, data []byte) { m.files[name] = &memBlob{data: data} }
 
-// afterRestart is the folder as the next process finds it.
+// afterRestart returns a copy of the folder as the next process finds it.
 func (m *memFS) afterRestart() *memFS {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := newMemFS()
 	for name, b := range m.files {
-		n.putFile(name, slices.Clone(b.text))
+		n.putFile(name, slices.Clone(b.data))
 	}
 	return n
 }
 
-// mutate counts a call that changes something, and fails it when it is its turn. do does all of it, part half of
-// it.
-func (m *memFS) mutate(kind string, do, part func()) error {
+// change counts a modifying call, and fails it if it is the chosen one. do applies all of its effect, part half of it.
+func (m *memFS) change(kind string, do, part func()) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.crashed {
-		return errCrash
+		return errCrashed
 	}
 	m.callCount++
 	if m.shouldFail(kind) {
@@ -116,15 +115,15 @@
 		return errNoSpace
 	}
 	m.crashed = true
-	return errCrash
+	return errCrashed
 }
 
-func nothing() {}
+func noop() {}
 
 func (m *memFS) List() ([]string, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.shouldFail("names") {
+	if m.shouldFail("list") {
 		return nil, syscall.EIO
 	}
 	return slices.Sorted(maps.Keys(m.files)), nil
@@ -132,7 +131,7 @@
 
 func (m *memFS) Create(name string) (File, error) {
 	b := &memBlob{}
-	err := m.mutate("create", func() { m.files[name] = b }, nothing)
+	err := m.change("create", func() { m.files[name] = b }, noop)
 	return &memFile{m, b}, err
 }
 
@@ -148,29 +147,29 @@
 	if !ok {
 		return nil, fs.ErrNotExist
 	}
-	return slices.Clone(b.text), nil
+	return slices.Clone(b.data), nil
 }
 
 func (m *memFS) ReadAt(name string, at int64, to []byte) error {
 	if m.onReadAt != nil {
 		m.onReadAt()
 	}
-	text, err := m.Read(name)
-	if err == nil && copy(to, text[min(at, int64(len(text))):]) < len(to) {
-		err = errors.New("short")
+	data, err := m.Read(name)
+	if err == nil && copy(to, data[min(at, int64(len(data))):]) < len(to) {
+		err = errors.New("short read")
 	}
 	return err
 }
 
 func (m *memFS) Rename(from, to string) error {
-	return m.mutate("rename", func() { m.files[to] = m.files[from]; delete(m.files, from) }, nothing)
+	return m.change("rename", func() { m.files[to] = m.files[from]; delete(m.files, from) }, noop)
 }
 
 func (m *memFS) Remove(name string) error {
-	return m.mutate("remove", func() { delete(m.files, name) }, nothing)
+	return m.change("remove", func() { delete(m.files, name) }, noop)
 }
 
-func (m *memFS) Sync() error { return m.mutate("sync", nothing, nothing) }
+func (m *memFS) Sync() error { return m.change("sync", noop, noop) }
 
 func (m *memFS) Lock() (func(), error) {
 	m.mu.Lock()
@@ -179,7 +178,7 @@
 		return nil, syscall.EINTR
 	}
 	if m.locked {
-		return nil, errors.New("held by process 1")
+		return nil, errors.New("locked by process 1")
 	}
 	m.locked = true
 	return func() { m.mu.Lock(); m.locked = false; m.mu.Unlock() }, nil
@@ -190,12 +189,12 @@
 	b *memBlob
 }
 
-// Write fails wholly as a lying call would: all bytes are there and it names none of them.
+// Write with failFullyDone writes all bytes but reports that it wrote none.
 func (f *memFile) Write(p []byte) (n int, err error) {
 	write := func(p []byte) func() {
-		return func() { f.b.text = append(f.b.text, p...); n = len(p) }
+		return func() { f.b.data = append(f.b.data, p...); n = len(p) }
 	}
-	err = f.m.mutate("write", write(p), write(p[:len(p)/2]))
+	err = f.m.change("write", write(p), write(p[:len(p)/2]))
 	if err != nil && f.m.failMode == failFullyDone {
 		n = 0
 	}
@@ -203,11 +202,11 @@
 }
 
 func (f *memFile) Truncate(size int64) error {
-	return f.m.mutate("truncate", func() { f.b.text = f.b.text[:size] }, nothing)
+	return f.m.change("truncate", func() { f.b.data = f.b.data[:size] }, noop)
 }
 
 func (f *memFile) Sync() error {
-	return f.m.mutate("sync", func() { f.b.synced = slices.Clone(f.b.text) }, nothing)
+	return f.m.change("sync", func() { f.b.syncedData = slices.Clone(f.b.data) }, noop)
 }
 
 func (f *memFile) Close() error { return nil }
--- a/store/store_test.go
+++ b/store/store_test.go
@@ -17,18 +17,18 @@
 	"jaspersill/port"
 )
 
-// testNow is the clock of the tests; it has no particular value.
+// testNow is the time of the test clock. The value is arbitrary.
 const testNow = int64(1e18)
 
 func testClock() int64 { return testNow }
 
-func openStore(t testing.TB, f FS, most int64) (*Store, *Recovery) {
+func openStore(t testing.TB, fsys FS, maxBytes int64) (*Store, *Recovery) {
 	t.Helper()
-	s, found, err := Open(f, most, 6, SyncNever, testClock)
+	s, recovered, err := Open(fsys, maxBytes, 6, SyncNever, testClock)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s, found
+	return s, recovered
 }
 
 func testEvent(i int, body string) Event {
@@ -48,11 +48,11 @@
 	return err
 }
 
-// model is what the store was told and answered for: the promise that a recovery is held to.
+// model is what the store has acknowledged, against which a recovery is checked.
 type model struct {
-	accepted  map[string]bool // told that it is taken on, and not over
-	attempted map[string]bool // told that a send that may have run is written
-	completed map[string]bool // told that nothing more is owed
+	accepted  map[string]bool // event is accepted and not completed
+	attempted map[string]bool // an attempt that may have taken effect is recorded
+	completed map[string]bool // completion is recorded and the ID retained
 	backoffs  map[string]int64
 	past      map[string]bool
 }
@@ -67,15 +67,15 @@
 	}
 }
 
-// runStep is one call of the store, noted in the model once it was answered for. A call that fails at a crash
-// may or may not have been written: the model then knows nothing of it.
+// runStep makes one call to the store and updates the model once it is acknowledged. A call that fails at a crash may or
+// may not have been written, so the model assumes nothing about it.
 func (m *model) runStep(s *Store, what, i int) error {
 	id, err := fmt.Sprintf("e%d", i), error(nil)
 	switch what {
 	case 0:
 		if _, err = s.Accept(testEvent(i, strings.Repeat("b", i*37%900))); err == nil {
 			if m.completed[id] {
-				return fmt.Errorf("%s is known to be over and was taken on again", id)
+				return fmt.Errorf("%s is known to be completed but was accepted again", id)
 			}
 			m.accepted[id] = true
 			delete(m.completed, id)
@@ -92,8 +92,8 @@
 	case 3:
 		err = s.RecordVerdict(id, 0, Discarded, 0).Wait()
 	case 4:
-		delete(m.accepted, id) // from the call on the event may be over
-		until := int64(0)      // every second one may come again under its id
+		delete(m.accepted, id) // from this call on the event may be completed
+		until := int64(0)      // every second ID may be used again at once
 		if i%2 == 1 {
 			until = testNow + 5e9
 		}
@@ -115,41 +115,40 @@
 	return err
 }
 
-// check holds a recovery to the model. whole tells that no record was lost, so that nothing may be missing at
-// all.
-func (m *model) check(t interface{ Errorf(string, ...any) }, what string, f *Recovery, whole bool) {
+// check compares a recovery with the model. nothingLost means that no record was lost, so that nothing may be missing.
+func (m *model) check(t interface{ Errorf(string, ...any) }, what string, recovered *Recovery, nothingLost bool) {
 	seen := map[string]bool{}
-	for _, e := range f.Events {
+	for _, e := range recovered.Events {
 		if seen[e.ID] {
-			t.Errorf("%s: %s comes back twice", what, e.ID)
+			t.Errorf("%s: %s is recovered twice", what, e.ID)
 		}
 		seen[e.ID] = true
-		if m.completed[e.ID] && whole {
-			t.Errorf("%s: %s comes back though it is over", what, e.ID)
+		if m.completed[e.ID] && nothingLost {
+			t.Errorf("%s: %s is recovered as pending but is completed", what, e.ID)
 		}
 		if m.attempted[e.ID] && !e.MayHaveRun() && e.Verdict == Undecided && !m.completed[e.ID] {
-			t.Errorf("%s: %s would be sent again, though it may have run: %+v", what, e.ID, e.Attempts)
+			t.Errorf("%s: %s would be sent again although it may have been executed: %+v", what, e.ID, e.Attempts)
 		}
 	}
 	for id := range m.accepted {
-		if whole && !seen[id] {
-			t.Errorf("%s: %s is forgotten", what, id)
+		if nothingLost && !seen[id] {
+			t.Errorf("%s: %s is not recovered", what, id)
 		}
 	}
 	for name, until := range m.backoffs {
-		if f.Backoffs[name] < until {
-			t.Errorf("%s: the wait of %s ends at %d, not at %d", what, name, f.Backoffs[name], until)
+		if recovered.Backoffs[name] < until {
+			t.Errorf("%s: backoff of %s ends at %d, want at least %d", what, name, recovered.Backoffs[name], until)
 		}
 	}
 }
 
-// fillStore has a store with all kinds of records, several segments and a compaction half done.
-func fillStore(t testing.TB, m *model, folder *memFS) *Store {
+// fillStore creates a store with all kinds of records, several segments and a partly done compaction.
+func fillStore(t testing.TB, m *model, fsys *memFS) *Store {
 	t.Helper()
-	s, _ := openStore(t, folder, 300<<10)
+	s, _ := openStore(t, fsys, 300<<10)
 	do := func(what, i int) {
 		if err := m.runStep(s, what, i); err != nil {
-			t.Fatalf("step %d of %d: %v", what, i, err)
+			t.Fatalf("step %d of event %d: %v", what, i, err)
 		}
 	}
 	for i := range 60 {
@@ -172,71 +171,71 @@
 		}
 	}
 	s.mu.Lock()
-	s.compactionThreshold = 1 // always full enough for a compaction, however small the files
+	s.compactionThreshold = 1 // run compaction regardless of file sizes
 	s.mu.Unlock()
 	if len(s.segments) < 2 {
 		t.Fatalf("%d segments", len(s.segments))
 	}
 	if more, err := s.Compact(2000); err != nil || !more || s.segments[0].number != 1 {
-		t.Fatalf("no compaction half done: %v, %v", more, err)
+		t.Fatalf("compaction is not partly done: more %v, error %v", more, err)
 	}
 	return s
 }
 
 func TestRecoveryAfterTruncationAndBitFlips(t *testing.T) {
-	m, folder := newModel(), newMemFS()
-	fillStore(t, m, folder).Close()
-	files := folder.afterRestart().files
-	whole, err := Recover(folder)
-	if err != nil || len(whole.Faults) > 0 || whole.TornBytes > 0 || whole.RecordsLost {
-		t.Fatalf("as written: %v, %+v", err, whole.Faults)
-	}
-	m.check(t, "as written", whole, true)
+	m, fsys := newModel(), newMemFS()
+	fillStore(t, m, fsys).Close()
+	files := fsys.afterRestart().files
+	intact, err := Recover(fsys)
+	if err != nil || len(intact.Faults) > 0 || intact.TornBytes > 0 || intact.RecordsLost {
+		t.Fatalf("as written: %v, %+v", err, intact.Faults)
+	}
+	m.check(t, "as written", intact, true)
 	last := ""
 	for name := range files {
 		if strings.HasPrefix(name, "seg-") {
 			last = max(last, name)
 		}
 	}
-	look := func(what, name string, text []byte) {
+	checkModified := func(what, name string, data []byte) {
 		t.Helper()
-		cut := newMemFS()
+		modified := newMemFS()
 		for other, b := range files {
-			cut.putFile(other, slices.Clone(b.text))
+			modified.putFile(other, slices.Clone(b.data))
 		}
-		if cut.putFile(name, slices.Clone(text)); text == nil {
-			delete(cut.files, name)
+		if modified.putFile(name, slices.Clone(data)); data == nil {
+			delete(modified.files, name)
 		}
-		s, f, err := Open(cut, 0, 6, SyncNever, testClock)
+		s, recovered, err := Open(modified, 0, 6, SyncNever, testClock)
 		if err != nil {
 			t.Fatalf("%s: %v", what, err)
 		}
-		// A cut at the end of a record of the last segment leaves no sign: the log is as it was then.
-		at := *m
-		if name == last && text != nil && !f.RecordsLost {
-			at.attempted = map[string]bool{}
-			for _, e := range f.Events {
-				at.attempted[e.ID] = m.attempted[e.ID] && e.MayHaveRun()
+		// Truncation at the end of a record of the last segment cannot be detected: the log is as it was at that time.
+		expected := *m
+		if name == last && data != nil && !recovered.RecordsLost {
+			expected.attempted = map[string]bool{}
+			for _, e := range recovered.Events {
+				expected.attempted[e.ID] = m.attempted[e.ID] && e.MayHaveRun()
 			}
-			at.backoffs = m.backoffs // the mirror has them
+			expected.backoffs = m.backoffs // they are also in the mirror
 		}
-		at.check(t, what, f, false)
-		if text != nil && len(text) < len(files[name].text) && name != mirrorName && name != last &&
-			len(f.Faults) == 0 {
-			t.Errorf("%s: nobody was told", what)
+		expected.check(t, what, recovered, false)
+		if data != nil && len(data) < len(files[name].data) && name != mirrorName && name != last &&
+			len(recovered.Faults) == 0 {
+			t.Errorf("%s: no fault reported", what)
 		}
 		s.Close()
-		again, err := Recover(cut)
-		if err != nil || len(again.Events) != len(f.Events) {
+		reopened, err := Recover(modified)
+		if err != nil || len(reopened.Events) != len(recovered.Events) {
 			t.Errorf(
-				"%s: the next start finds %d events, not %d: %v",
+				"%s: next start recovers %d events, want %d: %v",
 				what,
-				len(again.Events),
-				len(f.Events),
+				len(reopened.Events),
+				len(recovered.Events),
 				err,
 			)
 		}
-		at.check(t, what+", next start", again, false)
+		expected.check(t, what+", next start", reopened, false)
 	}
 	step, flips := 7, 41
 	if os.Getenv("JASPERSILL_LONG") != "" {
@@ -244,34 +243,34 @@
 	}
 	cuts, flipped := 0, 0
 	for name, b := range files {
-		text := b.text
-		for at := 0; at < len(text); at += step {
-			look(fmt.Sprintf("%s cut at %d", name, at), name, text[:at])
+		data := b.data
+		for at := 0; at < len(data); at += step {
+			checkModified(fmt.Sprintf("%s truncated to %d bytes", name, at), name, data[:at])
 			cuts++
 		}
-		for at := 0; at < len(text); at += flips {
-			broken := bytes.Clone(text)
+		for at := 0; at < len(data); at += flips {
+			broken := bytes.Clone(data)
 			broken[at] ^= 1 << (at % 8)
-			look(fmt.Sprintf("%s flipped at %d", name, at), name, broken)
+			checkModified(fmt.Sprintf("%s with a bit flipped at %d", name, at), name, broken)
 			flipped++
 		}
-		look(name+" missing", name, nil)
+		checkModified(name+" missing", name, nil)
 	}
-	t.Logf("%d cuts and %d flips in %d files", cuts, flipped, len(files))
+	t.Logf("%d truncations and %d bit flips in %d files", cuts, flipped, len(files))
 }
 
-// Every call that changes a file is failed once, in each way, on the way through all that a store does.
+// Fails every modifying file system call once, in each mode, during a run through all operations of a store.
 func TestRecoveryAfterCrashAtEveryCall(t *testing.T) {
-	calls := 0
-	for _, how := range []crashMode{crashBeforeCall, crashAfterCall, crashMidWrite, failNoSpace} {
-		for at := 1; ; at++ {
-			m, folder := newModel(), newMemFS()
-			folder.faultCall, folder.faultMode = at, how
-			what := fmt.Sprintf("call %d, fault %d", at, how)
-			s, _, err := Open(folder, 200<<10, 6, SyncNever, testClock)
+	crashes := 0
+	for _, mode := range []crashMode{crashBeforeCall, crashAfterCall, crashMidWrite, failNoSpace} {
+		for call := 1; ; call++ {
+			m, fsys := newModel(), newMemFS()
+			fsys.faultCall, fsys.faultMode = call, mode
+			what := fmt.Sprintf("call %d, fault %d", call, mode)
+			s, _, err := Open(fsys, 200<<10, 6, SyncNever, testClock)
 			for i := 0; err == nil && i < 24; i++ {
 				for _, step := range []int{0, 1, 2, 5, 6} {
-					if err = m.runStep(s, step, i); err != nil && !folder.crashed {
+					if err = m.runStep(s, step, i); err != nil && !fsys.crashed {
 						err = nil
 					}
 				}
@@ -284,45 +283,45 @@
 					s.mu.Lock()
 					s.compactionThreshold = 1
 					s.mu.Unlock()
-					if err = m.runStep(s, 7, i); err != nil && !folder.crashed {
+					if err = m.runStep(s, 7, i); err != nil && !fsys.crashed {
 						err = nil
 					}
 					if err == nil && i%2 == 0 {
-						if err = m.runStep(s, 4, i-8); err != nil && !folder.crashed {
+						if err = m.runStep(s, 4, i-8); err != nil && !fsys.crashed {
 							err = nil
 						}
 					}
 				}
 			}
-			ended := folder.callCount < at
-			if ended {
+			finished := fsys.callCount < call
+			if finished {
 				break
 			}
-			calls++
-			next := folder.afterRestart()
+			crashes++
+			next := fsys.afterRestart()
 			if s != nil {
 				s.Close()
 			}
-			_, found, err := Open(next, 200<<10, 6, SyncNever, testClock)
+			_, recovered, err := Open(next, 200<<10, 6, SyncNever, testClock)
 			if err != nil {
 				t.Fatalf("%s: %v", what, err)
 			}
-			m.check(t, what, found, !found.RecordsLost)
-			if how == failNoSpace && found.RecordsLost { // it went on: nothing may look lost
-				t.Errorf("%s: a write that failed leaves a gap: %v", what, found.Faults)
+			m.check(t, what, recovered, !recovered.RecordsLost)
+			if mode == failNoSpace && recovered.RecordsLost { // the process continued, so nothing may appear lost
+				t.Errorf("%s: failed write leaves a gap: %v", what, recovered.Faults)
 			}
 		}
 	}
-	if calls < 400 {
-		t.Errorf("only %d crashes were played", calls)
+	if crashes < 400 {
+		t.Errorf("only %d crashes simulated", crashes)
 	}
-	t.Logf("%d crashes", calls)
+	t.Logf("%d crashes", crashes)
 }
 
 func TestModelCheck(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m, folder := newModel(), newMemFS()
-		s, _, err := Open(folder, 400<<10, 6, SyncNever, testClock)
+		m, fsys := newModel(), newMemFS()
+		s, _, err := Open(fsys, 400<<10, 6, SyncNever, testClock)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -335,12 +334,12 @@
 				if what == 9 {
 					s.Close()
 				}
-				folder = folder.afterRestart() // a kill: all that was written is there
-				var f *Recovery
-				if s, f, err = Open(folder, 400<<10, 6, SyncNever, testClock); err != nil {
+				fsys = fsys.afterRestart() // a kill: all written data is still there
+				var recovered *Recovery
+				if s, recovered, err = Open(fsys, 400<<10, 6, SyncNever, testClock); err != nil {
 					t.Fatal(err)
 				}
-				m.check(t, "restarted", f, true)
+				m.check(t, "restarted", recovered, true)
 			}
 			s.mu.Lock()
 			s.segmentSize = 2 << 10
@@ -350,9 +349,9 @@
 }
 
 func TestAcceptWhenFullAndAfterCompaction(t *testing.T) {
-	folder := newMemFS()
-	s, _ := openStore(t, folder, 300<<10)
-	taken := 0
+	fsys := newMemFS()
+	s, _ := openStore(t, fsys, 300<<10)
+	accepted := 0
 	for i := range 5000 {
 		_, err := s.Accept(testEvent(i, strings.Repeat("x", 700)))
 		if errors.Is(err, ErrFull) {
@@ -361,12 +360,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		taken++
+		accepted++
 	}
-	if taken < 50 || taken == 5000 {
-		t.Fatalf("%d events taken", taken)
+	if accepted < 50 || accepted == 5000 {
+		t.Fatalf("%d events accepted", accepted)
 	}
-	for i := range taken { // what was taken on can all be brought to its end
+	for i := range accepted { // every accepted event can be completed although the store is full
 		id := fmt.Sprintf("e%d", i)
 		for n := range 6 {
 			if err := errors.Join(s.RecordAttempt(id, 0, n, testNow, "zone"), s.RecordOutcome(id, 0, n, port.Errored).Wait()); err != nil {
@@ -384,14 +383,14 @@
 		more, _ = s.Compact(64 << 10)
 	}
 	if _, err := s.Accept(testEvent(9999, "x")); err != nil {
-		t.Errorf("room again: %v", err)
+		t.Errorf("accepting after compaction: %v", err)
 	}
 	s.Close()
 }
 
 func TestBodiesSurviveReopen(t *testing.T) {
-	folder := Dir(t.TempDir())
-	s, _ := openStore(t, folder, 0)
+	fsys := Dir(t.TempDir())
+	s, _ := openStore(t, fsys, 0)
 	body := "a\r\n\x00" + strings.Repeat("long", 20<<10)
 	if _, err := s.Accept(testEvent(1, body)); err != nil {
 		t.Fatal(err)
@@ -399,15 +398,15 @@
 	if got, err := s.ReadBody("e1"); err != nil || string(got) != body {
 		t.Errorf("%d bytes, %v", len(got), err)
 	}
-	if _, _, err := Open(folder, 0, 6, SyncNever, testClock); err == nil ||
+	if _, _, err := Open(fsys, 0, 6, SyncNever, testClock); err == nil ||
 		!strings.Contains(err.Error(), fmt.Sprint(os.Getpid())) {
 		t.Errorf("a second process: %v", err)
 	}
 	s.Close()
-	s, f := openStore(t, folder, 0)
-	if len(f.Events) != 1 || string(f.Events[0].Body) != body || f.Events[0].IdempotencyKey != "m" ||
-		f.Events[0].Dest != 1 {
-		t.Errorf("came back as %+v", f.Events)
+	s, recovered := openStore(t, fsys, 0)
+	if len(recovered.Events) != 1 || string(recovered.Events[0].Body) != body || recovered.Events[0].IdempotencyKey != "m" ||
+		recovered.Events[0].Dest != 1 {
+		t.Errorf("recovered as %+v", recovered.Events)
 	}
 	s.Close()
 }
@@ -426,20 +425,20 @@
 	s.Close()
 	for name, old := range a.files {
 		if strings.HasPrefix(name, "seg-") {
-			b.putFile("seg-00000000000000ff", old.text)
+			b.putFile("seg-00000000000000ff", old.data)
 		}
 	}
-	s, f := openStore(t, b, 0)
+	s, recovered := openStore(t, b, 0)
 	defer s.Close()
-	if len(f.Events) != 1 || f.Events[0].ID != "e2" || len(f.Faults) != 1 ||
+	if len(recovered.Events) != 1 || recovered.Events[0].ID != "e2" || len(recovered.Faults) != 1 ||
 		b.files["seg-00000000000000ff"] == nil {
-		t.Errorf("%+v, %v", f.Events, f.Faults)
+		t.Errorf("%+v, %v", recovered.Events, recovered.Faults)
 	}
 }
 
 func TestConcurrentWriters(t *testing.T) {
-	folder := newMemFS()
-	s, _ := openStore(t, folder, 0)
+	fsys := newMemFS()
+	s, _ := openStore(t, fsys, 0)
 	var wg sync.WaitGroup
 	const writers, each = 32, 50
 	for w := range writers {
@@ -462,19 +461,19 @@
 	}
 	wg.Wait()
 	s.Close()
-	f, err := Recover(folder)
-	if err != nil || len(f.Events) != writers*each/2 || len(f.Faults) > 0 || f.RecordsLost {
-		t.Errorf("%d events, %v, %v", len(f.Events), f.Faults, err)
+	recovered, err := Recover(fsys)
+	if err != nil || len(recovered.Events) != writers*each/2 || len(recovered.Faults) > 0 || recovered.RecordsLost {
+		t.Errorf("%d events, %v, %v", len(recovered.Events), recovered.Faults, err)
 	}
-	if !slices.IsSortedFunc(f.Events, func(a, b *Event) int { return int(a.ArrivalSeq) - int(b.ArrivalSeq) }) {
-		t.Error("not in the order of their coming")
+	if !slices.IsSortedFunc(recovered.Events, func(a, b *Event) int { return int(a.ArrivalSeq) - int(b.ArrivalSeq) }) {
+		t.Error("events are not in order of arrival")
 	}
 }
 
-// An event that is over while its state is copied must not come back with the copy.
+// Guards against an event that is completed while compaction copies its state, and is then recovered from the copy.
 func TestCompletionDuringCompaction(t *testing.T) {
-	folder := newMemFS()
-	s, _ := openStore(t, folder, 0)
+	fsys := newMemFS()
+	s, _ := openStore(t, fsys, 0)
 	for i := range 40 {
 		if _, err := s.Accept(testEvent(i, strings.Repeat("x", 900))); err != nil {
 			t.Fatal(err)
@@ -482,8 +481,8 @@
 		s.segmentSize = 4 << 10
 	}
 	s.compactionThreshold = 1
-	folder.onReadAt = func() {
-		folder.onReadAt = nil
+	fsys.onReadAt = func() {
+		fsys.onReadAt = nil
 		for i := range 40 {
 			if err := s.Complete(fmt.Sprintf("e%d", i), 0, 0).Wait(); err != nil {
 				t.Error(err)
@@ -498,15 +497,15 @@
 		more = more && len(s.segments) > 1
 	}
 	s.Close()
-	if f, err := Recover(folder); err != nil || len(f.Events) > 0 {
-		t.Errorf("%d events come back: %v", len(f.Events), err)
+	if recovered, err := Recover(fsys); err != nil || len(recovered.Events) > 0 {
+		t.Errorf("%d events recovered as pending: %v", len(recovered.Events), err)
 	}
 }
 
-// What is acknowledged with Always must be there after a loss of power: only what was synced is.
+// What is acknowledged with SyncAlways must survive a power failure, after which only synced data is left.
 func TestPowerLoss(t *testing.T) {
-	m, folder := newModel(), newMemFS()
-	s, _, err := Open(folder, 0, 6, SyncAlways, testClock)
+	m, fsys := newModel(), newMemFS()
+	s, _, err := Open(fsys, 0, 6, SyncAlways, testClock)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -518,19 +517,19 @@
 		}
 	}
 	lost := newMemFS()
-	for name, b := range folder.files {
-		lost.putFile(name, b.synced)
+	for name, b := range fsys.files {
+		lost.putFile(name, b.syncedData)
 	}
-	f, err := Recover(lost)
+	recovered, err := Recover(lost)
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.check(t, "power lost", f, true)
+	m.check(t, "after power failure", recovered, true)
 }
 
 func TestMemoryPerPendingEvent(t *testing.T) {
-	folder := Dir(t.TempDir())
-	s, _ := openStore(t, folder, 0)
+	fsys := Dir(t.TempDir())
+	s, _ := openStore(t, fsys, 0)
 	defer s.Close()
 	heap := func() uint64 {
 		runtime.GC()
@@ -548,25 +547,25 @@
 		}
 	}
 	each := (heap() - before) / n
-	t.Logf("%d bytes for each held event", each)
+	t.Logf("%d bytes per pending event", each)
 	if each > 420 {
-		t.Errorf("%d bytes for each held event", each)
+		t.Errorf("%d bytes per pending event, want at most 420", each)
 	}
 	runtime.KeepAlive(s)
 }
 
 func FuzzRecover(f *testing.F) {
-	folder := newMemFS()
-	fillStore(f, newModel(), folder).Close()
-	for name, b := range folder.files {
+	fsys := newMemFS()
+	fillStore(f, newModel(), fsys).Close()
+	for name, b := range fsys.files {
 		if strings.HasPrefix(name, "seg-") {
-			f.Add(b.text[:min(len(b.text), 3000)])
+			f.Add(b.data[:min(len(b.data), 3000)])
 		}
 	}
-	f.Fuzz(func(t *testing.T, text []byte) {
-		m := newMemFS()
-		m.putFile("seg-0000000000000001", text)
-		s, _, err := Open(m, 0, 6, SyncNever, testClock)
+	f.Fuzz(func(t *testing.T, data []byte) {
+		fsys := newMemFS()
+		fsys.putFile("seg-0000000000000001", data)
+		s, _, err := Open(fsys, 0, 6, SyncNever, testClock)
 		if err == nil {
 			s.Close()
 		}
@@ -576,17 +575,17 @@
 func TestOpenMissingFolder(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "none")
 	if _, _, err := Open(Dir(name), 0, 6, SyncNever, testClock); err == nil {
-		t.Error("a folder that is not there is opened")
+		t.Error("opened a folder that does not exist")
 	}
 }
 
-// The next start where so many events are held: what docs/store.md states.
+// Measures recovery with the given numbers of pending events, as stated in docs/store.md.
 func BenchmarkRecovery(b *testing.B) {
 	for _, held := range []int{10000, 100000} {
 		b.Run(fmt.Sprint(held, "-held"), func(b *testing.B) {
-			folder := Dir(b.TempDir())
-			s, _ := openStore(b, folder, 1<<30)
-			for i := range 3 * held { // two in three are over by then
+			fsys := Dir(b.TempDir())
+			s, _ := openStore(b, fsys, 1<<30)
+			for i := range 3 * held { // two in three are completed
 				e := testEvent(i, strings.Repeat("x", 300))
 				if err := accept(s, e); err != nil {
 					b.Fatal(err)
@@ -599,9 +598,9 @@
 			}
 			s.Close()
 			for b.Loop() {
-				f, err := Recover(folder)
-				if err != nil || len(f.Events) != held {
-					b.Fatalf("%d events: %v", len(f.Events), err)
+				recovered, err := Recover(fsys)
+				if err != nil || len(recovered.Events) != held {
+					b.Fatalf("%d events: %v", len(recovered.Events), err)
 				}
 			}
 		})
