--- a/node/journal.go
+++ b/node/journal.go
@@ -12,7 +12,7 @@
 	"jaspersill/store"
 )
 
-// journal is what the delivery node owes, in a store that outlasts the process.
+// journal holds the pending events of a delivery node, in a store that survives the process.
 type journal struct {
 	writeFailures trouble
 
@@ -23,8 +23,8 @@
 }
 
 const (
-	compactionStepBytes = 64 << 10              // of one step of compaction: it shares the disk with those who write
-	compactionInterval  = 20 * time.Millisecond // between looks at whether there is something to compact
+	compactionStepBytes = 64 << 10              // bytes per compaction step; kept small because compaction competes with writes for the disk
+	compactionInterval  = 20 * time.Millisecond // between checks for compaction work
 )
 
 var (
@@ -34,68 +34,69 @@
 	errAlreadyCompleted = store.ErrAlreadyCompleted
 )
 
-// openJournal opens the folder's store and returns the events that it still owes, in the order of their
-// coming. What an older version kept is carried over. find maps the names of a stream type and a customer to
-// their indices, and day tells the time of day.
-func openJournal(folder string, disk store.FS, day func() int64, limitMB float64, sends int,
+// openJournal opens the store in a folder and returns the events that are still pending, in order of arrival. The journal
+// of an older version is imported. find maps the names of a stream type and a customer to their indices, and wallClock
+// returns the time of day in ns.
+func openJournal(folder string, fsys store.FS, wallClock func() int64, limitMB float64, maxAttempts int,
 	find func(kind, owner string) (int, int, bool)) (*journal, []*event, error) {
-	s, found, err := store.Open(disk, int64(limitMB*1e6), sends, store.SyncNever, day)
+	s, recovered, err := store.Open(fsys, int64(limitMB*1e6), maxAttempts, store.SyncNever, wallClock)
 	if err != nil {
 		return nil, nil, err
 	}
 	j := &journal{
 		store:         s,
-		wallClock:     day,
+		wallClock:     wallClock,
 		writeFailures: trouble{part: "journal", what: "writing a record"},
 		stop:          make(chan struct{}),
 		done:          make(chan struct{}),
 	}
-	for _, fault := range found.Faults {
+	for _, fault := range recovered.Faults {
 		logs.Part("journal").
 			WithField("fault", fault).
-			Error("the store is damaged; the next lines say what is owed")
+			Error("store is damaged; the following lines report what was recovered")
 	}
-	if found.Size > 0 {
-		logs.Part("journal").WithField("records", found.Records).WithField("owed", len(found.Events)).
-			WithField("cut_off", found.TornBytes).WithField("lost", found.RecordsLost).Info("the store was read")
+	if recovered.Size > 0 {
+		logs.Part("journal").WithField("records", recovered.Records).WithField("pending", len(recovered.Events)).
+			WithField("torn_bytes", recovered.TornBytes).WithField("records_lost", recovered.RecordsLost).Info("store recovered")
 	}
-	list, err := j.importLegacy(folder, found.Events)
+	pending, err := j.importLegacy(folder, recovered.Events)
 	if err != nil {
 		s.Close()
 		return nil, nil, err
 	}
 	var events []*event
-	for _, o := range list {
-		typ, customer, ok := find(o.Kind, o.Owner)
-		if !ok { // danger: an event of a stream type that is no longer known still gets its end
-			logs.Event("journal", o.ID).WithField("kind", o.Kind).
-				Error("owed event of an unknown stream type is discarded")
-			o.Verdict = store.Discarded
+	for _, stored := range pending {
+		typ, customer, ok := find(stored.Kind, stored.Owner)
+		if !ok { // even an event of a stream type that is no longer configured must be brought to an end
+			logs.Event("journal", stored.ID).WithField("kind", stored.Kind).
+				Error("discarding pending event of an unknown stream type")
+			stored.Verdict = store.Discarded
 		}
 		events = append(
 			events,
-			&event{id: o.ID, came: o.ArrivalSeq, mark: o.IdempotencyKey, typ: typ, customer: customer, dest: o.Dest,
-				deadline: o.Deadline, body: o.Body, past: o.Attempts, sends: len(o.Attempts), verdict: verdict(o.Verdict),
-				comeBack: o.RetryAfter, steps: make(chan step, maxSteps)},
+			&event{id: stored.ID, came: stored.ArrivalSeq, mark: stored.IdempotencyKey, typ: typ, customer: customer, dest: stored.Dest,
+				deadline: stored.Deadline, body: stored.Body, past: stored.Attempts, sends: len(stored.Attempts), verdict: verdict(stored.Verdict),
+				comeBack: stored.RetryAfter, steps: make(chan step, maxSteps)},
 		)
 	}
 	go j.runCompaction()
 	return j, events, nil
 }
 
-// importLegacy takes in what an older version kept. A crash on the way leaves both, and the store's word counts.
-func (j *journal) importLegacy(folder string, list []*store.Event) ([]*store.Event, error) {
-	damaged := func(offset int, reason string) {
+// importLegacy imports the journal of an older version. After a crash during the import both exist, and the store takes
+// precedence.
+func (j *journal) importLegacy(folder string, pending []*store.Event) ([]*store.Event, error) {
+	reportDamage := func(offset int, reason string) {
 		logs.Part("journal").WithField("file", legacyName).WithField("offset", offset).Error(reason)
 	}
-	old, err := readLegacyJournal(folder, damaged)
-	if old == nil || err != nil {
-		return list, err
+	legacy, err := readLegacyJournal(folder, reportDamage)
+	if legacy == nil || err != nil {
+		return pending, err
 	}
-	for _, e := range old.pendingEvents(damaged) {
-		var came uint64
+	for _, e := range legacy.pendingEvents(reportDamage) {
+		var arrivalSeq uint64
 		err := errclass.Retry(errclass.File, legacyRetryTimeout, legacyRetryInterval, func() (err error) {
-			came, err = j.store.Accept(e)
+			arrivalSeq, err = j.store.Accept(e)
 			return err
 		})
 		if errors.Is(err, errAlreadyPending) || errors.Is(err, errAlreadyCompleted) {
@@ -104,13 +105,13 @@
 		if err != nil {
 			return nil, err
 		}
-		e.ArrivalSeq = came
-		list = append(list, &e)
+		e.ArrivalSeq = arrivalSeq
+		pending = append(pending, &e)
 	}
-	return list, old.remove()
+	return pending, legacy.remove()
 }
 
-// runCompaction empties old segments, a step at a time, until close.
+// runCompaction compacts old segments step by step until close.
 func (j *journal) runCompaction() {
 	defer close(j.done)
 	for {
@@ -118,14 +119,14 @@
 		if err != nil {
 			j.writeFailures.note(err)
 		}
-		rest := compactionInterval
+		pause := compactionInterval
 		if more && err == nil {
-			rest = time.Millisecond
+			pause = time.Millisecond
 		}
 		select {
 		case <-j.stop:
 			return
-		case <-time.After(rest):
+		case <-time.After(pause):
 		}
 	}
 }
@@ -136,52 +137,52 @@
 	j.writeFailures.note(j.store.Close())
 }
 
-// accept writes that an event was taken on.
+// accept records an event as pending.
 func (j *journal) accept(e *event, kind, owner string) (err error) {
 	e.came, err = j.store.Accept(store.Event{ID: e.id, Kind: kind, Owner: owner, IdempotencyKey: e.mark, Dest: e.dest,
 		Deadline: e.deadline, Body: e.body})
 	return err
 }
 
-// recordAttempt writes that a send goes out. Where it fails, nothing may go.
-func (j *journal) recordAttempt(e *event, number int, at int64, zone string) error {
-	return j.store.RecordAttempt(e.id, e.came, number, at, zone)
+// recordAttempt records that an attempt starts. If it returns an error, the request must not be sent.
+func (j *journal) recordAttempt(e *event, number int, startedAt int64, zone string) error {
+	return j.store.RecordAttempt(e.id, e.came, number, startedAt, zone)
 }
 
-// recordOutcome writes how a send recordOutcome.
-func (j *journal) recordOutcome(e *event, number int, how port.Outcome) *store.PendingWrite {
-	return j.store.RecordOutcome(e.id, e.came, number, how)
+// recordOutcome records how an attempt ended.
+func (j *journal) recordOutcome(e *event, number int, outcome port.Outcome) *store.PendingWrite {
+	return j.store.RecordOutcome(e.id, e.came, number, outcome)
 }
 
-// recordVerdict writes how an event ends whose notice is still owed.
+// recordVerdict records how an event ends, before its notice has been delivered.
 func (j *journal) recordVerdict(e *event) *store.PendingWrite {
 	return j.store.RecordVerdict(e.id, e.came, store.Verdict(e.verdict), e.comeBack)
 }
 
-// recordVerdictAndTrim is decide for an event of which nothing but its notice may still be needed.
+// recordVerdictAndTrim is recordVerdict for an event that may at most need its notice delivered.
 func (j *journal) recordVerdictAndTrim(e *event, v verdict) *store.PendingWrite {
 	return j.store.RecordVerdictAndTrim(e.id, e.came, store.Verdict(v))
 }
 
-// complete writes that nothing more is owed for an event.
+// complete records that an event needs nothing more.
 func (j *journal) complete(e *event) *store.PendingWrite { return j.completeByID(e.id, e.came) }
 
-// completeByID is over for an event that is known by its id and its place in the order of coming. One that comes again under
-// its id is known for a while, also to the next process.
-func (j *journal) completeByID(id string, came uint64) *store.PendingWrite {
-	return j.store.Complete(id, came, j.wallClock()+int64(endedFor))
+// completeByID is complete for an event given by its ID and arrival sequence number. The ID is retained for endedFor, also
+// across restarts, so that a duplicate is detected.
+func (j *journal) completeByID(id string, arrivalSeq uint64) *store.PendingWrite {
+	return j.store.Complete(id, arrivalSeq, j.wallClock()+int64(endedFor))
 }
 
-// pendingCount counts the events that are pendingCount an end.
+// pendingCount returns the number of pending events.
 func (j *journal) pendingCount() int { return j.store.PendingCount() }
 
-// empty tells whether nothing is owed.
+// empty reports whether no event is pending and no record is waiting to be written.
 func (j *journal) empty() bool { return j.store.Empty() }
 
-// allWritten tells whether all that is known is written.
+// allWritten reports whether every record has been written.
 func (j *journal) allWritten() bool { return j.store.UnwrittenCount() == 0 }
 
-// hasJournal tells whether a folder holds what a node owes, in either form.
+// hasJournal reports whether a folder holds a journal in the current or the legacy format.
 func hasJournal(folder string) bool {
 	segments, _ := filepath.Glob(filepath.Join(folder, "seg-*"))
 	_, err := os.Stat(filepath.Join(folder, legacyName))
--- a/node/journal_bench_test.go
+++ b/node/journal_bench_test.go
@@ -11,11 +11,11 @@
 	"jaspersill/store"
 )
 
-// 64 lives at once, each writing that an event is taken on, sent, acked and over.
+// Records complete event life cycles from 64 concurrent writers: acceptance, attempt, acknowledgement, completion.
 func BenchmarkJournalEventLifecycle(b *testing.B) {
 	const writers = 64
 	body := make([]byte, 300)
-	play := func(b *testing.B, live func(id string) error) {
+	run := func(b *testing.B, recordLifecycle func(id string) error) {
 		var next atomic.Int64
 		var wg sync.WaitGroup
 		for range writers {
@@ -27,7 +27,7 @@
 					if n > int64(b.N) {
 						return
 					}
-					if err := live(fmt.Sprintf("%016x", n)); err != nil {
+					if err := recordLifecycle(fmt.Sprintf("%016x", n)); err != nil {
 						b.Error(err)
 						return
 					}
@@ -43,7 +43,7 @@
 	}
 	defer j.close()
 	b.ResetTimer()
-	play(b, func(id string) error {
+	run(b, func(id string) error {
 		e := &event{id: id, mark: "m", dest: 7, deadline: 1 << 60, body: body}
 		if err := errors.Join(j.accept(e, "alert", "acme"), j.recordAttempt(e, 0, 5, "zone")); err != nil {
 			return err
--- a/node/journal_test.go
+++ b/node/journal_test.go
@@ -18,17 +18,17 @@
 
 func findAnyType(string, string) (int, int, bool) { return 0, 0, true }
 
-// reopenJournal opens a folder as the next process does.
+// reopenJournal opens the journal in a folder, as the next process does.
 func reopenJournal(t *testing.T, folder string, limitMB float64) (*journal, []*event) {
 	t.Helper()
-	j, owed, err := openJournal(folder, store.Dir(folder), wall, limitMB, 6, findAnyType)
+	j, pending, err := openJournal(folder, store.Dir(folder), wall, limitMB, 6, findAnyType)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return j, owed
+	return j, pending
 }
 
-// copyAsKilled is the folder as a copyAsKilled process leaves it: nothing was closed in order.
+// copyAsKilled returns a copy of the folder as a killed process leaves it, with nothing closed.
 func copyAsKilled(t *testing.T, folder string) string {
 	t.Helper()
 	next := t.TempDir()
@@ -52,7 +52,7 @@
 	return size
 }
 
-// fillJournal writes four events in different states: ended, with sends, decided, and one with a long body.
+// fillJournal writes four events in different states: completed, with attempts, with a verdict, and with a long body.
 func fillJournal(t *testing.T, j *journal) {
 	t.Helper()
 	for i, body := range []string{"over", "a\r\n\x00b", "", strings.Repeat("long", 16<<10)} {
@@ -78,25 +78,25 @@
 	}
 }
 
-func checkRecovered(t *testing.T, owed []*event, want int) {
+func checkRecovered(t *testing.T, pending []*event, want int) {
 	t.Helper()
-	if len(owed) != want {
-		t.Fatalf("%d events owed, want %d", len(owed), want)
+	if len(pending) != want {
+		t.Fatalf("%d events pending, want %d", len(pending), want)
 	}
-	for _, e := range owed {
+	for _, e := range pending {
 		if e.mark != "m" || e.dest != 7 || e.deadline != 1<<60 {
-			t.Errorf("%s came back as %+v", e.id, e)
+			t.Errorf("%s recovered as %+v", e.id, e)
 		}
 		switch e.id {
 		case "e1":
 			past := []store.Attempt{{StartedAt: 50, Zone: "zone", Ended: true, Outcome: port.Declined},
 				{StartedAt: 60, Zone: "zone", Ended: true, Outcome: port.Reset}, {StartedAt: 70, Zone: "zone"}}
 			if !slices.Equal(e.past, past) || e.sends != 3 || string(e.body) != "a\r\n\x00b" {
-				t.Errorf("e1: sends %+v, body %q", e.past, e.body)
+				t.Errorf("e1: attempts %+v, body %q", e.past, e.body)
 			}
 		case "e2":
 			if e.verdict != declined || e.comeBack != 500 {
-				t.Errorf("e2: verdict %d, come back %d", e.verdict, e.comeBack)
+				t.Errorf("e2: verdict %d, retry after %d", e.verdict, e.comeBack)
 			}
 		case "e3":
 			if len(e.body) != 64<<10 {
@@ -110,21 +110,21 @@
 	folder := t.TempDir()
 	j, _ := reopenJournal(t, folder, 3)
 	fillJournal(t, j)
-	for range 3 { // the process was killed, and again after each start
+	for range 3 { // killed once, and again after each restart
 		folder = copyAsKilled(t, folder)
-		var owed []*event
+		var pending []*event
 		j.close()
-		j, owed = reopenJournal(t, folder, 3)
-		checkRecovered(t, owed, 3)
+		j, pending = reopenJournal(t, folder, 3)
+		checkRecovered(t, pending, 3)
 	}
 	j.close()
-	j, owed := reopenJournal(t, folder, 3)
+	j, pending := reopenJournal(t, folder, 3)
 	defer j.close()
-	if j.recordAttempt(owed[0], 3, 80, "zone") != nil || !errors.Is(j.recordAttempt(&event{id: "e0"}, 0, 0, ""), errNotPending) {
-		t.Error("a send of an owed event must begin, and one of an event that is over must not")
+	if j.recordAttempt(pending[0], 3, 80, "zone") != nil || !errors.Is(j.recordAttempt(&event{id: "e0"}, 0, 0, ""), errNotPending) {
+		t.Error("an attempt of a pending event must start, and one of a completed event must not")
 	}
 	if _, _, err := openJournal(folder, store.Dir(folder), wall, 3, 6, findAnyType); err == nil {
-		t.Error("a second process may open the folder")
+		t.Error("a second process was able to open the folder")
 	}
 }
 
@@ -132,8 +132,8 @@
 	for _, size := range []int{0, 300, 8 << 10, mostBody} {
 		folder, limit := t.TempDir(), 1.0
 		j, _ := reopenJournal(t, folder, limit)
-		var live []*event
-		full := 0
+		var accepted []*event
+		refused := 0
 		for i := range 1500 {
 			e := &event{
 				id:       fmt.Sprintf("%016x", i),
@@ -144,16 +144,16 @@
 			}
 			switch err := j.accept(e, "alert", "acme"); {
 			case err == nil:
-				live = append(live, e)
+				accepted = append(accepted, e)
 			case errors.Is(err, errFull):
-				full++
+				refused++
 			default:
 				t.Fatal(err)
 			}
-			if len(live) == 0 {
-				t.Fatalf("not one event of %d bytes fits", size)
+			if len(accepted) == 0 {
+				t.Fatalf("no event of %d bytes fits", size)
 			}
-			last := live[len(live)-1]
+			last := accepted[len(accepted)-1]
 			for n := range 6 {
 				if err := j.recordAttempt(last, n, 1<<60, "a-zone-of-some-length"); err != nil {
 					t.Fatal(err)
@@ -161,21 +161,21 @@
 				j.recordOutcome(last, n, port.Declined)
 			}
 			if used := folderSize(t, folder); used > int64(limit*1e6) {
-				t.Fatalf("%d bytes on disk", used)
+				t.Fatalf("%d bytes used on disk, more than the limit", used)
 			}
 			if i%3 == 0 {
-				j.complete(live[0])
-				live = live[1:]
+				j.complete(accepted[0])
+				accepted = accepted[1:]
 			}
 		}
-		if full == 0 && size > 0 {
-			t.Errorf("bodies of %d bytes never filled the folder", size)
+		if refused == 0 && size > 0 {
+			t.Errorf("no event with a body of %d bytes was refused", size)
 		}
 		j.close()
-		j, owed := reopenJournal(t, folder, limit)
+		j, pending := reopenJournal(t, folder, limit)
 		j.close()
-		if len(owed) != len(live) {
-			t.Errorf("bodies of %d bytes: %d owed, want %d", size, len(owed), len(live))
+		if len(pending) != len(accepted) {
+			t.Errorf("bodies of %d bytes: %d events pending, want %d", size, len(pending), len(accepted))
 		}
 	}
 }
@@ -187,17 +187,17 @@
 	if err := j.accept(e, "alert", "acme"); err != nil {
 		t.Fatal(err)
 	}
-	j.recordOutcome(e, 0, port.Unsent) // given up before it began
+	j.recordOutcome(e, 0, port.Unsent) // given up before it started
 	_ = j.recordAttempt(e, 1, 50, "zone")
 	j.recordOutcome(e, 1, port.Declined)
 	for range 2 {
 		j.close()
-		var owed []*event
-		j, owed = reopenJournal(t, folder, 3)
+		var pending []*event
+		j, pending = reopenJournal(t, folder, 3)
 		want := []store.Attempt{{StartedAt: 50, Zone: "zone", Ended: true, Outcome: port.Unsent},
 			{StartedAt: 50, Zone: "zone", Ended: true, Outcome: port.Declined}}
-		if !slices.Equal(owed[0].past, want) {
-			t.Errorf("sends %+v", owed[0].past)
+		if !slices.Equal(pending[0].past, want) {
+			t.Errorf("attempts %+v", pending[0].past)
 		}
 	}
 	j.close()
@@ -205,8 +205,8 @@
 
 func TestJournalDistinguishesEventsWithSameID(t *testing.T) {
 	folder, ahead := t.TempDir(), int64(0)
-	day := func() int64 { return wall() + ahead }
-	j, _, err := openJournal(folder, store.Dir(folder), day, 3, 6, findAnyType)
+	wallClock := func() int64 { return wall() + ahead }
+	j, _, err := openJournal(folder, store.Dir(folder), wallClock, 3, 6, findAnyType)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -215,49 +215,49 @@
 	_ = j.recordAttempt(first, 0, 50, "zone")
 	j.complete(first)
 	if err := j.accept(second, "alert", "acme"); !errors.Is(err, errAlreadyCompleted) {
-		t.Errorf("it is taken on again just after its end: %v", err)
+		t.Errorf("accepted again right after completion: %v", err)
 	}
 	ahead = int64(endedFor)
 	if err := j.accept(second, "alert", "acme"); err != nil {
-		t.Errorf("a later one of its id: %v", err)
+		t.Errorf("event with the same ID after the retention period: %v", err)
 	}
 	j.recordOutcome(first, 0, port.Acked)
 	j.complete(first)
 	if err := j.recordAttempt(first, 1, 60, "zone"); !errors.Is(err, errNotPending) {
-		t.Errorf("a send of the former began: %v", err)
+		t.Errorf("an attempt of the completed event started: %v", err)
 	}
 	j.close()
-	j, owed := reopenJournal(t, folder, 3)
+	j, pending := reopenJournal(t, folder, 3)
 	defer j.close()
-	if len(owed) != 1 || len(owed[0].past) != 0 {
-		t.Errorf("owed %+v", owed)
+	if len(pending) != 1 || len(pending[0].past) != 0 {
+		t.Errorf("pending %+v", pending)
 	}
 }
 
-// legacyRecord is a record as the version before wrote it.
-func legacyRecord(what byte, id string, rest ...any) []byte {
-	text := func(b []byte, s string) []byte { return append(binary.AppendUvarint(b, uint64(len(s))), s...) }
-	p := text([]byte{what}, id)
-	for _, r := range rest {
-		switch r := r.(type) {
+// legacyRecord encodes a record in the legacy format.
+func legacyRecord(kind byte, id string, rest ...any) []byte {
+	appendText := func(to []byte, s string) []byte { return append(binary.AppendUvarint(to, uint64(len(s))), s...) }
+	payload := appendText([]byte{kind}, id)
+	for _, field := range rest {
+		switch field := field.(type) {
 		case string:
-			p = text(p, r)
+			payload = appendText(payload, field)
 		case int:
-			p = binary.AppendVarint(p, int64(r))
+			payload = binary.AppendVarint(payload, int64(field))
 		case byte:
-			p = append(p, r)
+			payload = append(payload, field)
 		}
 	}
-	b := binary.LittleEndian.AppendUint32(nil, uint32(len(p)))
+	record := binary.LittleEndian.AppendUint32(nil, uint32(len(payload)))
 	return append(
-		binary.LittleEndian.AppendUint32(b, crc32.Checksum(p, crc32.MakeTable(crc32.Castagnoli))),
-		p...)
+		binary.LittleEndian.AppendUint32(record, crc32.Checksum(payload, crc32.MakeTable(crc32.Castagnoli))),
+		payload...)
 }
 
 func TestLegacyJournalIsImported(t *testing.T) {
 	folder := t.TempDir()
 	long := strings.Repeat("long", 16<<10)
-	old := slices.Concat(
+	legacy := slices.Concat(
 		legacyRecord(legacyAccepted, "e0", "alert", "acme", 7, 1<<60, "m", "over"),
 		legacyRecord(legacyCompleted, "e0"),
 		legacyRecord(legacyAccepted, "e1", "alert", "acme", 7, 1<<60, "m", "a\r\n\x00b"),
@@ -282,33 +282,33 @@
 	)
 	write := func(folder string) {
 		t.Helper()
-		if errors.Join(os.WriteFile(filepath.Join(folder, legacyName), old, 0o600),
+		if errors.Join(os.WriteFile(filepath.Join(folder, legacyName), legacy, 0o600),
 			os.WriteFile(filepath.Join(folder, legacyName+legacyBodyInfix+"1"), []byte(long), 0o600)) != nil {
-			t.Fatal("the old files cannot be written")
+			t.Fatal("cannot write the legacy files")
 		}
 	}
 	write(folder)
-	if r, err := ReadJournal(folder); err != nil || len(r.Owed) != 3 {
-		t.Errorf("before it is carried over: %+v, %v", r, err)
+	if report, err := ReadJournal(folder); err != nil || len(report.Owed) != 3 {
+		t.Errorf("before the import: %+v, %v", report, err)
 	}
-	j, owed := reopenJournal(t, folder, 3)
-	checkRecovered(t, owed, 3)
+	j, pending := reopenJournal(t, folder, 3)
+	checkRecovered(t, pending, 3)
 	if left, _ := filepath.Glob(filepath.Join(folder, legacyName+"*")); len(left) > 0 {
-		t.Errorf("left behind: %v", left)
+		t.Errorf("legacy files not removed: %v", left)
 	}
-	write(folder) // a crash between the two: the old file is there still
-	j.complete(owed[2])
+	write(folder) // a crash between import and removal: the legacy files are still there
+	j.complete(pending[2])
 	folder = copyAsKilled(t, folder)
 	j.close()
-	j, owed = reopenJournal(t, folder, 3)
+	j, pending = reopenJournal(t, folder, 3)
 	defer j.close()
-	for _, e := range owed {
+	for _, e := range pending {
 		if e.id == "e1" && len(e.past) != 3 {
-			t.Errorf("e1 came back as %+v", e.past)
+			t.Errorf("e1 recovered with attempts %+v", e.past)
 		}
 	}
-	if len(owed) != 2 {
-		t.Errorf("%d events owed, each of them once, and none that has ended: want 2", len(owed))
+	if len(pending) != 2 {
+		t.Errorf("%d events pending, want 2: no duplicates and no completed event", len(pending))
 	}
 }
 
@@ -320,52 +320,53 @@
 	j.close()
 	names, _ := filepath.Glob(filepath.Join(folder, "seg-*"))
 	name := names[len(names)-1]
-	text, err := os.ReadFile(name)
+	data, err := os.ReadFile(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	look := func(what string, text []byte, owed int, torn, lost, faults bool) {
+	checkReport := func(what string, data []byte, wantPending int, wantTorn, wantLost, wantFaults bool) {
 		t.Helper()
-		if err := os.WriteFile(name, text, 0o600); err != nil {
+		if err := os.WriteFile(name, data, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		before := folderSize(t, folder)
-		r, err := ReadJournal(folder)
-		if err != nil || len(r.Owed) != owed || (r.Torn > 0) != torn || r.Lost != lost ||
-			(len(r.Faults) > 0) != faults {
-			t.Errorf("%s: %+v, %v", what, r, err)
+		report, err := ReadJournal(folder)
+		if err != nil || len(report.Owed) != wantPending || (report.Torn > 0) != wantTorn || report.Lost != wantLost ||
+			(len(report.Faults) > 0) != wantFaults {
+			t.Errorf("%s: %+v, %v", what, report, err)
 		}
-		if after, _ := os.ReadFile(name); !bytes.Equal(after, text) || folderSize(t, folder) != before {
+		if after, _ := os.ReadFile(name); !bytes.Equal(after, data) || folderSize(t, folder) != before {
 			t.Errorf("%s: reading changed the folder", what)
 		}
 	}
-	look("as written", text, 3, false, false, false)
-	look("cut off", text[:len(text)-3], 2, true, false, false) // the last record takes an event on
-	broken := bytes.Clone(text)
-	broken[60] ^= 1 // in the first record
-	look("damaged", broken, 3, false, true, true)
-	if r, err := ReadJournal(folder); err != nil || !strings.HasPrefix(r.Faults[0], name+": offset 40: ") {
-		t.Errorf("the fault does not name file and offset: %v, %v", r.Faults, err)
+	checkReport("as written", data, 3, false, false, false)
+	checkReport("truncated", data[:len(data)-3], 2, true, false, false) // the last record is the acceptance of an event
+	damaged := bytes.Clone(data)
+	damaged[60] ^= 1 // in the first record
+	checkReport("damaged", damaged, 3, false, true, true)
+	if report, err := ReadJournal(folder); err != nil || !strings.HasPrefix(report.Faults[0], name+": offset 40: ") {
+		t.Errorf("the fault does not state file and offset: %v, %v", report.Faults, err)
 	}
 	if _, err := ReadJournal(t.TempDir()); err == nil {
-		t.Error("a folder that holds nothing passes for a good one")
+		t.Error("no error for a folder without a journal")
 	}
 }
 
-// Guards against ended requests that come back from a file of the older form which could not be removed.
+// Guards against events whose body files are gone while the legacy journal itself could not be removed: the next start
+// imports them again and would discard them.
 func TestUnremovableLegacyJournalKeepsItsBodies(t *testing.T) {
 	folder := t.TempDir()
-	old := &legacyJournal{name: filepath.Join(folder, legacyName)}
-	if err := os.MkdirAll(filepath.Join(old.name, "in the way"), 0o700); err != nil {
+	legacy := &legacyJournal{name: filepath.Join(folder, legacyName)}
+	if err := os.MkdirAll(filepath.Join(legacy.name, "in the way"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(old.bodyPath(1), []byte("body"), 0o600); err != nil {
+	if err := os.WriteFile(legacy.bodyPath(1), []byte("body"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := old.remove(); err == nil {
-		t.Error("it passes for removed")
+	if err := legacy.remove(); err == nil {
+		t.Error("no error although the journal file could not be removed")
 	}
-	if _, err := os.Stat(old.bodyPath(1)); err != nil {
-		t.Errorf("the body: %v", err)
+	if _, err := os.Stat(legacy.bodyPath(1)); err != nil {
+		t.Errorf("body file: %v", err)
 	}
 }
--- a/node/legacy_journal.go
+++ b/node/legacy_journal.go
@@ -15,19 +15,19 @@
 	"jaspersill/store"
 )
 
-// legacyJournal reads the one file in which nodes kept what they owed before there was a store: a row of
-// records, each its payload's length and checksum, then the payload. Long bodies have files of their own. It
-// is read once, and removed when all that it owed stands in the store.
+// legacyJournal is the single-file journal that nodes used before package store. It is a sequence of records, each with
+// the length and checksum of its payload followed by the payload. Long bodies are in separate files. The journal is read
+// once, and removed when all its pending events are in the store.
 type legacyJournal struct {
-	name  string
+	name     string
 	pending  map[string]*legacyEvent
-	accepted []*legacyEvent // as taken on
+	accepted []*legacyEvent // in order of acceptance
 }
 
-// legacyEvent is one event that the file has.
+// legacyEvent is an event in the legacy journal.
 type legacyEvent struct {
 	store.Event
-	bodyFile int64 // number of its body's own file, 0 for none
+	bodyFile  int64 // number of the file with its body, 0 if the body is in the record
 	completed bool
 }
 
@@ -37,15 +37,15 @@
 	legacyAttemptEnded
 	legacyVerdict
 	legacyCompleted
-	legacyAcceptedLongBody // as oldTake, with the number of the body's file
+	legacyAcceptedLongBody // like legacyAccepted, with the number of the body file in place of the body
 )
 
 const (
-	legacyFrameSize  = 8
-	legacyMaxPayload = 1 << 20   // bytes; a longer one is no record
-	legacyName   = "journal" // in the folder
-	legacyRewriteSuffix   = ".written"
-	legacyBodyInfix   = ".body-" // behind the name, then the number
+	legacyFrameSize     = 8
+	legacyMaxPayload    = 1 << 20   // bytes; a greater length is treated as damage
+	legacyName          = "journal" // file name within the folder
+	legacyRewriteSuffix = ".written"
+	legacyBodyInfix     = ".body-" // between the journal's name and the number of a body file
 )
 
 var (
@@ -54,49 +54,50 @@
 )
 
 const (
-	legacyRetryTimeout = 5 * time.Second // for a step of the carrying over that fails for a moment
-	legacyRetryInterval  = 20 * time.Millisecond
+	legacyRetryTimeout  = 5 * time.Second // for an import step that fails with a transient error
+	legacyRetryInterval = 20 * time.Millisecond
 )
 
-// readLegacyJournal reads a folder's old file; nil for none. damaged hears where a record is.
-func readLegacyJournal(folder string, damaged func(offset int, reason string)) (*legacyJournal, error) {
+// readLegacyJournal reads the legacy journal in a folder, and returns nil if there is none. reportDamage is called for
+// each damaged record.
+func readLegacyJournal(folder string, reportDamage func(offset int, reason string)) (*legacyJournal, error) {
 	j := &legacyJournal{name: filepath.Join(folder, legacyName), pending: make(map[string]*legacyEvent)}
-	text, err := errclass.ReadFile(os.ReadFile, j.name)
+	data, err := errclass.ReadFile(os.ReadFile, j.name)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	j.replay(text, damaged)
+	j.replay(data, reportDamage)
 	return j, nil
 }
 
-// pendingEvents are those that are owed, in the order of their coming. One whose body is gone is discarded: nothing
-// is guessed.
-func (j *legacyJournal) pendingEvents(damaged func(offset int, reason string)) (list []store.Event) {
-	for _, o := range j.accepted {
-		if o.completed {
+// pendingEvents returns the pending events in order of arrival. One whose body cannot be read is marked as discarded,
+// since its body cannot be reconstructed.
+func (j *legacyJournal) pendingEvents(reportDamage func(offset int, reason string)) (events []store.Event) {
+	for _, entry := range j.accepted {
+		if entry.completed {
 			continue
 		}
-		if o.bodyFile > 0 {
+		if entry.bodyFile > 0 {
 			var err error
-			if o.Body, err = errclass.ReadFile(os.ReadFile, j.bodyPath(o.bodyFile)); err != nil {
-				damaged(0, "owed event "+o.ID+" without its body is discarded: "+err.Error())
-				o.Verdict = store.Discarded
+			if entry.Body, err = errclass.ReadFile(os.ReadFile, j.bodyPath(entry.bodyFile)); err != nil {
+				reportDamage(0, "discarding pending event "+entry.ID+", its body cannot be read: "+err.Error())
+				entry.Verdict = store.Discarded
 			}
 		}
-		list = append(list, o.Event)
+		events = append(events, entry.Event)
 	}
-	return list
+	return events
 }
 
 func (j *legacyJournal) bodyPath(number int64) string {
 	return j.name + legacyBodyInfix + strconv.FormatInt(number, 10)
 }
 
-// remove removes the old file, and only then those of long bodies: without its file an event would be discarded. While
-// the old file stands, the next start would take its events on again, also those that have ended since.
+// remove removes the journal file, and only then the body files: an event whose body file is missing would be discarded.
+// As long as the journal file exists, the next start imports its events again, including those completed since.
 func (j *legacyJournal) remove() error {
 	if err := removeWithRetry(j.name); err != nil {
 		return err
@@ -108,7 +109,7 @@
 	return err
 }
 
-// removeWithRetry removes a file, and tries again while that fails for a moment. One that is gone counts as removed.
+// removeWithRetry removes a file, retrying on transient errors. A file that does not exist counts as removed.
 func removeWithRetry(name string) error {
 	err := errclass.Retry(errclass.File, legacyRetryTimeout, legacyRetryInterval, func() error { return os.Remove(name) })
 	if errors.Is(err, fs.ErrNotExist) {
@@ -117,18 +118,18 @@
 	return err
 }
 
-// replay reads the records of a file and tells where one is damaged. Only a last one that was cut off is
-// dropped without a word. It returns how many records were read and the bytes at the end that were cut off.
-func (j *legacyJournal) replay(text []byte, damaged func(offset int, reason string)) (records, torn int) {
-	for at := 0; at < len(text); {
-		rest := text[at:]
+// replay applies the records of the journal file and reports damaged ones. Only an incomplete or unreadable last record
+// is dropped without a report. It returns the number of records read and the size of the dropped last record.
+func (j *legacyJournal) replay(data []byte, reportDamage func(offset int, reason string)) (records, torn int) {
+	for at := 0; at < len(data); {
+		rest := data[at:]
 		if len(rest) < legacyFrameSize {
 			return records, len(rest)
 		}
 		size := int(le.Uint32(rest))
 		end := legacyFrameSize + size
 		if size > legacyMaxPayload {
-			damaged(at, "no record can be read from here on")
+			reportDamage(at, "invalid record length, the rest of the file cannot be read")
 			return records, 0
 		}
 		if end > len(rest) {
@@ -136,10 +137,10 @@
 		}
 		payload := rest[legacyFrameSize:end]
 		if crc32.Checksum(payload, crcTable) != le.Uint32(rest[4:]) || !j.apply(payload) {
-			if at+end == len(text) {
+			if at+end == len(data) {
 				return records, len(rest)
 			}
-			damaged(at, "a damaged record was passed over")
+			reportDamage(at, "skipped a damaged record")
 		} else {
 			records++
 		}
@@ -148,55 +149,55 @@
 	return records, 0
 }
 
-// apply takes one record in; false for one that makes no sense.
+// apply applies one record. It returns false if the record cannot be decoded.
 func (j *legacyJournal) apply(payload []byte) bool {
-	f := store.NewDecoder(payload)
-	what, id := f.Byte(), f.Text()
-	o := j.pending[id]
-	switch what {
+	d := store.NewDecoder(payload)
+	kind, id := d.Byte(), d.Text()
+	entry := j.pending[id]
+	switch kind {
 	case legacyAccepted, legacyAcceptedLongBody:
-		fresh := &legacyEvent{Event: store.Event{ID: id, Kind: f.Text(), Owner: f.Text()}}
-		fresh.Dest, fresh.Deadline, fresh.IdempotencyKey = uint32(f.Varint()), f.Varint(), f.Text()
-		if what == legacyAccepted {
-			fresh.Body = []byte(f.Text())
+		accepted := &legacyEvent{Event: store.Event{ID: id, Kind: d.Text(), Owner: d.Text()}}
+		accepted.Dest, accepted.Deadline, accepted.IdempotencyKey = uint32(d.Varint()), d.Varint(), d.Text()
+		if kind == legacyAccepted {
+			accepted.Body = []byte(d.Text())
 		} else {
-			fresh.bodyFile, _ = f.Varint(), f.Varint()
+			accepted.bodyFile, _ = d.Varint(), d.Varint()
 		}
-		if f.Invalid() || o != nil {
+		if d.Invalid() || entry != nil {
 			return false
 		}
-		j.pending[id], j.accepted = fresh, append(j.accepted, fresh)
+		j.pending[id], j.accepted = accepted, append(j.accepted, accepted)
 	case legacyAttemptStarted:
-		number, s := int(f.Byte()), store.Attempt{StartedAt: f.Varint(), Zone: f.Text()}
-		if f.Invalid() {
+		number, attempt := int(d.Byte()), store.Attempt{StartedAt: d.Varint(), Zone: d.Text()}
+		if d.Invalid() {
 			return false
 		}
-		if o != nil {
-			o.BeginAttempt(number, s)
+		if entry != nil {
+			entry.BeginAttempt(number, attempt)
 		}
 	case legacyAttemptEnded:
-		number, how := int(f.Byte()), port.Outcome(f.Byte())
-		if f.Invalid() {
+		number, outcome := int(d.Byte()), port.Outcome(d.Byte())
+		if d.Invalid() {
 			return false
 		}
-		if o != nil && number < len(o.Attempts) {
-			o.Attempts[number].Ended, o.Attempts[number].Outcome = true, how
+		if entry != nil && number < len(entry.Attempts) {
+			entry.Attempts[number].Ended, entry.Attempts[number].Outcome = true, outcome
 		}
 	case legacyVerdict:
-		v, comeBack := store.Verdict(f.Byte()), f.Varint()
-		if f.Invalid() || v > store.Discarded {
+		verdict, retryAfter := store.Verdict(d.Byte()), d.Varint()
+		if d.Invalid() || verdict > store.Discarded {
 			return false
 		}
-		if o != nil {
-			o.Verdict, o.RetryAfter = v, comeBack
+		if entry != nil {
+			entry.Verdict, entry.RetryAfter = verdict, retryAfter
 		}
 	case legacyCompleted:
-		if o != nil {
-			o.completed = true
+		if entry != nil {
+			entry.completed = true
 			delete(j.pending, id)
 		}
 	default:
 		return false
 	}
-	return !f.Invalid()
+	return !d.Invalid()
 }
