--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -6,15 +6,15 @@
 	"fmt"
 	"os"
 
-	"jaspersill/choice"
-	"jaspersill/port"
+	"jaspersill/delivery"
+	"jaspersill/scheduler"
 	"jaspersill/simwire"
 	"jaspersill/start"
 )
 
 func main() {
-	launch := func(seed uint64, s start.Start) port.Decider {
-		return choice.New(seed, s.Types, s.Partners, s.Room, s.Recovery, s.Directory, s.Fleet, s.OrderPause)
+	launch := func(seed uint64, s start.Start) delivery.Scheduler {
+		return scheduler.New(seed, s.Types, s.Partners, s.Room, s.Recovery, s.Directory, s.Fleet, s.OrderPause)
 	}
 	if err := simwire.Serve(os.Stdin, os.Stdout, launch); err != nil {
 		fmt.Fprintln(os.Stderr, "benchlink:", err)
--- a/cmd/jaspersill/check.go
+++ b/cmd/jaspersill/check.go
@@ -82,9 +82,9 @@
 				}
 				t := tabwriter.NewWriter(c.OutOrStdout(), 0, 8, 2, ' ', 0)
 				fmt.Fprintln(t, "EVENT\tTYPE\tCUSTOMER\tDEST\tDEADLINE\tSENDS\tMAY HAVE RUN\tVERDICT\tBODY")
-				for _, o := range r.Owed {
+				for _, o := range r.Pending {
 					fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%d\t%t\t%s\t%d B\n", o.ID, o.Kind, o.Owner, o.Dest,
-						o.Deadline.UTC().Format(time.RFC3339Nano), o.Sends, o.MayHaveRun, o.Verdict, o.Body)
+						o.Deadline.UTC().Format(time.RFC3339Nano), o.Attempts, o.MayHaveRun, o.Verdict, o.BodyBytes)
 				}
 				return t.Flush()
 			}},
@@ -98,15 +98,15 @@
 					return err
 				}
 				w := c.OutOrStdout()
-				fmt.Fprintf(w, "%d bytes, %d records, %d events owed\n", r.Size, r.Records, len(r.Owed))
-				if r.Torn > 0 {
+				fmt.Fprintf(w, "%d bytes, %d records, %d events owed\n", r.SizeBytes, r.Records, len(r.Pending))
+				if r.TruncatedBytes > 0 {
 					fmt.Fprintf(
 						w,
 						"the last %d bytes are no whole record and are dropped\n",
-						r.Torn,
+						r.TruncatedBytes,
 					)
 				}
-				if r.Lost {
+				if r.RecordsMissing {
 					fmt.Fprintln(w, "records are missing: what stood before them counts as possibly run")
 				}
 				if len(r.Faults) > 0 {
--- a/cmd/jaspersill/serve.go
+++ b/cmd/jaspersill/serve.go
@@ -13,10 +13,10 @@
 
 	"github.com/sirupsen/logrus"
 
-	"jaspersill/choice"
 	"jaspersill/house"
 	"jaspersill/logs"
 	"jaspersill/node"
+	"jaspersill/scheduler"
 )
 
 // serve runs the delivery node.
@@ -44,20 +44,20 @@
 	if err != nil {
 		return err
 	}
-	module := choice.New(seed, s.Types, s.Partners, s.Room, s.Recovery, s.Directory, s.Fleet, s.OrderPause)
+	module := scheduler.New(seed, s.Types, s.Partners, s.Room, s.Recovery, s.Directory, s.Fleet, s.OrderPause)
 	n, err := node.Open(
-		node.Place{
-			Listen:     b.Text("node.listen"),
-			Directory:  b.Text("node.directory"),
-			Folder:     b.Text("node.state"),
-			PeerListen: t.PeerListen,
-			PeersAll:   t.PeersAll,
-			Peers:      t.Peers,
-			Known:      t.Known,
+		node.Config{
+			Listen:         b.Text("node.listen"),
+			Directory:      b.Text("node.directory"),
+			StateFolder:    b.Text("node.state"),
+			PeerListen:     t.PeerListen,
+			PeersAll:       t.PeersAll,
+			Peers:          t.Peers,
+			KnownEndpoints: t.Known,
 		},
 		node.Limits{DiskMB: float64(b.Bytes("limits.disk")) / 1e6, Sockets: b.Count("limits.descriptors")},
-		node.ClientTimes{First: b.Span("clients.first"), Whole: b.Span("clients.whole"),
-			Between: b.Span("clients.between")},
+		node.ClientTimeouts{FirstRequest: b.Span("clients.first"), Request: b.Span("clients.whole"),
+			Idle: b.Span("clients.between")},
 		s,
 		module,
 	)
@@ -87,10 +87,10 @@
 	if memory := b.Bytes("limits.memory"); memory > 0 {
 		debug.SetMemoryLimit(int64(float64(memory) * b.Share("limits.heap_part")))
 	}
-	n.Drain(b.Span("drain.door"), b.Span("drain.choose"), b.Span("drain.end"))
-	n.Silence(b.Span("directory.silence"))
-	n.Notices(b.Span("notices.within"), b.Span("notices.again"))
-	n.Move(b.Text("node.directory"))
+	n.SetDrainTimes(b.Span("drain.door"), b.Span("drain.choose"), b.Span("drain.end"))
+	n.SetDirectorySilence(b.Span("directory.silence"))
+	n.SetNoticeTimes(b.Span("notices.within"), b.Span("notices.again"))
+	n.SetDirectoryAddress(b.Text("node.directory"))
 }
 
 // follow reads both files again each time they were replaced, for as long as the process lasts. A bad file
--- a/cmd/jaspersill/told.go
+++ b/cmd/jaspersill/told.go
@@ -50,7 +50,7 @@
 		err = errors.New("limits: none may be under 0")
 	}
 	s, bad := start.JSON(t.Settings)
-	s.Directory.Pushed, s.Directory.Asked = !s.Directory.Asked, true // on sockets every change is asked for
+	s.Directory.Automatic, s.Directory.RequiresWatch = !s.Directory.RequiresWatch, true // on sockets every change is asked for
 	return t, s, errors.Join(err, bad)
 }
 
--- a/reuse/reuse.go
+++ b/connreuse/connreuse.go
@@ -1,7 +1,7 @@
 // Package reuse decides which kept connections to an endpoint take another call, how long a connection rests before it
 // counts as in step, and how long an outcome that may be another call's is held before it is believed. It keeps what
 // was learned of one endpoint and does no I/O. Times are nanoseconds.
-package reuse
+package connreuse
 
 const (
 	millisecond = int64(1e6)
@@ -21,31 +21,31 @@
 	suspectMost  = 600 * second // and so long at most
 )
 
-// Endpoint is what is known of the answers of one endpoint. The zero value knows nothing.
-type Endpoint struct {
+// EndpointStats is what is known of the answers of one endpoint. The zero value knows nothing.
+type EndpointStats struct {
 	slowest      int64 // answer of late
 	suspectUntil int64
 	suspectSpan  int64
 }
 
-// Answered takes in how long a call took that was answered.
-func (e *Endpoint) Answered(took int64) {
+// RecordAnswer takes in how long a call took that was answered.
+func (e *EndpointStats) RecordAnswer(took int64) {
 	if e.slowest -= e.slowest / slowestDecay; took > e.slowest {
 		e.slowest = took
 	}
 }
 
-// Rest is how long a connection rests, with nothing unread, until it counts as in step: any answer that a call still
+// QuietPeriod is how long a connection rests, with nothing unread, until it counts as in step: any answer that a call still
 // had to come would have come.
-func (e *Endpoint) Rest() int64 {
+func (e *EndpointStats) QuietPeriod() int64 {
 	if e.slowest == 0 {
 		return restUnknown
 	}
 	return min(max(restLeast, restFactor*e.slowest), restMost)
 }
 
-// OutOfStep notes that answers were seen that no call waits for. More will come.
-func (e *Endpoint) OutOfStep(now int64) {
+// RecordOutOfSync notes that answers were seen that no call waits for. More will come.
+func (e *EndpointStats) RecordOutOfSync(now int64) {
 	if now < e.suspectUntil {
 		return
 	}
@@ -53,19 +53,19 @@
 	e.suspectUntil = now + e.suspectSpan
 }
 
-// Keeps tells whether connections are used for more than one call at present.
-func (e *Endpoint) Keeps(now int64) bool { return now >= e.suspectUntil }
+// ReuseAllowed tells whether connections are used for more than one call at present.
+func (e *EndpointStats) ReuseAllowed(now int64) bool { return now >= e.suspectUntil }
 
-// Refusals learns whether the refusals on a connection can be told apart, by the reports or waits that they carry. Where
+// RefusalStats learns whether the refusals on a connection can be told apart, by the reports or waits that they carry. Where
 // they can, a copy of one is known as such. It is shared by all endpoints, since each refuses seldom. The zero value has
 // seen none.
-type Refusals struct {
+type RefusalStats struct {
 	seen  bool
 	alike float64 // share of them that look like an earlier one on their connection
 }
 
-// Read takes in a refusal on a connection that was refused something before, and whether it looks like that.
-func (r *Refusals) Read(alike bool) {
+// Record takes in a refusal on a connection that was refused something before, and whether it looks like that.
+func (r *RefusalStats) Record(alike bool) {
 	if !r.seen {
 		r.seen, r.alike = true, alikeFirst
 	}
@@ -75,33 +75,33 @@
 	}
 }
 
-// Distinct tells whether refusals can mostly be told apart.
-func (r *Refusals) Distinct() bool { return r.seen && r.alike < alikeFewest }
+// Distinguishable tells whether refusals can mostly be told apart.
+func (r *RefusalStats) Distinguishable() bool { return r.seen && r.alike < alikeFewest }
 
 // Candidate is an idle connection that might take a call.
 type Candidate struct {
-	Rested  int64 // since its last answer
-	InStep  bool  // its last answer was surely its call's
-	Refused bool  // an answer on it said that its call never ran
+	IdleTime      int64 // since its last answer
+	InSync        bool  // its last answer was surely its call's
+	RefusedBefore bool  // an answer on it said that its call never ran
 }
 
 // Choose picks the idle connection for a call, the one used last standing at the end; -1 for a new one. A call that may
 // not be repeated goes only where a refusal of it can be known for its own: on a connection in step that was never refused
 // anything, or any in step where refusals are distinct. Others prefer connections in step that are of no use for those, the one used last, since unused ones grow stale; else
 // the one that has rested longest.
-func (e *Endpoint) Choose(idle []Candidate, repeatable, distinct bool, now int64) int {
-	if !e.Keeps(now) {
+func (e *EndpointStats) Choose(idle []Candidate, repeatable, distinct bool, now int64) int {
+	if !e.ReuseAllowed(now) {
 		return -1
 	}
-	rest, best := e.Rest(), -1
-	inStep := func(c Candidate) bool { return c.InStep || c.Rested >= rest }
+	rest, best := e.QuietPeriod(), -1
+	inStep := func(c Candidate) bool { return c.InSync || c.IdleTime >= rest }
 	for i, c := range idle {
 		switch {
-		case !repeatable && (!inStep(c) || (c.Refused && !distinct)):
+		case !repeatable && (!inStep(c) || (c.RefusedBefore && !distinct)):
 		case best < 0:
 			best = i
 		case !inStep(c):
-		case !inStep(idle[best]) || c.Refused || !idle[best].Refused:
+		case !inStep(idle[best]) || c.RefusedBefore || !idle[best].RefusedBefore:
 			best = i
 		}
 	}
--- a/errclass/errclass.go
+++ b/errclass/errclass.go
@@ -15,17 +15,17 @@
 
 // The classes.
 const (
-	None      Class = iota // there is no error
-	Momentary              // this machine was short of something or interrupted: the same call may be tried again
-	Peer                   // the other side, or the way to it, failed
-	Expired                // a deadline of our own passed
-	Closed                 // we closed it
-	Permanent              // the same call would fail again
+	None             Class = iota // there is no error
+	Transient                     // this machine was short of something or interrupted: the same call may be tried again
+	Remote                        // the other side, or the way to it, failed
+	DeadlineExceeded              // a deadline of our own passed
+	Closed                        // we closed it
+	Permanent                     // the same call would fail again
 )
 
-// momentary are the errors that say nothing of the object of the call. Linux documents them for calls on files and
+// transientErrnos are the errors that say nothing of the object of the call. Linux documents them for calls on files and
 // on sockets alike.
-var momentary = map[syscall.Errno]bool{
+var transientErrnos = map[syscall.Errno]bool{
 	syscall.EINTR:  true,
 	syscall.EAGAIN: true,
 	syscall.ENOMEM: true,
@@ -33,8 +33,8 @@
 	syscall.ENFILE: true,
 }
 
-// momentaryOfFiles are those that a disk has for a while.
-var momentaryOfFiles = map[syscall.Errno]bool{
+// transientFileErrnos are those that a disk has for a while.
+var transientFileErrnos = map[syscall.Errno]bool{
 	syscall.EIO:       true,
 	syscall.ENOSPC:    true,
 	syscall.EDQUOT:    true,
@@ -44,9 +44,9 @@
 	syscall.ETIMEDOUT: true,
 }
 
-// momentaryOfSockets are those that the local side of the network has for a while: buffers, ports, addresses, rules
+// transientSocketErrnos are those that the local side of the network has for a while: buffers, ports, addresses, rules
 // of its packet filter.
-var momentaryOfSockets = map[syscall.Errno]bool{
+var transientSocketErrnos = map[syscall.Errno]bool{
 	syscall.ENOBUFS:       true,
 	syscall.EADDRINUSE:    true,
 	syscall.EADDRNOTAVAIL: true,
@@ -55,10 +55,10 @@
 	syscall.EIO:           true,
 }
 
-// momentaryOfStreams are those that a read or write of an established connection may meet and outlast: the system
+// transientStreamErrnos are those that a read or write of an established connection may meet and outlast: the system
 // tells of trouble on the way while it still tries, or once, before the end of a connection that has really gone. The
 // same call tells then.
-var momentaryOfStreams = map[syscall.Errno]bool{
+var transientStreamErrnos = map[syscall.Errno]bool{
 	syscall.ETIMEDOUT:    true,
 	syscall.EHOSTUNREACH: true,
 	syscall.ENETUNREACH:  true,
@@ -73,8 +73,8 @@
 		return None
 	case errors.Is(err, os.ErrClosed):
 		return Closed
-	case errors.As(err, &errno) && (momentary[errno] || momentaryOfFiles[errno]):
-		return Momentary
+	case errors.As(err, &errno) && (transientErrnos[errno] || transientFileErrnos[errno]):
+		return Transient
 	}
 	return Permanent
 }
@@ -82,8 +82,8 @@
 // Stream classifies an error of a read or write on an established connection.
 func Stream(err error) Class {
 	var errno syscall.Errno
-	if errors.As(err, &errno) && momentaryOfStreams[errno] {
-		return Momentary
+	if errors.As(err, &errno) && transientStreamErrnos[errno] {
+		return Transient
 	}
 	return Socket(err)
 }
@@ -97,16 +97,16 @@
 	case errors.Is(err, net.ErrClosed):
 		return Closed
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return Expired
+		return DeadlineExceeded
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
-		return Peer
-	case errors.As(err, &errno) && (momentary[errno] || momentaryOfSockets[errno]):
-		return Momentary
+		return Remote
+	case errors.As(err, &errno) && (transientErrnos[errno] || transientSocketErrnos[errno]):
+		return Transient
 	case errors.As(err, &errno):
-		return Peer
+		return Remote
 	}
 	return Permanent
 }
 
-// ShortOfDescriptors tells whether this process has no descriptor left, so that closing one of its own helps.
-func ShortOfDescriptors(err error) bool { return errors.Is(err, syscall.EMFILE) }
+// DescriptorsExhausted tells whether this process has no descriptor left, so that closing one of its own helps.
+func DescriptorsExhausted(err error) bool { return errors.Is(err, syscall.EMFILE) }
--- a/lab/ledger/ledger.go
+++ b/lab/ledger/ledger.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"slices"
 
+	"jaspersill/delivery"
 	"jaspersill/lab/scenario"
-	"jaspersill/port"
 )
 
 // Rule is one of the six rules of docs/design.md.
@@ -77,11 +77,11 @@
 
 // Send is one send as it was seen.
 type Send struct {
-	At       int64        `json:"at_ns"`
-	HeardAt  int64        `json:"heard_at_ns,omitempty"`
-	Endpoint int32        `json:"endpoint"`
-	Heard    bool         `json:"heard"`
-	How      port.Outcome `json:"how"`
+	At       int64            `json:"at_ns"`
+	HeardAt  int64            `json:"heard_at_ns,omitempty"`
+	Endpoint int32            `json:"endpoint"`
+	Heard    bool             `json:"heard"`
+	How      delivery.Outcome `json:"how"`
 }
 
 // Outcomes are the names of the outcomes of sends, by port.Outcome.
@@ -98,7 +98,7 @@
 }
 
 // OutcomeName names an outcome.
-func OutcomeName(o port.Outcome) string { return Outcomes[o] }
+func OutcomeName(o delivery.Outcome) string { return Outcomes[o] }
 
 // End is how an event ended.
 type End uint8
@@ -166,7 +166,7 @@
 // Ledger judges one run. Events are known by small numbers that their caller gives out and takes back.
 type Ledger struct {
 	day     *scenario.Scenario
-	types   []port.StreamType
+	types   []delivery.StreamType
 	copies  bool
 	events  []event
 	lines   map[key]*line
@@ -284,9 +284,9 @@
 			}
 		}
 		switch {
-		case t.Safety == port.NonIdempotent:
+		case t.Safety == delivery.NonIdempotent:
 			l.breaks(Once, now, e, "another send of an event that may have run and must not run twice")
-		case t.Safety == port.Deduplicated && first > 0 && now-first > t.Window:
+		case t.Safety == delivery.Deduplicated && first > 0 && now-first > t.DedupWindow:
 			l.breaks(Once, now, e, "a repeat after its mark may be forgotten")
 		}
 	}
@@ -341,7 +341,7 @@
 }
 
 // Hear notes what a node heard of a send, by its number.
-func (l *Ledger) Hear(now int64, evt int32, number int, how port.Outcome) {
+func (l *Ledger) Hear(now int64, evt int32, number int, how delivery.Outcome) {
 	e := &l.events[evt]
 	l.How[how]++
 	if number >= len(e.sends) || e.sends[number].Heard {
@@ -350,12 +350,12 @@
 	s := &e.sends[number]
 	s.Heard, s.HeardAt, s.How = true, now, how
 	e.out--
-	if how.MayHaveRun() && how != port.Acked && !e.mayRun {
+	if how.MayHaveRun() && how != delivery.Acked && !e.mayRun {
 		e.mayRun, e.ranAt = true, s.At
 	}
 	if t := &l.types[e.typ]; t.Ordered && e.key != 0 {
 		k := l.lines[key{e.node, e.typ, e.key}]
-		if k != nil && (how == port.TimedOut || how == port.Reset || how == port.Cancelled) {
+		if k != nil && (how == delivery.TimedOut || how == delivery.Reset || how == delivery.Cancelled) {
 			k.restUntil = now + int64(l.day.Rules.OrderPause)
 		}
 	}
@@ -366,7 +366,7 @@
 func (l *Ledger) Reach(now int64, evt int32) (known bool) {
 	e := &l.events[evt]
 	t := &l.types[e.typ]
-	known = t.Safety == port.Deduplicated && (e.working > 0 || (e.effects > 0 && now-e.learned <= t.Window))
+	known = t.Safety == delivery.Deduplicated && (e.working > 0 || (e.effects > 0 && now-e.learned <= t.DedupWindow))
 	e.working++
 	return known
 }
@@ -381,7 +381,7 @@
 	}
 	e.learned = came
 	l.Effects++
-	if e.effects++; e.effects > 1 && t.Safety != port.Idempotent {
+	if e.effects++; e.effects > 1 && t.Safety != delivery.Idempotent {
 		l.breaks(Once, now, e, fmt.Sprintf("it took effect %d times", e.effects))
 	}
 }
@@ -401,7 +401,7 @@
 			e,
 			fmt.Sprintf("%s %.3f s after its time was up", end, float64(now-e.deadline)/1e9),
 		)
-	case end == Declined && t.Safety == port.NonIdempotent && (e.mayRun || e.out > 0):
+	case end == Declined && t.Safety == delivery.NonIdempotent && (e.mayRun || e.out > 0):
 		l.breaks(Once, now, e, "declined though it may have run and must not run twice")
 	}
 	e.end = end
@@ -511,7 +511,7 @@
 		}
 		for n := range e.sends {
 			if s := &e.sends[n]; !s.Heard {
-				s.Heard, s.HeardAt, s.How = true, now, port.Reset
+				s.Heard, s.HeardAt, s.How = true, now, delivery.Reset
 				e.out--
 				if !e.mayRun {
 					e.mayRun, e.ranAt = true, s.At
--- a/lab/loopback/directory.go
+++ b/lab/loopback/directory.go
@@ -10,8 +10,8 @@
 
 	"github.com/valyala/fasthttp"
 
+	"jaspersill/delivery"
 	"jaspersill/lab/ledger"
-	"jaspersill/port"
 )
 
 // host is an entry of the list.
@@ -33,7 +33,7 @@
 }
 
 // entry is an endpoint as the directory tells it.
-func (s *Stage) entry(ep int32, state port.State) host {
+func (s *Stage) entry(ep int32, state delivery.EndpointState) host {
 	e := &s.partners.Endpoints[ep]
 	p := &s.day.Partners[e.Kind]
 	h := host{
@@ -43,7 +43,7 @@
 		Class:  p.Name,
 		Block:  e.Dest,
 		Share:  1,
-		Health: map[port.State]string{port.Ready: "Ready", port.Draining: "Terminating", port.Gone: "Gone"}[state],
+		Health: map[delivery.EndpointState]string{delivery.Ready: "Ready", delivery.Draining: "Terminating", delivery.Gone: "Gone"}[state],
 	}
 	if p.Rated {
 		h.Share = p.Limit
@@ -54,20 +54,20 @@
 // whole is the list as it was told last; the lock is held.
 func (s *Stage) whole() list {
 	l := list{Seq: len(s.changes) + 1, Whole: true}
-	states := make([]port.State, len(s.partners.Endpoints))
+	states := make([]delivery.EndpointState, len(s.partners.Endpoints))
 	for ep := range states {
-		states[ep] = port.Ready
+		states[ep] = delivery.Ready
 	}
 	for ep := range s.partners.Endpoints { // those that came later are not there before they were told
 		if s.late(int32(ep)) {
-			states[ep] = port.Gone
+			states[ep] = delivery.Gone
 		}
 	}
 	for _, c := range s.changes {
 		states[c.ep] = c.state
 	}
 	for ep, state := range states {
-		if state != port.Gone {
+		if state != delivery.Gone {
 			l.Hosts = append(l.Hosts, s.entry(int32(ep), state))
 		}
 	}
@@ -84,7 +84,7 @@
 }
 
 // tellChange has the directory tell a change after its delay, and later while it stands still or is down.
-func (s *Stage) tellChange(ep int32, state port.State) {
+func (s *Stage) tellChange(ep int32, state delivery.EndpointState) {
 	var tell func()
 	tell = func() {
 		s.mu.Lock()
@@ -106,7 +106,7 @@
 // told notes what a node was told to leave.
 func (s *Stage) told(node int32, changes []change) {
 	for _, c := range changes {
-		if c.state != port.Ready {
+		if c.state != delivery.Ready {
 			time.AfterFunc(drainGrace, func() {
 				s.mu.Lock()
 				defer s.mu.Unlock()
--- a/lab/loopback/node_bench_test.go
+++ b/lab/loopback/node_bench_test.go
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
-	"jaspersill/choice"
 	"jaspersill/lab/load"
 	"jaspersill/lab/scenarios"
 	"jaspersill/node"
+	"jaspersill/scheduler"
 	"jaspersill/start"
 )
 
@@ -35,12 +35,12 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	told.Directory.Asked = true
+	told.Directory.RequiresWatch = true
 	listen, err := free("tcp")
 	if err != nil {
 		b.Fatal(err)
 	}
-	module := choice.New(
+	module := scheduler.New(
 		1,
 		told.Types,
 		told.Partners,
@@ -50,12 +50,12 @@
 		told.Fleet,
 		0,
 	)
-	n, err := node.Open(node.Place{Listen: listen, Directory: s.Directory(0), Folder: b.TempDir()},
-		node.Limits{DiskMB: 64, Sockets: 4096}, node.ClientTimes{}, told, module)
+	n, err := node.Open(node.Config{Listen: listen, Directory: s.Directory(0), StateFolder: b.TempDir()},
+		node.Limits{DiskMB: 64, Sockets: 4096}, node.ClientTimeouts{}, told, module)
 	if err != nil {
 		b.Fatal(err)
 	}
-	n.Drain(0, 0, 0)
+	n.SetDrainTimes(0, 0, 0)
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- n.Run(ctx) }()
--- a/lab/loopback/stage.go
+++ b/lab/loopback/stage.go
@@ -13,11 +13,11 @@
 	"sync"
 	"time"
 
+	"jaspersill/delivery"
 	"jaspersill/door"
 	"jaspersill/lab/ledger"
 	"jaspersill/lab/partner"
 	"jaspersill/lab/scenario"
-	"jaspersill/port"
 )
 
 const (
@@ -71,7 +71,7 @@
 
 type change struct {
 	ep    int32
-	state port.State
+	state delivery.EndpointState
 }
 
 // gate is an endpoint's listener.
@@ -289,7 +289,7 @@
 	}
 	s.mu.Unlock()
 	defer s.release(sends)
-	if fell || (f.Answers() && f.How == port.Reset && !f.Ran) {
+	if fell || (f.Answers() && f.How == delivery.Reset && !f.Ran) {
 		reset(c)
 		return false
 	}
@@ -319,7 +319,7 @@
 	time.Sleep(time.Duration(f.After))
 	if !open(c, in) { // the node gave it up
 		s.mu.Lock()
-		s.heard(sends, ep, lane, node, port.TimedOut, 0)
+		s.heard(sends, ep, lane, node, delivery.TimedOut, 0)
 		s.mu.Unlock()
 		return false
 	}
@@ -343,9 +343,9 @@
 }
 
 // heard notes what a node hears of the sends of a call; the lock is held.
-func (s *Stage) heard(sends []out, ep, lane, node int32, how port.Outcome, wait int64) {
+func (s *Stage) heard(sends []out, ep, lane, node int32, how delivery.Outcome, wait int64) {
 	now := s.now()
-	if from, to := s.partners.Outage(lane); how != port.Acked && from > 0 && now < to && node >= 0 {
+	if from, to := s.partners.Outage(lane); how != delivery.Acked && from > 0 && now < to && node >= 0 {
 		s.saw(node, lane, from)
 	}
 	if wait > 0 && node >= 0 {
@@ -367,7 +367,7 @@
 			continue
 		}
 		s.ledger.Hear(now, e.number, o.number, how)
-		if how == port.Acked && !e.ended {
+		if how == delivery.Acked && !e.ended {
 			e.ended = true
 			s.ledger.Finish(now, e.number, ledger.Acked)
 		}
--- a/lab/loopback/troubles.go
+++ b/lab/loopback/troubles.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
+	"jaspersill/delivery"
 	"jaspersill/lab/partner"
 	"jaspersill/lab/world"
-	"jaspersill/port"
 )
 
 // drawTroubles draws whom each trouble meets, as the world in virtual time does from the same seed.
@@ -173,15 +173,15 @@
 		}
 	}
 	s.meet(next)
-	s.tellChange(ep, port.Draining)
-	s.tellChange(next, port.Ready)
+	s.tellChange(ep, delivery.Draining)
+	s.tellChange(next, delivery.Ready)
 	time.AfterFunc(time.Duration(s.day.Fleet.Directory+s.day.Rules.Grace)+leaveAfter, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if !s.stopped {
 			s.partners.Leave(ep)
 			s.shutGate(ep)
-			s.tellChange(ep, port.Gone)
+			s.tellChange(ep, delivery.Gone)
 		}
 	})
 }
--- a/lab/loopback/wire.go
+++ b/lab/loopback/wire.go
@@ -14,8 +14,8 @@
 
 	"github.com/valyala/fasthttp"
 
+	"jaspersill/delivery"
 	"jaspersill/lab/partner"
-	"jaspersill/port"
 )
 
 // request is one call of one event or of several.
@@ -88,7 +88,7 @@
 		heads = fmt.Sprintf("Srv-Load: x0=%.3f,x1=%g\r\n", f.Left, f.Limit)
 	}
 	switch f.How {
-	case port.Acked:
+	case delivery.Acked:
 		if !r.bulk {
 			return writeStatus(c, 200, heads) == nil
 		}
@@ -104,14 +104,14 @@
 			body.String(),
 		)
 		return err == nil
-	case port.Errored:
+	case delivery.Errored:
 		return writeStatus(c, 500, heads) == nil
-	case port.Declined:
+	case delivery.Refused:
 		if f.Wait > 0 {
 			return writeStatus(c, 429, heads+fmt.Sprintf("Retry-After: %.3f\r\n", float64(f.Wait)/1e9)) == nil
 		}
 		return writeStatus(c, 503, heads) == nil
-	case port.Spoilt:
+	case delivery.Unreadable:
 		io.WriteString(c, "HTTP/1.1 2\x00\x01 ?\r\nContent-Length: 90000000000\r\n\r\n\xff\xfe")
 		time.Sleep(time.Second)
 		return false
--- a/lab/partner/partner.go
+++ b/lab/partner/partner.go
@@ -8,8 +8,8 @@
 	"math"
 	"math/rand/v2"
 
+	"jaspersill/delivery"
 	"jaspersill/lab/scenario"
-	"jaspersill/port"
 )
 
 const (
@@ -320,7 +320,7 @@
 
 // Fate is what comes of a call that reached an endpoint.
 type Fate struct {
-	How         port.Outcome
+	How         delivery.Outcome
 	Ran         bool  // the events take effect when the work is done
 	Done        int64 // when the work is done, and the answer leaves; far away where none comes
 	After       int64 // the answer leaves so much later than the work is done
@@ -339,16 +339,16 @@
 	m.Offered[e.Kind]++
 	m.offered(now, e.lane, informed)
 	p := &m.day.Partners[e.Kind]
-	f := Fate{How: port.Declined, Done: now}
+	f := Fate{How: delivery.Refused, Done: now}
 	if p.Reports && p.Limit > 0 {
 		f.Limit, f.Left = p.Limit, m.report(now, l, p)
 	}
 	switch {
 	case e.Gone, e.Mode == Refusing, now < l.fallenUntil:
-		f.How = port.Reset
+		f.How = delivery.Reset
 		return f
 	case e.Mode == Silent, e.Mode == Hung:
-		return Fate{How: port.TimedOut, Done: never}
+		return Fate{How: delivery.TimedOut, Done: never}
 	case e.Draining:
 		m.Refused[e.Kind]++
 		return f
@@ -393,15 +393,15 @@
 	}
 	f.Done = start + int64(float64(work)*e.Pace*e.slow/m.speed(now, e.lane))
 	e.free[first] = f.Done
-	f.How, f.Ran = port.Acked, true
+	f.How, f.Ran = delivery.Acked, true
 	if e.fail > 0 && m.chance.Float64() < e.fail {
-		f.How, f.Ran = port.Errored, m.chance.Float64() < failRan
+		f.How, f.Ran = delivery.Errored, m.chance.Float64() < failRan
 	}
 	switch {
 	case e.lose > 0 && m.chance.Float64() < e.lose:
-		f.How = port.Reset
+		f.How = delivery.Reset
 	case e.spoil > 0 && m.chance.Float64() < e.spoil:
-		f.How, f.After = port.Spoilt, spoiltBody
+		f.How, f.After = delivery.Unreadable, spoiltBody
 	case e.late > 0 && m.chance.Float64() < e.late:
 		f.After = int64(float64(f.Done-start) * (e.lateBy - 1))
 	}
--- a/lab/policy/policy.go
+++ b/lab/policy/policy.go
@@ -10,9 +10,9 @@
 	"slices"
 	"strings"
 
-	"jaspersill/choice"
+	"jaspersill/delivery"
 	"jaspersill/lab/world"
-	"jaspersill/port"
+	"jaspersill/scheduler"
 )
 
 // Names of the policies, in the order of reports.
@@ -49,7 +49,7 @@
 	case "module":
 		launch = Module
 	case "informed", "once", "fixed", "backoff", "source", "breaker":
-		launch = func(w *world.World, node int, seed uint64) port.Decider { return newPlain(base, w, node, seed) }
+		launch = func(w *world.World, node int, seed uint64) delivery.Scheduler { return newPlain(base, w, node, seed) }
 	default:
 		return nil, fmt.Errorf("policy %q: want one of %s", name, strings.Join(Names, ", "))
 	}
@@ -60,58 +60,58 @@
 		return nil, fmt.Errorf("policy %q: want module+ and one of %s", name,
 			strings.Join(slices.Sorted(maps.Keys(Weaknesses)), ", "))
 	}
-	return func(w *world.World, node int, seed uint64) port.Decider {
+	return func(w *world.World, node int, seed uint64) delivery.Scheduler {
 		types := w.Day().StreamTypes()
 		for i := range types {
 			switch t := &types[i]; {
-			case weak == "forgetful" && t.Safety == port.Deduplicated,
-				weak == "careless" && t.Safety == port.NonIdempotent:
-				t.Safety = port.Idempotent
+			case weak == "forgetful" && t.Safety == delivery.Deduplicated,
+				weak == "careless" && t.Safety == delivery.NonIdempotent:
+				t.Safety = delivery.Idempotent
 			case weak == "disorderly":
 				t.Ordered = false
 			}
 		}
-		return &rogue{Decider: module(w, node, seed, types), weak: weak}
+		return &rogue{Scheduler: module(w, node, seed, types), weak: weak}
 	}, nil
 }
 
 // Module launches the decision module.
-func Module(w *world.World, node int, seed uint64) port.Decider {
+func Module(w *world.World, node int, seed uint64) delivery.Scheduler {
 	return module(w, node, seed, w.Day().StreamTypes())
 }
 
-func module(w *world.World, node int, seed uint64, types []port.StreamType) port.Decider {
+func module(w *world.World, node int, seed uint64, types []delivery.StreamType) delivery.Scheduler {
 	day := w.Day()
-	return choice.New(seed, types, day.PartnerKinds(), day.Room(), day.Recovery(),
-		port.Directory{Asked: true, Grace: int64(day.Rules.Grace)},
-		port.Fleet{Me: node, Nodes: day.Fleet.Nodes, Notes: day.Fleet.Notes}, int64(day.Rules.OrderPause))
+	return scheduler.New(seed, types, day.PartnerKinds(), day.Room(), day.Recovery(),
+		delivery.Directory{RequiresWatch: true, DrainGrace: int64(day.Rules.Grace)},
+		delivery.Cluster{Self: node, Nodes: day.Fleet.Nodes, PeerMessages: day.Fleet.Notes}, int64(day.Rules.OrderPause))
 }
 
 // rogue is the module with a weakness: it hears, or does, something else than what is so.
 type rogue struct {
-	port.Decider
+	delivery.Scheduler
 	weak  string
-	feed  port.Feed
-	out   port.Writer
+	feed  delivery.Feed
+	out   delivery.Executor
 	came  int
 	extra int32 // restless: an event to send once more, plus 1, and where
 	where int32
 	done  bool // it has sent one
 }
 
-func (r *rogue) Round(now int64, feed port.Feed, out port.Writer) {
+func (r *rogue) Round(now int64, feed delivery.Feed, out delivery.Executor) {
 	r.feed, r.out = feed, out
-	r.Decider.Round(now, r, out)
+	r.Scheduler.Round(now, r, out)
 	if r.extra > 0 {
 		out.Send(r.extra-1, r.where, int64(1e9))
 		r.extra = 0
 	}
 }
 
-func (r *rogue) Deliver(to port.Intake) { r.feed.Deliver(rogueIntake{to, r}) }
+func (r *rogue) Deliver(to delivery.Handler) { r.feed.Deliver(rogueIntake{to, r}) }
 
 type rogueIntake struct {
-	port.Intake
+	delivery.Handler
 	of *rogue
 }
 
@@ -119,30 +119,30 @@
 	if i.of.came++; i.of.weak == "lossy" && i.of.came%50 == 0 {
 		return
 	}
-	i.Intake.Event(evt, typ, customer, key, left, work, dest)
+	i.Handler.Event(evt, typ, customer, key, left, work, dest)
 }
 
-func (i rogueIntake) Outcome(evt int32, send int, ep int32, how port.Outcome, wait, took int64, ended bool,
+func (i rogueIntake) Outcome(evt int32, send int, ep int32, how delivery.Outcome, wait, took int64, ended bool,
 	left, limit float64) {
 	switch {
 	case i.of.weak == "deaf":
 		wait = 0
-	case i.of.weak == "blind" && how == port.ConnectFailed:
-		how = port.Unsent
+	case i.of.weak == "blind" && how == delivery.ConnectFailed:
+		how = delivery.Unsent
 	case i.of.weak == "restless" && ended && !i.of.done:
 		i.of.extra, i.of.where, i.of.done = evt+1, ep, true
 	}
 	if i.of.weak == "restless" && i.of.done && send > 0 { // of the one too many the module knows nothing
 		return
 	}
-	i.Intake.Outcome(evt, send, ep, how, wait, took, ended, left, limit)
+	i.Handler.Outcome(evt, send, ep, how, wait, took, ended, left, limit)
 }
 
-func (i rogueIntake) Listed(ep, dest int32, partner, zone int, state port.State, rate float64) {
+func (i rogueIntake) EndpointListed(ep, dest int32, partner, zone int, state delivery.EndpointState, rate float64) {
 	if i.of.weak == "undrained" {
-		state = port.Ready
+		state = delivery.Ready
 	}
-	i.Intake.Listed(ep, dest, partner, zone, state, rate)
+	i.Handler.EndpointListed(ep, dest, partner, zone, state, rate)
 }
 
 const (
@@ -178,11 +178,11 @@
 	name    string
 	world   *world.World
 	node    int
-	types   []port.StreamType
-	room    port.Room
+	types   []delivery.StreamType
+	room    delivery.Limits
 	chance  *rand.Rand
 	now     int64
-	out     port.Writer
+	out     delivery.Executor
 	events  []plainEvent
 	waiting []int32
 	slots   int
@@ -203,7 +203,7 @@
 		chance: rand.New(rand.NewPCG(seed, 0x91a1)), budget: budgetMost}
 }
 
-func (p *plain) Round(now int64, feed port.Feed, out port.Writer) {
+func (p *plain) Round(now int64, feed delivery.Feed, out delivery.Executor) {
 	p.now, p.out = now, out
 	feed.Deliver(p)
 	if !p.watched && now >= p.askAt {
@@ -244,7 +244,7 @@
 // try sends an event if it may go now.
 func (p *plain) try(evt int32) bool {
 	e := &p.events[evt]
-	if p.now < e.notBefore || p.now < p.until[e.dest] || p.slots >= p.room.Slots {
+	if p.now < e.notBefore || p.now < p.until[e.dest] || p.slots >= p.room.MaxConcurrentCalls {
 		return false
 	}
 	ep := int32(-1)
@@ -262,7 +262,7 @@
 	}
 	timeout := min(plainWait, e.deadline-p.now)
 	t := &p.types[e.typ]
-	if t.Safety == port.NonIdempotent || p.name == "informed" {
+	if t.Safety == delivery.NonIdempotent || p.name == "informed" {
 		timeout = e.deadline - p.now
 	}
 	e.out, e.sentAt = true, p.now
@@ -284,7 +284,7 @@
 			return ep
 		}
 	}
-	careful := t.Safety == port.NonIdempotent && e.deadline-p.now > t.MaxAge/2
+	careful := t.Safety == delivery.NonIdempotent && e.deadline-p.now > t.MaxAge/2
 	best := p.world.Partners().Best(p.now, e.dest, p.world.Work(p.node, evt), careful,
 		func(ep int32) bool { return p.world.Linked(p.node, ep) })
 	if best < 0 {
@@ -312,11 +312,11 @@
 	if e.mayRun || e.out {
 		p.out.Discard(evt)
 	} else {
-		p.out.Decline(evt, min(comeBack, p.room.ComeBack))
+		p.out.Decline(evt, min(comeBack, p.room.MaxRetryAfter))
 	}
 }
 
-func (p *plain) Full() int64 { return min(int64(5e8), p.room.ComeBack) }
+func (p *plain) RetryAfter() int64 { return min(int64(5e8), p.room.MaxRetryAfter) }
 
 func (p *plain) Event(evt int32, typ, customer int, key uint64, left, work int64, dest int32) {
 	for int(evt) >= len(p.events) {
@@ -337,14 +337,14 @@
 func (p *plain) Resumed(evt int32, sends int, mayRun bool, ago int64, zone int) {
 	e := &p.events[evt]
 	e.sends, e.mayRun, e.ranAt = int32(sends), mayRun, p.now-ago
-	if mayRun && p.types[e.typ].Safety == port.NonIdempotent {
+	if mayRun && p.types[e.typ].Safety == delivery.NonIdempotent {
 		p.end(evt, 0)
 	}
 }
 
-func (p *plain) Begun(int32, int) {}
+func (p *plain) ProcessingStarted(int32, int) {}
 
-func (p *plain) Outcome(evt int32, send int, ep int32, how port.Outcome, wait, took int64, ended bool,
+func (p *plain) Outcome(evt int32, send int, ep int32, how delivery.Outcome, wait, took int64, ended bool,
 	left, limit float64) {
 	e := &p.events[evt]
 	p.slots--
@@ -353,12 +353,12 @@
 	if wait > 0 {
 		p.until[e.dest] = max(p.until[e.dest], p.now+wait)
 	}
-	if how == port.Acked {
+	if how == delivery.Acked {
 		p.fails[e.dest] = 0
 	} else {
 		p.fails[e.dest]++
 	}
-	if how.MayHaveRun() && how != port.Acked && !e.mayRun {
+	if how.MayHaveRun() && how != delivery.Acked && !e.mayRun {
 		e.mayRun, e.ranAt = true, e.sentAt
 	}
 	if ended || !e.live {
@@ -369,7 +369,7 @@
 }
 
 // again plans the next try of an event, or ends it.
-func (p *plain) again(evt int32, how port.Outcome, wait int64) {
+func (p *plain) again(evt int32, how delivery.Outcome, wait int64) {
 	e := &p.events[evt]
 	t := &p.types[e.typ]
 	e.fails++
@@ -384,7 +384,7 @@
 		delay = max(delay, int64(p.chance.Float64()*float64(min(backoffMost, backoffBase<<n))))
 	case "source":
 		if wait == 0 {
-			if delay = sourceError << n; how == port.Declined {
+			if delay = sourceError << n; how == delivery.Refused {
 				delay = sourceBase + sourceExtra<<n
 			}
 			delay += int64(p.chance.Float64() * 0.5 * float64(delay))
@@ -405,14 +405,14 @@
 	}
 	e.notBefore = p.now + delay
 	over := e.deadline
-	if e.mayRun && t.Safety == port.Deduplicated {
-		over = min(over, e.ranAt+t.Window-int64(1e8))
+	if e.mayRun && t.Safety == delivery.Deduplicated {
+		over = min(over, e.ranAt+t.DedupWindow-int64(1e8))
 	}
-	if (e.mayRun && t.Safety == port.NonIdempotent) || int(e.sends) >= p.room.Sends || e.notBefore >= over {
+	if (e.mayRun && t.Safety == delivery.NonIdempotent) || int(e.sends) >= p.room.MaxAttempts || e.notBefore >= over {
 		p.end(evt, delay)
 		return
 	}
-	if e.mayRun && t.Safety == port.Deduplicated {
+	if e.mayRun && t.Safety == delivery.Deduplicated {
 		e.deadline = over
 	}
 	p.waiting = append(p.waiting, evt)
@@ -422,13 +422,13 @@
 func (p *plain) Confirmed(int32, int)   {}
 func (p *plain) Withdrawn(evt int32)    { p.events[evt].live = false }
 
-func (p *plain) ListBegins(whole bool) {
+func (p *plain) ListStarted(whole bool) {
 	if whole {
 		clear(p.ready)
 	}
 }
 
-func (p *plain) Listed(ep, dest int32, partner, zone int, state port.State, rate float64) {
+func (p *plain) EndpointListed(ep, dest int32, partner, zone int, state delivery.EndpointState, rate float64) {
 	p.dest(dest)
 	for int(ep) >= len(p.ready) {
 		p.ready, p.load = append(p.ready, false), append(p.load, 0)
@@ -440,11 +440,11 @@
 	if !known {
 		p.byDest[dest] = append(p.byDest[dest], ep)
 	}
-	p.ready[ep] = state == port.Ready
+	p.ready[ep] = state == delivery.Ready
 }
 
-func (p *plain) ListEnds()                                           { p.watched = p.askAt > 0 }
-func (p *plain) ListFailed()                                         { p.watched = false }
-func (p *plain) Probed(int32, port.Outcome, int64, float64, float64) {}
-func (p *plain) PeerGood(int, int32)                                 {}
-func (p *plain) Woken()                                              { p.wakeAt = 0 }
+func (p *plain) ListEnded()                                              { p.watched = p.askAt > 0 }
+func (p *plain) ListFailed()                                             { p.watched = false }
+func (p *plain) Probed(int32, delivery.Outcome, int64, float64, float64) {}
+func (p *plain) PeerReportedHealthy(int, int32)                          {}
+func (p *plain) Woken()                                                  { p.wakeAt = 0 }
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -14,7 +14,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"jaspersill/port"
+	"jaspersill/delivery"
 )
 
 // Version is the version of the format; a file may name it and is refused where it differs.
@@ -466,14 +466,14 @@
 	return c.err
 }
 
-var safeties = map[string]port.Safety{"idempotent": port.Idempotent, "deduplicated": port.Deduplicated,
-	"non-idempotent": port.NonIdempotent}
+var safeties = map[string]delivery.Safety{"idempotent": delivery.Idempotent, "deduplicated": delivery.Deduplicated,
+	"non-idempotent": delivery.NonIdempotent}
 
 // StreamTypes is what a node is told of the stream types.
-func (s *Scenario) StreamTypes() (types []port.StreamType) {
+func (s *Scenario) StreamTypes() (types []delivery.StreamType) {
 	for _, t := range s.Types {
-		types = append(types, port.StreamType{Safety: safeties[t.Safety], Ordered: t.Keys > 0,
-			Window: int64(
+		types = append(types, delivery.StreamType{Safety: safeties[t.Safety], Ordered: t.Keys > 0,
+			DedupWindow: int64(
 				t.Window,
 			), SLO: int64(t.SLO), MaxAge: int64(t.MaxAge), Utility: t.Utility, LateUtility: t.Late})
 	}
@@ -481,28 +481,28 @@
 }
 
 // PartnerKinds is what a node is told of the kinds of destinations.
-func (s *Scenario) PartnerKinds() (kinds []port.Partner) {
+func (s *Scenario) PartnerKinds() (kinds []delivery.DestinationKind) {
 	for _, p := range s.Partners {
-		kinds = append(kinds, port.Partner{Routes: p.Routes, PerCall: p.PerCall})
+		kinds = append(kinds, delivery.DestinationKind{LimitPerEndpoint: p.Routes, MaxEventsPerCall: p.PerCall})
 	}
 	return kinds
 }
 
 // Room is what a node may have at once.
-func (s *Scenario) Room() port.Room {
-	return port.Room{
-		Slots:    s.Fleet.Slots,
-		Events:   s.Fleet.Events,
-		Sends:    s.Fleet.Sends,
-		Cancels:  true,
-		ComeBack: int64(s.Fleet.ComeBack),
+func (s *Scenario) Room() delivery.Limits {
+	return delivery.Limits{
+		MaxConcurrentCalls: s.Fleet.Slots,
+		MaxEvents:          s.Fleet.Events,
+		MaxAttempts:        s.Fleet.Sends,
+		CanCancel:          true,
+		MaxRetryAfter:      int64(s.Fleet.ComeBack),
 	}
 }
 
 // Recovery is how destinations come back.
-func (s *Scenario) Recovery() port.Recovery {
-	return port.Recovery{ColdShare: s.Rules.ColdShare, WarmAfter: int64(s.Rules.WarmAfter),
-		FallMultiple: s.Rules.FallMultiple, FallAfter: int64(s.Rules.FallAfter)}
+func (s *Scenario) Recovery() delivery.Recovery {
+	return delivery.Recovery{ColdShare: s.Rules.ColdShare, WarmupTime: int64(s.Rules.WarmAfter),
+		OverloadFactor: s.Rules.FallMultiple, OverloadAfter: int64(s.Rules.FallAfter)}
 }
 
 // Worth is the part of an event's utility that is left at an age.
--- a/lab/world/calls.go
+++ b/lab/world/calls.go
@@ -1,9 +1,9 @@
 package world
 
 import (
+	"jaspersill/delivery"
 	"jaspersill/lab/ledger"
 	"jaspersill/lab/partner"
-	"jaspersill/port"
 )
 
 // newCall opens a call of a node to an endpoint.
@@ -57,11 +57,11 @@
 		w.planCall(w.now+3*delay+int64(w.day.Partners[p.Kind].Handshake), reaches, i)
 	case partner.NotConnected:
 		w.partners.Coming(c.ep, -1)
-		c.fate = partner.Fate{How: port.ConnectFailed}
+		c.fate = partner.Fate{How: delivery.ConnectFailed}
 		w.planCall(w.now+2*delay, answers, i)
 	case partner.NoSign:
 		w.partners.Coming(c.ep, -1)
-		c.fate = partner.Fate{How: port.ConnectFailed}
+		c.fate = partner.Fate{How: delivery.ConnectFailed}
 		w.planCall(w.now+connectMost, answers, i)
 	}
 }
@@ -76,7 +76,7 @@
 		return
 	}
 	if c.epoch != w.partners.Endpoints[c.ep].Epoch { // its process died meanwhile
-		c.fate, c.reached = partner.Fate{How: port.Reset}, true
+		c.fate, c.reached = partner.Fate{How: delivery.Reset}, true
 		w.planCall(w.now+int64(w.day.Fleet.Delay), answers, i)
 		return
 	}
@@ -126,7 +126,7 @@
 	for i := range w.calls {
 		c := &w.calls[i]
 		if c.used && !c.over && c.linked && which(c) {
-			c.fate = partner.Fate{How: port.Reset}
+			c.fate = partner.Fate{How: delivery.Reset}
 			c.reached = true
 			c.epoch = ^uint32(0)
 			w.planCall(w.now+int64(w.day.Fleet.Delay), answers, int32(i))
@@ -170,10 +170,10 @@
 	f := &c.fate
 	lane := w.partners.LaneOf(c.ep)
 	s.saw(lane, c.began, f.How)
-	if f.How == port.Declined && f.Wait > 0 {
+	if f.How == delivery.Refused && f.Wait > 0 {
 		w.ledger.Wait(w.now, c.node, lane, f.Wait)
 	}
-	if c.linked && (f.How == port.Acked || f.How == port.Errored || f.How == port.Declined) &&
+	if c.linked && (f.How == delivery.Acked || f.How == delivery.Errored || f.How == delivery.Refused) &&
 		c.epoch == w.partners.Endpoints[c.ep].Epoch {
 		s.idle[c.own] = append(s.idle[c.own], link{w.now, c.epoch})
 	} else {
@@ -184,7 +184,7 @@
 		if e := &w.events[o.evt]; e.life != o.life {
 			continue
 		} else if o.gaveUp {
-			if f.How == port.Acked && e.end == ledger.Open {
+			if f.How == delivery.Acked && e.end == ledger.Open {
 				s.over(o.evt, ledger.Acked, 0)
 				s.hear(piece{what: newWithdrawn, evt: o.evt})
 			}
@@ -196,13 +196,13 @@
 }
 
 // outcome tells a node's module how one send ended.
-func (w *World) outcome(s *seat, c *call, o *out, how port.Outcome, wait int64, left, limit float64) {
+func (w *World) outcome(s *seat, c *call, o *out, how delivery.Outcome, wait int64, left, limit float64) {
 	e := &w.events[o.evt]
 	e.out--
 	e.call = -1
 	w.ledger.Hear(w.now, o.evt, int(o.number), how)
 	w.note("hear", s.me, o.evt, int64(how))
-	if how == port.Acked { // the journal has it before the module hears
+	if how == delivery.Acked { // the journal has it before the module hears
 		s.over(o.evt, ledger.Acked, 0)
 	}
 	if s.phase >= closing { // nothing is decided any more
@@ -212,7 +212,7 @@
 		piece{
 			what:  newOutcome,
 			how:   how,
-			ended: how == port.Acked,
+			ended: how == delivery.Acked,
 			evt:   o.evt,
 			send:  o.number,
 			ep:    c.own,
@@ -235,11 +235,11 @@
 		w.queue.plan(s.frozen, expires, evt, number, life)
 		return
 	}
-	w.giveUp(evt, number, port.TimedOut)
+	w.giveUp(evt, number, delivery.TimedOut)
 }
 
 // giveUp stops waiting for a send. What did not reach its endpoint by then never ran.
-func (w *World) giveUp(evt, number int32, how port.Outcome) {
+func (w *World) giveUp(evt, number int32, how delivery.Outcome) {
 	e := &w.events[evt]
 	if e.call < 0 {
 		return
@@ -262,10 +262,10 @@
 			return
 		}
 		if !c.reached {
-			if how == port.TimedOut {
-				how = port.ConnectFailed
+			if how == delivery.TimedOut {
+				how = delivery.ConnectFailed
 			} else {
-				how = port.Unsent
+				how = delivery.Unsent
 			}
 		}
 		s.saw(w.partners.LaneOf(c.ep), c.began, how)
--- a/lab/world/seat.go
+++ b/lab/world/seat.go
@@ -1,9 +1,9 @@
 package world
 
 import (
+	"jaspersill/delivery"
 	"jaspersill/door"
 	"jaspersill/lab/ledger"
-	"jaspersill/port"
 )
 
 // phase is where a seat's node stands.
@@ -22,7 +22,7 @@
 	world  *World
 	me     int32
 	life   int64 // grows with each start: what belongs to a former one is passed over
-	module port.Decider
+	module delivery.Scheduler
 	phase  phase
 	frozen int64 // until when it stands still; 0 where it does not
 
@@ -70,7 +70,7 @@
 // piece is one piece of news for the module's next round.
 type piece struct {
 	what        news
-	how         port.Outcome
+	how         delivery.Outcome
 	ended       bool
 	evt, send   int32
 	ep          int32 // its own index
@@ -83,7 +83,7 @@
 const keepIdle = 0.9 // part of the time after which endpoints close idle connections that a node keeps them
 
 // Deliver implements port.Feed.
-func (s *seat) Deliver(to port.Intake) {
+func (s *seat) Deliver(to delivery.Handler) {
 	w := s.world
 	if s.wakeAt > 0 && w.now >= s.wakeAt {
 		s.wakeAt = 0
@@ -111,31 +111,31 @@
 		case newWithdrawn:
 			to.Withdrawn(w.events[p.evt].index)
 		case newList:
-			to.ListBegins(true)
+			to.ListStarted(true)
 			for ep, state := range w.listed {
-				if state != port.Gone {
+				if state != delivery.Gone {
 					s.list(to, int32(ep), state)
 				}
 			}
-			to.ListEnds()
+			to.ListEnded()
 		case newChange:
-			to.ListBegins(false)
+			to.ListStarted(false)
 			for _, c := range w.changes[p.evt:p.send] {
 				s.list(to, c.ep, c.state)
 			}
-			to.ListEnds()
+			to.ListEnded()
 		case newListFailed:
 			to.ListFailed()
 		case newPeerGood:
 			if ep, listed := s.eps.Find(p.ep); listed {
-				to.PeerGood(int(p.peer), ep)
+				to.PeerReportedHealthy(int(p.peer), ep)
 			}
 		}
 	}
 }
 
 // list tells the module of one endpoint as the directory has it.
-func (s *seat) list(to port.Intake, ep int32, state port.State) {
+func (s *seat) list(to delivery.Handler, ep int32, state delivery.EndpointState) {
 	e := &s.world.partners.Endpoints[ep]
 	own, _ := s.eps.Take(ep)
 	for int(own) >= len(s.idle) {
@@ -145,7 +145,7 @@
 	if p := &s.world.day.Partners[e.Kind]; p.Rated {
 		rate = p.Limit
 	}
-	to.Listed(own, e.Dest, int(e.Kind), 0, state, rate)
+	to.EndpointListed(own, e.Dest, int(e.Kind), 0, state, rate)
 }
 
 // take gives out an index for an event.
@@ -271,12 +271,12 @@
 func (s *seat) Cancel(index int32, number int) {
 	evt := s.evts[index]
 	if e := &s.world.events[evt]; e.current == int32(number) && e.out > 0 {
-		s.world.giveUp(evt, int32(number), port.Cancelled)
+		s.world.giveUp(evt, int32(number), delivery.Cancelled)
 	}
 }
 
-// Recall does nothing: in virtual time a send leaves as soon as it is chosen.
-func (s *seat) Recall(int32, int) {}
+// CancelUnsent does nothing: in virtual time a send leaves as soon as it is chosen.
+func (s *seat) CancelUnsent(int32, int) {}
 
 func (s *seat) Wake(after int64) {
 	s.wakeAt = s.world.now + max(after, 1)
@@ -301,7 +301,7 @@
 	s.eps.Release(own)
 }
 
-func (s *seat) TellGood(own int32) { s.world.tell(s.me, s.eps.ID(own)) }
+func (s *seat) AnnounceHealthy(own int32) { s.world.tell(s.me, s.eps.ID(own)) }
 
 func (s *seat) Log(text string, own int32) { s.world.note(text, s.me, s.eps.ID(own), 0) }
 
@@ -332,9 +332,9 @@
 
 // saw notes that a node saw a call fail while the lane was out. One that ends later, as by a time-out, tells
 // its node only then: it could not have known before.
-func (s *seat) saw(lane int32, began int64, how port.Outcome) {
+func (s *seat) saw(lane int32, began int64, how delivery.Outcome) {
 	from, to := s.world.partners.Outage(lane)
-	if how == port.Acked || how == port.Unsent || from == 0 || began >= to || s.world.now < from ||
+	if how == delivery.Acked || how == delivery.Unsent || from == 0 || began >= to || s.world.now < from ||
 		s.world.now >= to {
 		return
 	}
--- a/lab/world/troubles.go
+++ b/lab/world/troubles.go
@@ -3,9 +3,9 @@
 import (
 	"math/rand/v2"
 
+	"jaspersill/delivery"
 	"jaspersill/lab/partner"
 	"jaspersill/lab/scenario"
-	"jaspersill/port"
 )
 
 // met is what a trouble meets, drawn at the start.
@@ -211,15 +211,15 @@
 	}
 	next := w.partners.Replace(ep)
 	w.bySlot = append(w.bySlot, append([]int(nil), w.bySlot[ep]...))
-	w.listed = append(w.listed, port.Gone)
+	w.listed = append(w.listed, delivery.Gone)
 	w.meet(next)
-	w.listChange(ep, port.Draining)
-	w.listChange(next, port.Ready)
+	w.listChange(ep, delivery.Draining)
+	w.listChange(next, delivery.Ready)
 	w.queue.plan(w.now+int64(w.day.Fleet.Directory)+int64(w.day.Rules.Grace)+drainLeaves, leaves, ep, 0, 0)
 }
 
 // listChange is a change that the directory tells after its delay.
-func (w *World) listChange(ep int32, state port.State) {
+func (w *World) listChange(ep int32, state delivery.EndpointState) {
 	w.changes = append(w.changes, change{ep: ep, state: state})
 	w.queue.plan(w.now+int64(w.day.Fleet.Directory), lists, 0, 0, 0)
 }
@@ -246,7 +246,7 @@
 // drained tells the ledger what a node was told to leave.
 func (w *World) drained(s *seat, changes []change) {
 	for _, c := range changes {
-		if c.state != port.Ready {
+		if c.state != delivery.Ready {
 			w.ledger.Drain(w.now, s.me, c.ep)
 		}
 	}
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -11,16 +11,16 @@
 	"slices"
 	"strconv"
 
+	"jaspersill/delivery"
 	"jaspersill/door"
 	"jaspersill/lab/arrival"
 	"jaspersill/lab/ledger"
 	"jaspersill/lab/partner"
 	"jaspersill/lab/scenario"
-	"jaspersill/port"
 )
 
 // Launch makes the decision module of one node. It is called at each of its starts.
-type Launch func(w *World, node int, seed uint64) port.Decider
+type Launch func(w *World, node int, seed uint64) delivery.Scheduler
 
 const (
 	clientPatience = int64(4e8)  // ns that a client waits for an answer before it hands in elsewhere
@@ -83,7 +83,7 @@
 // change is one that the directory tells.
 type change struct {
 	ep    int32
-	state port.State
+	state delivery.EndpointState
 }
 
 // World is one run.
@@ -113,7 +113,7 @@
 	draws   *rand.Rand // everything else
 	front   []bool     // nodes that clients believe to be up
 
-	listed    []port.State // by endpoint, as the directory has it
+	listed    []delivery.EndpointState // by endpoint, as the directory has it
 	changes   []change
 	told      int // changes that the directory has told
 	dirDown   int // troubles in force
@@ -153,9 +153,9 @@
 		e := &w.events[h.a]
 		return e.life == h.n && e.out > 0 && e.current == h.b
 	}
-	w.listed = make([]port.State, len(w.partners.Endpoints))
+	w.listed = make([]delivery.EndpointState, len(w.partners.Endpoints))
 	for i := range w.listed {
-		w.listed[i] = port.Ready
+		w.listed[i] = delivery.Ready
 	}
 	for i := range day.Fleet.Nodes {
 		s := &seat{world: w, me: int32(i)}
@@ -304,7 +304,7 @@
 	case leaves:
 		w.partners.Leave(h.a)
 		w.reset(func(c *call) bool { return c.ep == h.a })
-		w.listChange(h.a, port.Gone)
+		w.listChange(h.a, delivery.Gone)
 	case seconds:
 		w.ledger.Sweep(w.now)
 		w.tidy()
@@ -467,7 +467,7 @@
 		return
 	}
 	if s.held >= w.day.Fleet.Events {
-		w.again(a, s.module.Full())
+		w.again(a, s.module.RetryAfter())
 		return
 	}
 	evt := w.newEvent()
--- a/lifecycle/answers.go
+++ b/lifecycle/answers.go
@@ -9,65 +9,65 @@
 	Unconfirmed                    // it may be a copy of an earlier answer, or the answer to an earlier call
 )
 
-// maxKnownAnswers bounds the answers of a connection that are told apart. Those beyond count as seen before.
-const maxKnownAnswers = 64
+// maxSeenAnswers bounds the answers of a connection that are told apart. Those beyond count as seen before.
+const maxSeenAnswers = 64
 
-// AnswerSequence decides to which call an answer belongs on a connection that carries calls one after another, whose
+// AnswerTracker decides to which call an answer belongs on a connection that carries calls one after another, whose
 // answers name no call. The connection is in step while each call has had exactly one answer. The first answer of a
 // connection can only be the first call's; on one in step, so can an answer that is unlike all before it. All others may
 // be copies, and after one that was a copy each call gets the answer of the one before it.
 //
 // The zero value is a new connection. It is for one goroutine at a time.
-type AnswerSequence struct {
-	known   map[uint64]struct{}
-	outOf   bool // it is not known to be in step
-	refused bool
+type AnswerTracker struct {
+	seen      map[uint64]struct{}
+	outOfSync bool // it is not known to be in step
+	sawNotRun bool
 }
 
 // Answer is what decides whose an answer is.
 type Answer struct {
-	Digest uint64 // of all that it means; equal for copies
-	Named  bool   // it names the requests of its call, and only these
-	NotRun bool   // it says that its call never ran
+	Digest        uint64 // of all that it means; equal for copies
+	NamesRequests bool   // it names the requests of its call, and only these
+	NotRun        bool   // it says that its call never ran
 }
 
-// Read notes the next answer, and tells how sure it is whose.
-func (s *AnswerSequence) Read(a Answer) Attribution {
-	_, seen := s.known[a.Digest]
-	seen = seen || len(s.known) >= maxKnownAnswers
-	if s.known == nil {
-		s.known = map[uint64]struct{}{}
+// Observe notes the next answer, and tells how sure it is whose.
+func (s *AnswerTracker) Observe(a Answer) Attribution {
+	_, seen := s.seen[a.Digest]
+	seen = seen || len(s.seen) >= maxSeenAnswers
+	if s.seen == nil {
+		s.seen = map[uint64]struct{}{}
 	}
 	if !seen {
-		s.known[a.Digest] = struct{}{}
+		s.seen[a.Digest] = struct{}{}
 	}
-	s.refused = s.refused || a.NotRun
+	s.sawNotRun = s.sawNotRun || a.NotRun
 	switch {
-	case a.Named && !seen:
-		s.outOf = false
+	case a.NamesRequests && !seen:
+		s.outOfSync = false
 		return Certain
-	case s.outOf || seen:
-		s.outOf = true
+	case s.outOfSync || seen:
+		s.outOfSync = true
 		return Unconfirmed
 	}
 	return Certain
 }
 
-// ReadCut notes an answer of which only the beginning came, and tells how sure it is whose.
-func (s *AnswerSequence) ReadCut() Attribution {
-	if len(s.known) == 0 {
+// ObserveTruncated notes an answer of which only the beginning came, and tells how sure it is whose.
+func (s *AnswerTracker) ObserveTruncated() Attribution {
+	if len(s.seen) == 0 {
 		return Certain
 	}
-	s.outOf = true
+	s.outOfSync = true
 	return Unconfirmed
 }
 
-// Prove notes that the connection is in step: it has rested, with no byte unread, for longer than an answer takes.
-func (s *AnswerSequence) Prove() { s.outOf = false }
+// MarkInSync notes that the connection is in step: it has rested, with no byte unread, for longer than an answer takes.
+func (s *AnswerTracker) MarkInSync() { s.outOfSync = false }
 
-// InStep tells whether the connection is known to be in step.
-func (s *AnswerSequence) InStep() bool { return !s.outOf }
+// InSync tells whether the connection is known to be in step.
+func (s *AnswerTracker) InSync() bool { return !s.outOfSync }
 
-// Refused tells whether an answer on the connection said that its call never ran. A copy of it could say so of a call
+// SawNotRun tells whether an answer on the connection said that its call never ran. A copy of it could say so of a call
 // that did.
-func (s *AnswerSequence) Refused() bool { return s.refused }
+func (s *AnswerTracker) SawNotRun() bool { return s.sawNotRun }
--- a/lifecycle/lifecycle.go
+++ b/lifecycle/lifecycle.go
@@ -25,8 +25,8 @@
 
 // The denials.
 var (
-	ErrDeadline = &Denial{"its deadline has passed"}
-	ErrEnded    = &Denial{"its end is decided"}
+	ErrDeadlinePassed = &Denial{"its deadline has passed"}
+	ErrEndDecided     = &Denial{"its end is decided"}
 )
 
 // ErrViolation tells that the program asked for what its own state forbids.
@@ -36,38 +36,38 @@
 	transitionAttempt = "attempt"
 	transitionSend    = "send"
 	transitionOutcome = "outcome"
-	transitionTell    = "tell"
+	transitionReport  = "tell"
 	transitionStore   = "store"
 	transitionClose   = "close"
 	transitionConfirm = "confirm"
-	denialsName       = "jaspersill_denied_transitions_total"
+	denialsMetric     = "jaspersill_denied_transitions_total"
 	denialsHelp       = "Transitions of requests that were not allowed because something else came first."
-	violationsName    = "jaspersill_violations_total"
+	violationsMetric  = "jaspersill_violations_total"
 	violationsHelp    = "Transitions that the program asked for and its own state forbids: each one is a fault of the program."
 	logPart           = "node"
-	deniedByDeadline  = "deadline"
-	deniedByEnd       = "ended"
+	denialDeadline    = "deadline"
+	denialEnded       = "ended"
 )
 
 var (
-	violations = metrics.NewFamily(violationsName, violationsHelp, "transition", transitionAttempt, transitionSend,
-		transitionOutcome, transitionTell, transitionStore, transitionClose, transitionConfirm)
-	denials        = metrics.NewFamily(denialsName, denialsHelp, "reason", deniedByDeadline, deniedByEnd)
-	reasonOfDenial = map[*Denial]string{ErrDeadline: deniedByDeadline, ErrEnded: deniedByEnd}
+	violations = metrics.NewFamily(violationsMetric, violationsHelp, "transition", transitionAttempt, transitionSend,
+		transitionOutcome, transitionReport, transitionStore, transitionClose, transitionConfirm)
+	denials      = metrics.NewFamily(denialsMetric, denialsHelp, "reason", denialDeadline, denialEnded)
+	denialLabels = map[*Denial]string{ErrDeadlinePassed: denialDeadline, ErrEndDecided: denialEnded}
 )
 
 // Violations is how many there were in this process.
 func Violations() int64 { return violations.Total() }
 
-// violate counts a violation and logs it with what it concerns.
-func violate(transition, id, reason string) error {
+// violation counts a violation and logs it with what it concerns.
+func violation(transition, id, reason string) error {
 	violations.With(transition).Add()
 	logs.Event(logPart, id).WithFields(logrus.Fields{"transition": transition, "reason": reason}).Error("violation")
 	return fmt.Errorf("%w: %s: %s", ErrViolation, transition, reason)
 }
 
-func deny(d *Denial) error {
-	denials.With(reasonOfDenial[d]).Add()
+func denied(d *Denial) error {
+	denials.With(denialLabels[d]).Add()
 	return d
 }
 
@@ -91,24 +91,24 @@
 
 // Request is the state of one request. It may be used by any goroutine.
 type Request struct {
-	mu         sync.Mutex
-	id         string
-	deadline   int64 // on the clock of those who call
-	repeatable bool
-	state      State
-	attempt    State // Pending, Recording or InFlight: how far the newest attempt is, whatever became of the request
-	mayHaveRun bool
-	stored     bool
-	refusals   int // attempts that are said not to have run, by answers that may be another call's
+	mu                  sync.Mutex
+	id                  string
+	deadline            int64 // on the clock of those who call
+	repeatable          bool
+	state               State
+	attemptState        State // Pending, Recording or InFlight: how far the newest attempt is, whatever became of the request
+	mayHaveRun          bool
+	stored              bool
+	unconfirmedRefusals int // attempts that are said not to have run, by answers that may be another call's
 }
 
 // NewRequest is a request that was read. It may be repeated after an attempt that may have run if repeatable.
 func NewRequest(id string, deadline int64, repeatable bool) *Request {
-	return &Request{id: id, deadline: deadline, repeatable: repeatable, attempt: Pending}
+	return &Request{id: id, deadline: deadline, repeatable: repeatable, attemptState: Pending}
 }
 
-// RestoredRequest is one that a restart found pending.
-func RestoredRequest(id string, deadline int64, repeatable, mayHaveRun bool) *Request {
+// RestoreRequest is one that a restart found pending.
+func RestoreRequest(id string, deadline int64, repeatable, mayHaveRun bool) *Request {
 	r := NewRequest(id, deadline, repeatable)
 	r.state, r.stored, r.mayHaveRun = Pending, true, mayHaveRun
 	return r
@@ -121,12 +121,12 @@
 	return r.state
 }
 
-// Store notes that the request stands in the log.
-func (r *Request) Store() error {
+// MarkStored notes that the request stands in the log.
+func (r *Request) MarkStored() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.state != Received {
-		return violate(transitionStore, r.id, "it is "+r.state.String())
+		return violation(transitionStore, r.id, "it is "+r.state.String())
 	}
 	r.state, r.stored = Pending, true
 	return nil
@@ -137,18 +137,18 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
-	case r.over():
-		return deny(ErrEnded)
+	case r.endDecided():
+		return denied(ErrEndDecided)
 	case now >= r.deadline:
-		return deny(ErrDeadline)
+		return denied(ErrDeadlinePassed)
 	case !r.stored:
-		return violate(transitionAttempt, r.id, "it is not stored")
-	case r.attempt != Pending:
-		return violate(transitionAttempt, r.id, "another one is "+r.attempt.String())
-	case (r.mayHaveRun || r.refusals > 0) && !r.repeatable:
-		return violate(transitionAttempt, r.id, "it may have run and may not be repeated")
+		return violation(transitionAttempt, r.id, "it is not stored")
+	case r.attemptState != Pending:
+		return violation(transitionAttempt, r.id, "another one is "+r.attemptState.String())
+	case (r.mayHaveRun || r.unconfirmedRefusals > 0) && !r.repeatable:
+		return violation(transitionAttempt, r.id, "it may have run and may not be repeated")
 	}
-	r.state, r.attempt = Recording, Recording
+	r.state, r.attemptState = Recording, Recording
 	return nil
 }
 
@@ -157,23 +157,23 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
-	case r.attempt != Recording:
-		return violate(transitionSend, r.id, "its attempt is "+r.attempt.String())
-	case r.over():
-		return deny(ErrEnded)
+	case r.attemptState != Recording:
+		return violation(transitionSend, r.id, "its attempt is "+r.attemptState.String())
+	case r.endDecided():
+		return denied(ErrEndDecided)
 	case now >= r.deadline:
-		return deny(ErrDeadline)
+		return denied(ErrDeadlinePassed)
 	}
-	r.state, r.attempt = InFlight, InFlight
+	r.state, r.attemptState = InFlight, InFlight
 	return nil
 }
 
-// HoldAttempt notes that no byte of an attempt went out after all. SendAttempt is asked again before the next try.
-func (r *Request) HoldAttempt() {
+// RevertSend notes that no byte of an attempt went out after all. SendAttempt is asked again before the next try.
+func (r *Request) RevertSend() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.attempt == InFlight {
-		r.attempt = Recording
+	if r.attemptState == InFlight {
+		r.attemptState = Recording
 	}
 	if r.state == InFlight {
 		r.state = Recording
@@ -184,35 +184,37 @@
 func (r *Request) FinishAttempt(mayHaveRun bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if mayHaveRun && r.attempt != InFlight {
-		violate(transitionOutcome, r.id, "it may have run though it is "+r.attempt.String())
+	if mayHaveRun && r.attemptState != InFlight {
+		violation(transitionOutcome, r.id, "it may have run though it is "+r.attemptState.String())
 	}
 	r.mayHaveRun = r.mayHaveRun || mayHaveRun
-	r.attempt = Pending
+	r.attemptState = Pending
 	if r.state == Recording || r.state == InFlight {
 		r.state = Pending
 	}
 }
 
-// over tells whether no attempt may follow; the lock is held.
-func (r *Request) over() bool { return r.state == Provisional || r.state == Ending || r.state == Ended }
+// endDecided tells whether no attempt may follow; the lock is held.
+func (r *Request) endDecided() bool {
+	return r.state == Provisional || r.state == Ending || r.state == Ended
+}
 
-// FinishRefused notes that an attempt is over by an answer which says that it never ran, and which may be another call's.
-func (r *Request) FinishRefused() {
+// FinishUnconfirmedRefusal notes that an attempt is over by an answer which says that it never ran, and which may be another call's.
+func (r *Request) FinishUnconfirmedRefusal() {
 	r.FinishAttempt(false)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.refusals++
+	r.unconfirmedRefusals++
 }
 
 // ConfirmRefusal notes that such an answer was the attempt's own.
 func (r *Request) ConfirmRefusal() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.refusals == 0 {
-		return violate(transitionConfirm, r.id, "no refusal is unconfirmed")
+	if r.unconfirmedRefusals == 0 {
+		return violation(transitionConfirm, r.id, "no refusal is unconfirmed")
 	}
-	r.refusals--
+	r.unconfirmedRefusals--
 	return nil
 }
 
@@ -220,7 +222,7 @@
 func (r *Request) MayHaveRun() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.mayHaveRun || r.refusals > 0
+	return r.mayHaveRun || r.unconfirmedRefusals > 0
 }
 
 // EndProvisionally notes that an answer ended the request which may be another call's. No attempt follows. It tells false
@@ -228,67 +230,67 @@
 func (r *Request) EndProvisionally() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.over() {
+	if r.endDecided() {
 		return false
 	}
 	r.state = Provisional
 	return true
 }
 
-// Confirm notes that the answer was the request's own: nothing more is owed for it.
-func (r *Request) Confirm() error {
+// ConfirmEnd notes that the answer was the request's own: nothing more is owed for it.
+func (r *Request) ConfirmEnd() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.state != Provisional {
-		return violate(transitionConfirm, r.id, "it is "+r.state.String())
+		return violation(transitionConfirm, r.id, "it is "+r.state.String())
 	}
 	r.state = Ended
 	return nil
 }
 
-// Doubt notes that the answer may have been another call's: the end is still to be told.
-func (r *Request) Doubt() error {
+// FailConfirmation notes that the answer may have been another call's: the end is still to be told.
+func (r *Request) FailConfirmation() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.state != Provisional {
-		return violate(transitionConfirm, r.id, "it is "+r.state.String())
+		return violation(transitionConfirm, r.id, "it is "+r.state.String())
 	}
 	r.state = Ending
 	return nil
 }
 
-// Decide notes how the request ends: delivered, or by a notice or a refusal that is still to be told. It tells false
+// DecideEnd notes how the request ends: delivered, or by a notice or a refusal that is still to be told. It tells false
 // where that was decided before.
-func (r *Request) Decide() bool {
+func (r *Request) DecideEnd() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.over() {
+	if r.endDecided() {
 		return false
 	}
 	r.state = Ending
 	return true
 }
 
-// MayTell tells whether the end may be told now: no restart would send anything for the request any more.
-func (r *Request) MayTell(now int64, written bool) bool {
+// MayReportEnd tells whether the end may be told now: no restart would send anything for the request any more.
+func (r *Request) MayReportEnd(now int64, written bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.mayTell(now, written)
+	return r.mayReportEnd(now, written)
 }
 
-func (r *Request) mayTell(now int64, written bool) bool {
+func (r *Request) mayReportEnd(now int64, written bool) bool {
 	return written || now >= r.deadline || !r.stored
 }
 
-// Tell notes that the end is told now, to the client or to the platform.
-func (r *Request) Tell(now int64, written bool) error {
+// ReportEnd notes that the end is told now, to the client or to the platform.
+func (r *Request) ReportEnd(now int64, written bool) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
 	case r.state != Ending:
-		return violate(transitionTell, r.id, "it is "+r.state.String())
-	case !r.mayTell(now, written):
-		return violate(transitionTell, r.id, "a restart would still send it")
+		return violation(transitionReport, r.id, "it is "+r.state.String())
+	case !r.mayReportEnd(now, written):
+		return violation(transitionReport, r.id, "a restart would still send it")
 	}
 	r.state = Ended
 	return nil
--- a/lifecycle/lifecycle_test.go
+++ b/lifecycle/lifecycle_test.go
@@ -19,74 +19,74 @@
 		want error
 	}{
 		{"an attempt before it is stored", func(r *Request) error { return r.StartAttempt(early) }, ErrViolation},
-		{"stored twice", func(r *Request) error { return errors.Join(r.Store(), r.Store()) }, ErrViolation},
-		{"an attempt", func(r *Request) error { return errors.Join(r.Store(), attempt(r)) }, nil},
-		{"two attempts at once", func(r *Request) error { r.Store(); return errors.Join(attempt(r), attempt(r)) }, ErrViolation},
-		{"sent without a record", func(r *Request) error { r.Store(); return r.SendAttempt(early) }, ErrViolation},
-		{"started after the deadline", func(r *Request) error { r.Store(); return r.StartAttempt(deadline) }, ErrDeadline},
+		{"stored twice", func(r *Request) error { return errors.Join(r.MarkStored(), r.MarkStored()) }, ErrViolation},
+		{"an attempt", func(r *Request) error { return errors.Join(r.MarkStored(), attempt(r)) }, nil},
+		{"two attempts at once", func(r *Request) error { r.MarkStored(); return errors.Join(attempt(r), attempt(r)) }, ErrViolation},
+		{"sent without a record", func(r *Request) error { r.MarkStored(); return r.SendAttempt(early) }, ErrViolation},
+		{"started after the deadline", func(r *Request) error { r.MarkStored(); return r.StartAttempt(deadline) }, ErrDeadlinePassed},
 		{"sent after the deadline", func(r *Request) error {
-			r.Store()
+			r.MarkStored()
 			return errors.Join(r.StartAttempt(early), r.SendAttempt(deadline))
-		}, ErrDeadline},
+		}, ErrDeadlinePassed},
 		{"sent after the end", func(r *Request) error {
-			r.Store()
+			r.MarkStored()
 			r.StartAttempt(early)
-			r.Decide()
+			r.DecideEnd()
 			return r.SendAttempt(early)
-		}, ErrEnded},
+		}, ErrEndDecided},
 		{"repeated though it may have run", func(r *Request) error {
-			r.Store()
+			r.MarkStored()
 			attempt(r)
 			r.FinishAttempt(true)
 			return attempt(r)
 		}, ErrViolation},
 		{"repeated after it never ran", func(r *Request) error {
-			r.Store()
+			r.MarkStored()
 			attempt(r)
 			r.FinishAttempt(false)
 			return attempt(r)
 		}, nil},
-		{"told before its end", func(r *Request) error { r.Store(); return r.Tell(early, true) }, ErrViolation},
-		{"told before its record", func(r *Request) error { r.Store(); r.Decide(); return r.Tell(early, false) }, ErrViolation},
-		{"told with its record", func(r *Request) error { r.Store(); r.Decide(); return r.Tell(early, true) }, nil},
-		{"told after the deadline", func(r *Request) error { r.Store(); r.Decide(); return r.Tell(deadline, false) }, nil},
-		{"told, never stored", func(r *Request) error { r.Decide(); return r.Tell(early, false) }, nil},
+		{"told before its end", func(r *Request) error { r.MarkStored(); return r.ReportEnd(early, true) }, ErrViolation},
+		{"told before its record", func(r *Request) error { r.MarkStored(); r.DecideEnd(); return r.ReportEnd(early, false) }, ErrViolation},
+		{"told with its record", func(r *Request) error { r.MarkStored(); r.DecideEnd(); return r.ReportEnd(early, true) }, nil},
+		{"told after the deadline", func(r *Request) error { r.MarkStored(); r.DecideEnd(); return r.ReportEnd(deadline, false) }, nil},
+		{"told, never stored", func(r *Request) error { r.DecideEnd(); return r.ReportEnd(early, false) }, nil},
 		{"told twice", func(r *Request) error {
-			r.Decide()
-			return errors.Join(r.Tell(early, true), r.Tell(early, true))
+			r.DecideEnd()
+			return errors.Join(r.ReportEnd(early, true), r.ReportEnd(early, true))
 		}, ErrViolation},
 		{"sent after a provisional end", func(r *Request) error {
-			r.Store()
+			r.MarkStored()
 			r.StartAttempt(early)
 			r.EndProvisionally()
 			return r.SendAttempt(early)
-		}, ErrEnded},
+		}, ErrEndDecided},
 		{"repeated though a refusal is unconfirmed", func(r *Request) error {
-			r.Store()
+			r.MarkStored()
 			attempt(r)
-			r.FinishRefused()
+			r.FinishUnconfirmedRefusal()
 			return attempt(r)
 		}, ErrViolation},
 		{"repeated after a confirmed refusal", func(r *Request) error {
-			r.Store()
+			r.MarkStored()
 			attempt(r)
-			r.FinishRefused()
+			r.FinishUnconfirmedRefusal()
 			return errors.Join(r.ConfirmRefusal(), attempt(r))
 		}, nil},
 		{"a refusal confirmed that was none", func(r *Request) error { return r.ConfirmRefusal() }, ErrViolation},
-		{"told while provisional", func(r *Request) error { r.Store(); r.EndProvisionally(); return r.Tell(early, true) }, ErrViolation},
+		{"told while provisional", func(r *Request) error { r.MarkStored(); r.EndProvisionally(); return r.ReportEnd(early, true) }, ErrViolation},
 		{"told after a doubt", func(r *Request) error {
-			r.Store()
+			r.MarkStored()
 			r.EndProvisionally()
-			return errors.Join(r.Doubt(), r.Tell(early, true))
+			return errors.Join(r.FailConfirmation(), r.ReportEnd(early, true))
 		}, nil},
 		{"confirmed twice", func(r *Request) error {
 			r.EndProvisionally()
-			return errors.Join(r.Confirm(), r.Confirm())
+			return errors.Join(r.ConfirmEnd(), r.ConfirmEnd())
 		}, ErrViolation},
 		{"doubted after it was confirmed", func(r *Request) error {
 			r.EndProvisionally()
-			return errors.Join(r.Confirm(), r.Doubt())
+			return errors.Join(r.ConfirmEnd(), r.FailConfirmation())
 		}, ErrViolation},
 	} {
 		before := Violations()
@@ -99,12 +99,12 @@
 		}
 	}
 	var c Connection
-	c.ReadRequest()
-	if err := c.Close("x"); !errors.Is(err, ErrViolation) {
+	c.MarkRequestRead()
+	if err := c.CheckClose("x"); !errors.Is(err, ErrViolation) {
 		t.Errorf("closed with a request unanswered: %v", err)
 	}
-	c.Answer()
-	if err := c.Close("x"); err != nil {
+	c.MarkAnswered()
+	if err := c.CheckClose("x"); err != nil {
 		t.Errorf("closed after its answer: %v", err)
 	}
 }
@@ -112,7 +112,7 @@
 // Guards against an answer that is believed to be a call's though it may be a copy of an earlier one.
 func TestAnAnswerIsCertainOnlyWhereItCanBeNoCopy(t *testing.T) {
 	const prove = "prove"
-	ok, full, named := Answer{Digest: 1}, Answer{Digest: 2, NotRun: true}, Answer{Digest: 3, Named: true}
+	ok, full, named := Answer{Digest: 1}, Answer{Digest: 2, NotRun: true}, Answer{Digest: 3, NamesRequests: true}
 	for _, c := range []struct {
 		name string
 		play []any
@@ -128,29 +128,29 @@
 		{"another behind one that names its requests", []any{ok, ok, named, full}, Certain},
 		{"one that names them for the second time", []any{named, named}, Unconfirmed},
 	} {
-		var s AnswerSequence
+		var s AnswerTracker
 		got := Certain
 		for _, step := range c.play {
 			if answer, read := step.(Answer); read {
-				got = s.Read(answer)
+				got = s.Observe(answer)
 			} else {
-				s.Prove()
+				s.MarkInSync()
 			}
 		}
 		if got != c.want {
 			t.Errorf("%s: %d, want %d", c.name, got, c.want)
 		}
 	}
-	var s AnswerSequence
-	for i := range uint64(2 * maxKnownAnswers) {
-		s.Read(Answer{Digest: 10 + i})
-		s.Prove()
+	var s AnswerTracker
+	for i := range uint64(2 * maxSeenAnswers) {
+		s.Observe(Answer{Digest: 10 + i})
+		s.MarkInSync()
 	}
-	var cut AnswerSequence
-	if cut.ReadCut() != Certain || s.ReadCut() != Unconfirmed {
+	var cut AnswerTracker
+	if cut.ObserveTruncated() != Certain || s.ObserveTruncated() != Unconfirmed {
 		t.Error("half an answer is certain only where it is the first")
 	}
-	if s.Read(full) != Unconfirmed || !s.Refused() || len(s.known) > maxKnownAnswers {
+	if s.Observe(full) != Unconfirmed || !s.SawNotRun() || len(s.seen) > maxSeenAnswers {
 		t.Error("a connection with too many answers to know them all takes one for new")
 	}
 }
--- a/node/confirmation.go
+++ b/node/confirmation.go
@@ -7,49 +7,49 @@
 
 	"github.com/sirupsen/logrus"
 
+	"jaspersill/connreuse"
+	"jaspersill/delivery"
 	"jaspersill/lifecycle"
 	"jaspersill/logs"
 	"jaspersill/metrics"
-	"jaspersill/port"
-	"jaspersill/reuse"
 	"jaspersill/store"
 )
 
 const (
-	confirmed = "confirmed"
-	doubted   = "doubted"
+	resultConfirmed = "confirmed"
+	resultDoubted   = "doubted"
 )
 
 var (
 	unconfirmedOutcomes = metrics.NewFamily("jaspersill_unconfirmed_outcomes_total",
-		"Outcomes from answers that might have been another call's, by what the connection showed later.", "result", confirmed, doubted)
-	outOfStep = metrics.New("jaspersill_endpoint_connections_out_of_step_total",
+		"Outcomes from answers that might have been another call's, by what the connection showed later.", "result", resultConfirmed, resultDoubted)
+	outOfSyncConnections = metrics.New("jaspersill_endpoint_connections_out_of_step_total",
 		"Connections to endpoints on which an answer came that no call waited for.")
 )
 
 // confirmation follows an outcome whose answer may be another call's, until the connection shows that it was in step, or
 // until that can no longer show.
 type confirmation struct {
-	conn       *endpointConn
-	id         string
-	how        port.Outcome
-	answeredAt int64
-	timer      *time.Timer
+	conn        *endpointConn
+	id          string
+	outcome     delivery.Outcome
+	respondedAt int64
+	timer       *time.Timer
 
-	mu      sync.Mutex
-	settled bool
-	result  bool
-	then    func(confirmed bool)
+	mu        sync.Mutex
+	settled   bool
+	confirmed bool
+	onSettled func(confirmed bool)
 }
 
 // whenSettled has a function called once, with whether the outcome is confirmed. It may be called at once.
 func (c *confirmation) whenSettled(then func(confirmed bool)) {
 	c.mu.Lock()
-	c.then = then
+	c.onSettled = then
 	settled := c.settled
 	c.mu.Unlock()
 	if settled {
-		then(c.result)
+		then(c.confirmed)
 	}
 }
 
@@ -60,164 +60,164 @@
 		c.mu.Unlock()
 		return
 	}
-	c.settled, c.result = true, result
-	then := c.then
+	c.settled, c.confirmed = true, result
+	then := c.onSettled
 	c.mu.Unlock()
 	if c.timer != nil {
 		c.timer.Stop()
 	}
-	word := doubted
+	word := resultDoubted
 	if result {
-		word = confirmed
+		word = resultConfirmed
 	}
 	unconfirmedOutcomes.With(word).Add()
-	c.log(word, reason)
+	c.logResult(word, reason)
 	if then != nil {
 		then(result)
 	}
 }
 
-// log writes what came of the outcome: a doubt may end in a notice that operators wonder at.
-func (c *confirmation) log(result, reason string) {
+// logResult writes what came of the outcome: a doubt may end in a notice that operators wonder at.
+func (c *confirmation) logResult(result, reason string) {
 	level := logrus.DebugLevel
-	if result == doubted {
+	if result == resultDoubted {
 		level = logrus.InfoLevel
 	}
 	if !logrus.IsLevelEnabled(level) {
 		return
 	}
 	logs.Event("endpoints", c.id).WithFields(logrus.Fields{"connection": c.conn.id, "endpoint": c.conn.endpoint,
-		"outcome": c.how.String(), "result": result, "reason": reason}).Log(level, "an outcome from an answer that may be another call's")
+		"outcome": c.outcome.String(), "result": result, "reason": reason}).Log(level, "an outcome from an answer that may be another call's")
 }
 
 // settlement is a confirmation that is to be settled once no lock is held.
 type settlement struct {
 	*confirmation
-	result bool
-	reason string
+	confirmed bool
+	reason    string
 }
 
-// unlock gives the lock up and settles what was found out while it was held.
-func (p *endpoints) unlock() {
-	settled := p.settled
-	p.settled = nil
+// unlockAndSettle gives the lock up and settles what was found out while it was held.
+func (p *endpointPool) unlockAndSettle() {
+	settled := p.toSettle
+	p.toSettle = nil
 	p.mu.Unlock()
 	for _, s := range settled {
-		s.settle(s.result, s.reason)
+		s.settle(s.confirmed, s.reason)
 	}
 }
 
-// follow begins to follow an outcome of a send on a connection.
-func (p *endpoints) follow(conn *endpointConn, s *send, how port.Outcome) *confirmation {
+// trackOutcome begins to trackOutcome an outcome of a send on a connection.
+func (p *endpointPool) trackOutcome(conn *endpointConn, s *attempt, how delivery.Outcome) *confirmation {
 	now := p.clock.now()
-	c := &confirmation{conn: conn, id: s.event.id, how: how, answeredAt: now}
+	c := &confirmation{conn: conn, id: s.event.id, outcome: how, respondedAt: now}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	conn.pending = append(conn.pending, c)
-	p.pending++
-	hold := reuse.HoldUntil(s.began, s.timeout, s.event.due) - now
-	c.timer = time.AfterFunc(time.Duration(max(hold, 0)), func() { p.expireHold(c) })
+	conn.unconfirmed = append(conn.unconfirmed, c)
+	p.unconfirmed++
+	hold := connreuse.HoldUntil(s.startedAt, s.timeout, s.event.monoDeadline) - now
+	c.timer = time.AfterFunc(time.Duration(max(hold, 0)), func() { p.holdExpired(c) })
 	return c
 }
 
-// prove notes that a connection that carries a call is in step: its answer named the call's requests.
-func (p *endpoints) prove(conn *endpointConn) {
+// markInSync notes that a connection that carries a call is in step: its answer named the call's requests.
+func (p *endpointPool) markInSync(conn *endpointConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	conn.provenAt = p.clock.now()
+	conn.inSyncAt = p.clock.now()
 }
 
-// expireHold settles an outcome that was held for long enough: it is confirmed if its connection has been in step since.
-func (p *endpoints) expireHold(c *confirmation) {
+// holdExpired settles an outcome that was held for long enough: it is confirmed if its connection has been in step since.
+func (p *endpointPool) holdExpired(c *confirmation) {
 	p.mu.Lock()
-	defer p.unlock()
-	p.look(c.conn)
-	for i, other := range c.conn.pending {
+	defer p.unlockAndSettle()
+	p.checkIdle(c.conn)
+	for i, other := range c.conn.unconfirmed {
 		if other == c {
-			c.conn.pending = slices.Delete(c.conn.pending, i, i+1)
-			p.settleLater(c, c.answeredAt <= c.conn.provenAt, "held_for_long_enough")
+			c.conn.unconfirmed = slices.Delete(c.conn.unconfirmed, i, i+1)
+			p.queueSettlement(c, c.respondedAt <= c.conn.inSyncAt, "held_for_long_enough")
 			return
 		}
 	}
 }
 
-// settleLater notes what came of an outcome; the lock is held.
-func (p *endpoints) settleLater(c *confirmation, result bool, reason string) {
-	p.pending--
-	p.settled = append(p.settled, settlement{c, result, reason})
+// queueSettlement notes what came of an outcome; the lock is held.
+func (p *endpointPool) queueSettlement(c *confirmation, result bool, reason string) {
+	p.unconfirmed--
+	p.toSettle = append(p.toSettle, settlement{c, result, reason})
 }
 
-// look finds out whether a connection that rests is in step; the lock is held. One that holds unread bytes, or has ended,
+// checkIdle finds out whether a connection that rests is in step; the lock is held. One that holds unread bytes, or has ended,
 // is closed.
-func (p *endpoints) look(conn *endpointConn) (usable bool) {
-	if !conn.resting {
+func (p *endpointPool) checkIdle(conn *endpointConn) (usable bool) {
+	if !conn.idle {
 		return false
 	}
-	if state := stateAtRest(conn); state != restQuiet {
-		p.remove(conn)
-		p.end(conn, state.closeReason())
+	if state := inspectIdleConn(conn); state != idleConnOpen {
+		p.removeIdle(conn)
+		p.closeLocked(conn, state.closeReason())
 		return false
 	}
-	if p.clock.now()-conn.used >= p.reuse[conn.endpoint].Rest() {
-		conn.provenAt = conn.used
-		conn.answers.Prove()
+	if p.clock.now()-conn.lastUsedAt >= p.reuse[conn.endpoint].QuietPeriod() {
+		conn.inSyncAt = conn.lastUsedAt
+		conn.responses.MarkInSync()
 	}
 	return true
 }
 
-// end closes a connection for a reason, and settles the outcomes that it told; the lock is held. Where an answer came
+// closeLocked closes a connection for a reason, and settles the outcomes that it told; the lock is held. Where an answer came
 // that no call waited for, all of them are in doubt: which calls they belong to cannot be told.
-func (p *endpoints) end(conn *endpointConn, reason closeReason) {
-	conn.end(reason)
+func (p *endpointPool) closeLocked(conn *endpointConn, reason closeReason) {
+	conn.closeWithReason(reason)
 	surplus := reason == closeSurplus || reason == closeUnread
-	if surplus && conn.calls > 0 {
-		p.noteOutOfStep(conn, reason)
+	if surplus && conn.callCount > 0 {
+		p.recordOutOfSync(conn, reason)
 	}
-	for _, c := range conn.pending {
-		p.settleLater(c, !surplus && c.answeredAt <= conn.provenAt, string(reason))
+	for _, c := range conn.unconfirmed {
+		p.queueSettlement(c, !surplus && c.respondedAt <= conn.inSyncAt, string(reason))
 	}
-	conn.pending = nil
+	conn.unconfirmed = nil
 }
 
-func (p *endpoints) noteOutOfStep(conn *endpointConn, reason closeReason) {
-	outOfStep.Add()
-	p.reuse[conn.endpoint].OutOfStep(p.clock.now())
-	logs.Part("endpoints").WithFields(logrus.Fields{"connection": conn.id, "endpoint": p.names[conn.endpoint], "calls": conn.calls,
-		"in_doubt": len(conn.pending), "reason": string(reason)}).Warn("an answer came that no call waits for")
+func (p *endpointPool) recordOutOfSync(conn *endpointConn, reason closeReason) {
+	outOfSyncConnections.Add()
+	p.reuse[conn.endpoint].RecordOutOfSync(p.clock.now())
+	logs.Part("endpoints").WithFields(logrus.Fields{"connection": conn.id, "endpoint": p.names[conn.endpoint], "calls": conn.callCount,
+		"in_doubt": len(conn.unconfirmed), "reason": string(reason)}).Warn("an answer came that no call waits for")
 }
 
-// settleRested settles the outcomes of connections that rest and are in step. With all, the others are settled too, as
+// settleIdle settles the outcomes of connections that rest and are in step. With all, the others are settled too, as
 // in doubt.
-func (p *endpoints) settleRested(all bool) {
+func (p *endpointPool) settleIdle(all bool) {
 	p.mu.Lock()
-	defer p.unlock()
+	defer p.unlockAndSettle()
 	for _, list := range p.idle {
 		for _, conn := range slices.Clone(list) {
-			if len(conn.pending) == 0 || !p.look(conn) {
+			if len(conn.unconfirmed) == 0 || !p.checkIdle(conn) {
 				continue
 			}
-			kept := conn.pending[:0]
-			for _, c := range conn.pending {
-				if proven := c.answeredAt <= conn.provenAt; proven || all {
-					p.settleLater(c, proven, "the_process_ends")
+			kept := conn.unconfirmed[:0]
+			for _, c := range conn.unconfirmed {
+				if proven := c.respondedAt <= conn.inSyncAt; proven || all {
+					p.queueSettlement(c, proven, "the_process_ends")
 				} else {
 					kept = append(kept, c)
 				}
 			}
-			conn.pending = kept
+			conn.unconfirmed = kept
 		}
 	}
 }
 
-// unsettled counts the outcomes that are followed.
-func (p *endpoints) unsettled() int {
+// unconfirmedCount counts the outcomes that are followed.
+func (p *endpointPool) unconfirmedCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.pending
+	return p.unconfirmed
 }
 
-// provisionalEnd is the end of an event that an answer brought which may be another call's.
-type provisionalEnd struct {
+// provisionalCompletion is the end of an event that an answer brought which may be another call's.
+type provisionalCompletion struct {
 	node    *Node
 	id      string
 	came    uint64
@@ -227,34 +227,34 @@
 }
 
 // settle ends the event: nothing more is owed if the answer was its own, else a notice, which does no harm if it was.
-func (e *provisionalEnd) settle(confirmed bool) {
+func (e *provisionalCompletion) settle(confirmed bool) {
 	if confirmed {
-		e.request.Confirm()
+		e.request.ConfirmEnd()
 		e.node.journal.completeByID(e.id, e.came)
 		return
 	}
-	if e.request.Doubt() != nil {
+	if e.request.FailConfirmation() != nil {
 		return
 	}
-	e.node.ending.Add(1)
-	go e.tell()
+	e.node.unreportedEnds.Add(1)
+	go e.notifyUndeliverable()
 }
 
-// tell tells the platform that the event was not delivered, once a restart would respect it.
-func (e *provisionalEnd) tell() {
+// notifyUndeliverable tells the platform that the event was not delivered, once a restart would respect it.
+func (e *provisionalCompletion) notifyUndeliverable() {
 	written := false
-	if !e.request.MayTell(e.node.clock.now(), false) {
+	if !e.request.MayReportEnd(e.node.clock.now(), false) {
 		select {
 		case <-e.record.Written():
 			written = true
 		case <-time.After(time.Duration(e.due - e.node.clock.now())):
 		}
 	}
-	if e.request.Tell(e.node.clock.now(), written) != nil {
+	if e.request.ReportEnd(e.node.clock.now(), written) != nil {
 		return
 	}
-	e.node.notices.post(notice{id: e.id, verdict: discarded, told: func() {
-		e.node.ending.Add(-1)
+	e.node.notices.enqueue(notice{id: e.id, verdict: discarded, onAcknowledged: func() {
+		e.node.unreportedEnds.Add(-1)
 		e.node.journal.completeByID(e.id, e.came)
 	}})
 }
--- a/node/endpointconn.go
+++ b/node/endpointconn.go
@@ -36,109 +36,109 @@
 		"Connections to endpoints that were closed, by reason.", "reason", string(closeIdle), string(closeUnread),
 		string(closeEnded), string(closeGivenUp), string(closeBroken), string(closeSurplus))
 	callsMade = metrics.NewFamily("jaspersill_endpoint_calls_total", "Calls to endpoints, by the connection that they went out on.",
-		"connection", connectionNew, connectionKept)
+		"connection", connectionNew, connectionReused)
 
-	lastConnection atomic.Uint64
+	lastConnectionID atomic.Uint64
 )
 
 const (
-	connectionNew  = "new"
-	connectionKept = "kept"
+	connectionNew    = "new"
+	connectionReused = "kept"
 )
 
 // newConnectionID numbers the connections of a process, of all kinds, for its log.
-func newConnectionID() uint64 { return lastConnection.Add(1) }
+func newConnectionID() uint64 { return lastConnectionID.Add(1) }
 
 // endpointConn is a connection to an endpoint. It carries one call at a time.
 type endpointConn struct {
 	*retryConn
-	id       uint64
-	endpoint int32
-	in       *replyReader
-	dial     string // the address it goes to
-	used     int64  // when its last call ended
-	calls    int
-	answers  lifecycle.AnswerSequence
+	id         uint64
+	endpoint   int32
+	reader     *responseReader
+	address    string // the address it goes to
+	lastUsedAt int64  // when its last call ended
+	callCount  int
+	responses  lifecycle.AnswerTracker
 
 	// These belong to endpoints, under its lock.
-	resting  bool            // it is among the idle ones
-	provenAt int64           // it was in step then, and all that it told before is its calls' own
-	pending  []*confirmation // of outcomes that it told, and that are not settled
+	idle        bool            // it is among the idle ones
+	inSyncAt    int64           // it was in step then, and all that it told before is its calls' own
+	unconfirmed []*confirmation // of outcomes that it told, and that are not settled
 }
 
 func newEndpointConn(conn *retryConn, endpoint int32, address string) *endpointConn {
 	connectionsOpened.Add()
-	return &endpointConn{retryConn: conn, id: newConnectionID(), endpoint: endpoint, in: newReplyReader(conn), dial: address}
+	return &endpointConn{retryConn: conn, id: newConnectionID(), endpoint: endpoint, reader: newResponseReader(conn), address: address}
 }
 
-// begins notes a call on the connection.
-func (c *endpointConn) begins() {
-	c.calls++
-	if c.calls == 1 {
+// countCall notes a call on the connection.
+func (c *endpointConn) countCall() {
+	c.callCount++
+	if c.callCount == 1 {
 		callsMade.With(connectionNew).Add()
 	} else {
-		callsMade.With(connectionKept).Add()
+		callsMade.With(connectionReused).Add()
 	}
 }
 
 // attribute tells how sure it is that an answer is the newest call's. One that could not be read decides nothing.
-func (c *endpointConn) attribute(answer reply) lifecycle.Attribution {
+func (c *endpointConn) attribute(answer callResponse) lifecycle.Attribution {
 	switch {
-	case answer.cut:
-		return c.answers.ReadCut()
+	case answer.truncated:
+		return c.responses.ObserveTruncated()
 	case answer.identity.Digest == 0:
 		return lifecycle.Certain
 	}
-	return c.answers.Read(answer.identity)
+	return c.responses.Observe(answer.identity)
 }
 
-// end closes the connection for a reason, and counts it.
-func (c *endpointConn) end(reason closeReason) {
+// closeWithReason closes the connection for a reason, and counts it.
+func (c *endpointConn) closeWithReason(reason closeReason) {
 	connectionsClosed.With(string(reason)).Add()
 	if logs.Debugging() {
-		logs.Part("endpoints").WithFields(logrus.Fields{"connection": c.id, "endpoint": c.endpoint, "calls": c.calls,
+		logs.Part("endpoints").WithFields(logrus.Fields{"connection": c.id, "endpoint": c.endpoint, "calls": c.callCount,
 			"reason": string(reason)}).Debug("a connection is closed")
 	}
 	c.Close()
 }
 
-// restState is what a connection shows on which nothing is waited for.
-type restState uint8
+// idleConnState is what a connection shows on which nothing is waited for.
+type idleConnState uint8
 
 const (
-	restQuiet  restState = iota // it stands, and nothing is unread
-	restUnread                  // bytes came
-	restEnded                   // the other side closed or reset it, or it cannot be told
+	idleConnOpen   idleConnState = iota // it stands, and nothing is unread
+	idleConnUnread                      // bytes came
+	idleConnClosed                      // the other side closed or reset it, or it cannot be told
 )
 
 // closeReason is why a connection in this state is not used any more.
-func (s restState) closeReason() closeReason {
-	if s == restUnread {
+func (s idleConnState) closeReason() closeReason {
+	if s == idleConnUnread {
 		return closeUnread
 	}
 	return closeEnded
 }
 
-// stateAtRest looks at a connection without waiting and without reading from it.
-func stateAtRest(c net.Conn) restState {
+// inspectIdleConn looks at a connection without waiting and without reading from it.
+func inspectIdleConn(c net.Conn) idleConnState {
 	raw, err := c.(syscall.Conn).SyscallConn()
 	if err != nil {
-		return restEnded
+		return idleConnClosed
 	}
-	state := restEnded
+	state := idleConnClosed
 	err = raw.Read(func(descriptor uintptr) bool {
 		var one [1]byte
 		n, _, err := syscall.Recvfrom(int(descriptor), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case errors.Is(err, syscall.EAGAIN):
-			state = restQuiet
+			state = idleConnOpen
 		case err == nil && n > 0:
-			state = restUnread
+			state = idleConnUnread
 		}
 		return true
 	})
 	if err != nil {
-		return restEnded
+		return idleConnClosed
 	}
 	return state
 }
--- a/node/journal.go
+++ b/node/journal.go
@@ -6,15 +6,15 @@
 	"path/filepath"
 	"time"
 
+	"jaspersill/delivery"
 	"jaspersill/errclass"
 	"jaspersill/logs"
-	"jaspersill/port"
 	"jaspersill/store"
 )
 
 // journal holds the pending events of a delivery node, in a store that survives the process.
 type journal struct {
-	writeFailures trouble
+	writeFailures failureLog
 
 	store     *store.Store
 	wallClock func() int64
@@ -46,7 +46,7 @@
 	j := &journal{
 		store:         s,
 		wallClock:     wallClock,
-		writeFailures: trouble{part: "journal", what: "writing a record"},
+		writeFailures: failureLog{part: "journal", operation: "writing a record"},
 		stop:          make(chan struct{}),
 		done:          make(chan struct{}),
 	}
@@ -74,9 +74,9 @@
 		}
 		events = append(
 			events,
-			&event{id: stored.ID, came: stored.ArrivalSeq, mark: stored.IdempotencyKey, typ: typ, customer: customer, dest: stored.Dest,
-				deadline: stored.Deadline, body: stored.Body, past: stored.Attempts, sends: len(stored.Attempts), verdict: verdict(stored.Verdict),
-				comeBack: stored.RetryAfter, steps: make(chan step, maxSteps)},
+			&event{id: stored.ID, arrivalSeq: stored.ArrivalSeq, idempotencyKey: stored.IdempotencyKey, typ: typ, customer: customer, dest: stored.Dest,
+				wallDeadline: stored.Deadline, body: stored.Body, pastSends: stored.Attempts, sendCount: len(stored.Attempts), resolution: resolution(stored.Verdict),
+				retryAfter: stored.RetryAfter, updates: make(chan eventUpdate, updateBuffer)},
 		)
 	}
 	go j.runCompaction()
@@ -117,7 +117,7 @@
 	for {
 		more, err := j.store.Compact(compactionStepBytes)
 		if err != nil {
-			j.writeFailures.note(err)
+			j.writeFailures.record(err)
 		}
 		pause := compactionInterval
 		if more && err == nil {
@@ -134,43 +134,43 @@
 func (j *journal) close() {
 	close(j.stop)
 	<-j.done
-	j.writeFailures.note(j.store.Close())
+	j.writeFailures.record(j.store.Close())
 }
 
 // accept records an event as pending.
 func (j *journal) accept(e *event, kind, owner string) (err error) {
-	e.came, err = j.store.Accept(store.Event{ID: e.id, Kind: kind, Owner: owner, IdempotencyKey: e.mark, Dest: e.dest,
-		Deadline: e.deadline, Body: e.body})
+	e.arrivalSeq, err = j.store.Accept(store.Event{ID: e.id, Kind: kind, Owner: owner, IdempotencyKey: e.idempotencyKey, Dest: e.dest,
+		Deadline: e.wallDeadline, Body: e.body})
 	return err
 }
 
 // recordAttempt records that an attempt starts. If it returns an error, the request must not be sent.
 func (j *journal) recordAttempt(e *event, number int, startedAt int64, zone string) error {
-	return j.store.RecordAttempt(e.id, e.came, number, startedAt, zone)
+	return j.store.RecordAttempt(e.id, e.arrivalSeq, number, startedAt, zone)
 }
 
 // recordOutcome records how an attempt ended.
-func (j *journal) recordOutcome(e *event, number int, outcome port.Outcome) *store.PendingWrite {
-	return j.store.RecordOutcome(e.id, e.came, number, outcome)
+func (j *journal) recordOutcome(e *event, number int, outcome delivery.Outcome) *store.PendingWrite {
+	return j.store.RecordOutcome(e.id, e.arrivalSeq, number, outcome)
 }
 
 // recordVerdict records how an event ends, before its notice has been delivered.
 func (j *journal) recordVerdict(e *event) *store.PendingWrite {
-	return j.store.RecordVerdict(e.id, e.came, store.Verdict(e.verdict), e.comeBack)
+	return j.store.RecordVerdict(e.id, e.arrivalSeq, store.Verdict(e.resolution), e.retryAfter)
 }
 
 // recordVerdictAndTrim is recordVerdict for an event that may at most need its notice delivered.
-func (j *journal) recordVerdictAndTrim(e *event, v verdict) *store.PendingWrite {
-	return j.store.RecordVerdictAndTrim(e.id, e.came, store.Verdict(v))
+func (j *journal) recordVerdictAndTrim(e *event, v resolution) *store.PendingWrite {
+	return j.store.RecordVerdictAndTrim(e.id, e.arrivalSeq, store.Verdict(v))
 }
 
 // complete records that an event needs nothing more.
-func (j *journal) complete(e *event) *store.PendingWrite { return j.completeByID(e.id, e.came) }
+func (j *journal) complete(e *event) *store.PendingWrite { return j.completeByID(e.id, e.arrivalSeq) }
 
 // completeByID is complete for an event given by its ID and arrival sequence number. The ID is retained for endedFor, also
 // across restarts, so that a duplicate is detected.
 func (j *journal) completeByID(id string, arrivalSeq uint64) *store.PendingWrite {
-	return j.store.Complete(id, arrivalSeq, j.wallClock()+int64(endedFor))
+	return j.store.Complete(id, arrivalSeq, j.wallClock()+int64(completedIDRetention))
 }
 
 // pendingCount returns the number of pending events.
--- a/node/journal_bench_test.go
+++ b/node/journal_bench_test.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 	"testing"
 
-	"jaspersill/port"
+	"jaspersill/delivery"
 	"jaspersill/store"
 )
 
@@ -37,18 +37,18 @@
 		wg.Wait()
 		b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "events/s")
 	}
-	j, _, err := openJournal(b.TempDir(), store.Dir(b.TempDir()), wall, 64, 6, findAnyType)
+	j, _, err := openJournal(b.TempDir(), store.Dir(b.TempDir()), wallClock, 64, 6, findAnyType)
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer j.close()
 	b.ResetTimer()
 	run(b, func(id string) error {
-		e := &event{id: id, mark: "m", dest: 7, deadline: 1 << 60, body: body}
+		e := &event{id: id, idempotencyKey: "m", dest: 7, wallDeadline: 1 << 60, body: body}
 		if err := errors.Join(j.accept(e, "alert", "acme"), j.recordAttempt(e, 0, 5, "zone")); err != nil {
 			return err
 		}
-		j.recordOutcome(e, 0, port.Acked)
+		j.recordOutcome(e, 0, delivery.Acked)
 		j.complete(e)
 		return nil
 	})
--- a/node/journal_test.go
+++ b/node/journal_test.go
@@ -12,7 +12,7 @@
 	"strings"
 	"testing"
 
-	"jaspersill/port"
+	"jaspersill/delivery"
 	"jaspersill/store"
 )
 
@@ -21,7 +21,7 @@
 // reopenJournal opens the journal in a folder, as the next process does.
 func reopenJournal(t *testing.T, folder string, limitMB float64) (*journal, []*event) {
 	t.Helper()
-	j, pending, err := openJournal(folder, store.Dir(folder), wall, limitMB, 6, findAnyType)
+	j, pending, err := openJournal(folder, store.Dir(folder), wallClock, limitMB, 6, findAnyType)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,7 +56,7 @@
 func fillJournal(t *testing.T, j *journal) {
 	t.Helper()
 	for i, body := range []string{"over", "a\r\n\x00b", "", strings.Repeat("long", 16<<10)} {
-		e := &event{id: fmt.Sprint("e", i), mark: "m", dest: 7, deadline: 1 << 60, body: []byte(body)}
+		e := &event{id: fmt.Sprint("e", i), idempotencyKey: "m", dest: 7, wallDeadline: 1 << 60, body: []byte(body)}
 		if err := j.accept(e, "alert", "acme"); err != nil {
 			t.Fatal(err)
 		}
@@ -69,10 +69,10 @@
 					t.Fatal(err)
 				}
 			}
-			j.recordOutcome(e, 0, port.Declined)
-			j.recordOutcome(e, 1, port.Reset)
+			j.recordOutcome(e, 0, delivery.Refused)
+			j.recordOutcome(e, 1, delivery.Reset)
 		case 2:
-			e.verdict, e.comeBack = declined, 500
+			e.resolution, e.retryAfter = declined, 500
 			j.recordVerdict(e)
 		}
 	}
@@ -84,19 +84,19 @@
 		t.Fatalf("%d events pending, want %d", len(pending), want)
 	}
 	for _, e := range pending {
-		if e.mark != "m" || e.dest != 7 || e.deadline != 1<<60 {
+		if e.idempotencyKey != "m" || e.dest != 7 || e.wallDeadline != 1<<60 {
 			t.Errorf("%s recovered as %+v", e.id, e)
 		}
 		switch e.id {
 		case "e1":
-			past := []store.Attempt{{StartedAt: 50, Zone: "zone", Ended: true, Outcome: port.Declined},
-				{StartedAt: 60, Zone: "zone", Ended: true, Outcome: port.Reset}, {StartedAt: 70, Zone: "zone"}}
-			if !slices.Equal(e.past, past) || e.sends != 3 || string(e.body) != "a\r\n\x00b" {
-				t.Errorf("e1: attempts %+v, body %q", e.past, e.body)
+			past := []store.Attempt{{StartedAt: 50, Zone: "zone", Ended: true, Outcome: delivery.Refused},
+				{StartedAt: 60, Zone: "zone", Ended: true, Outcome: delivery.Reset}, {StartedAt: 70, Zone: "zone"}}
+			if !slices.Equal(e.pastSends, past) || e.sendCount != 3 || string(e.body) != "a\r\n\x00b" {
+				t.Errorf("e1: attempts %+v, body %q", e.pastSends, e.body)
 			}
 		case "e2":
-			if e.verdict != declined || e.comeBack != 500 {
-				t.Errorf("e2: verdict %d, retry after %d", e.verdict, e.comeBack)
+			if e.resolution != declined || e.retryAfter != 500 {
+				t.Errorf("e2: verdict %d, retry after %d", e.resolution, e.retryAfter)
 			}
 		case "e3":
 			if len(e.body) != 64<<10 {
@@ -123,24 +123,24 @@
 	if j.recordAttempt(pending[0], 3, 80, "zone") != nil || !errors.Is(j.recordAttempt(&event{id: "e0"}, 0, 0, ""), errNotPending) {
 		t.Error("an attempt of a pending event must start, and one of a completed event must not")
 	}
-	if _, _, err := openJournal(folder, store.Dir(folder), wall, 3, 6, findAnyType); err == nil {
+	if _, _, err := openJournal(folder, store.Dir(folder), wallClock, 3, 6, findAnyType); err == nil {
 		t.Error("a second process was able to open the folder")
 	}
 }
 
 func TestJournalStaysWithinDiskLimit(t *testing.T) {
-	for _, size := range []int{0, 300, 8 << 10, mostBody} {
+	for _, size := range []int{0, 300, 8 << 10, maxBodyBytes} {
 		folder, limit := t.TempDir(), 1.0
 		j, _ := reopenJournal(t, folder, limit)
 		var accepted []*event
 		refused := 0
 		for i := range 1500 {
 			e := &event{
-				id:       fmt.Sprintf("%016x", i),
-				mark:     "m",
-				dest:     7,
-				deadline: 1 << 60,
-				body:     make([]byte, size),
+				id:             fmt.Sprintf("%016x", i),
+				idempotencyKey: "m",
+				dest:           7,
+				wallDeadline:   1 << 60,
+				body:           make([]byte, size),
 			}
 			switch err := j.accept(e, "alert", "acme"); {
 			case err == nil:
@@ -158,7 +158,7 @@
 				if err := j.recordAttempt(last, n, 1<<60, "a-zone-of-some-length"); err != nil {
 					t.Fatal(err)
 				}
-				j.recordOutcome(last, n, port.Declined)
+				j.recordOutcome(last, n, delivery.Refused)
 			}
 			if used := folderSize(t, folder); used > int64(limit*1e6) {
 				t.Fatalf("%d bytes used on disk, more than the limit", used)
@@ -187,17 +187,17 @@
 	if err := j.accept(e, "alert", "acme"); err != nil {
 		t.Fatal(err)
 	}
-	j.recordOutcome(e, 0, port.Unsent) // given up before it started
+	j.recordOutcome(e, 0, delivery.Unsent) // given up before it started
 	_ = j.recordAttempt(e, 1, 50, "zone")
-	j.recordOutcome(e, 1, port.Declined)
+	j.recordOutcome(e, 1, delivery.Refused)
 	for range 2 {
 		j.close()
 		var pending []*event
 		j, pending = reopenJournal(t, folder, 3)
-		want := []store.Attempt{{StartedAt: 50, Zone: "zone", Ended: true, Outcome: port.Unsent},
-			{StartedAt: 50, Zone: "zone", Ended: true, Outcome: port.Declined}}
-		if !slices.Equal(pending[0].past, want) {
-			t.Errorf("attempts %+v", pending[0].past)
+		want := []store.Attempt{{StartedAt: 50, Zone: "zone", Ended: true, Outcome: delivery.Unsent},
+			{StartedAt: 50, Zone: "zone", Ended: true, Outcome: delivery.Refused}}
+		if !slices.Equal(pending[0].pastSends, want) {
+			t.Errorf("attempts %+v", pending[0].pastSends)
 		}
 	}
 	j.close()
@@ -205,7 +205,7 @@
 
 func TestJournalDistinguishesEventsWithSameID(t *testing.T) {
 	folder, ahead := t.TempDir(), int64(0)
-	wallClock := func() int64 { return wall() + ahead }
+	wallClock := func() int64 { return wallClock() + ahead }
 	j, _, err := openJournal(folder, store.Dir(folder), wallClock, 3, 6, findAnyType)
 	if err != nil {
 		t.Fatal(err)
@@ -217,11 +217,11 @@
 	if err := j.accept(second, "alert", "acme"); !errors.Is(err, errAlreadyCompleted) {
 		t.Errorf("accepted again right after completion: %v", err)
 	}
-	ahead = int64(endedFor)
+	ahead = int64(completedIDRetention)
 	if err := j.accept(second, "alert", "acme"); err != nil {
 		t.Errorf("event with the same ID after the retention period: %v", err)
 	}
-	j.recordOutcome(first, 0, port.Acked)
+	j.recordOutcome(first, 0, delivery.Acked)
 	j.complete(first)
 	if err := j.recordAttempt(first, 1, 60, "zone"); !errors.Is(err, errNotPending) {
 		t.Errorf("an attempt of the completed event started: %v", err)
@@ -229,7 +229,7 @@
 	j.close()
 	j, pending := reopenJournal(t, folder, 3)
 	defer j.close()
-	if len(pending) != 1 || len(pending[0].past) != 0 {
+	if len(pending) != 1 || len(pending[0].pastSends) != 0 {
 		t.Errorf("pending %+v", pending)
 	}
 }
@@ -262,9 +262,9 @@
 		legacyRecord(legacyCompleted, "e0"),
 		legacyRecord(legacyAccepted, "e1", "alert", "acme", 7, 1<<60, "m", "a\r\n\x00b"),
 		legacyRecord(legacyAttemptStarted, "e1", byte(0), 50, "zone"),
-		legacyRecord(legacyAttemptEnded, "e1", byte(0), byte(port.Declined)),
+		legacyRecord(legacyAttemptEnded, "e1", byte(0), byte(delivery.Refused)),
 		legacyRecord(legacyAttemptStarted, "e1", byte(1), 60, "zone"),
-		legacyRecord(legacyAttemptEnded, "e1", byte(1), byte(port.Reset)),
+		legacyRecord(legacyAttemptEnded, "e1", byte(1), byte(delivery.Reset)),
 		legacyRecord(legacyAttemptStarted, "e1", byte(2), 70, "zone"),
 		legacyRecord(
 			legacyAccepted,
@@ -288,7 +288,7 @@
 		}
 	}
 	write(folder)
-	if report, err := ReadJournal(folder); err != nil || len(report.Owed) != 3 {
+	if report, err := ReadJournal(folder); err != nil || len(report.Pending) != 3 {
 		t.Errorf("before the import: %+v, %v", report, err)
 	}
 	j, pending := reopenJournal(t, folder, 3)
@@ -303,8 +303,8 @@
 	j, pending = reopenJournal(t, folder, 3)
 	defer j.close()
 	for _, e := range pending {
-		if e.id == "e1" && len(e.past) != 3 {
-			t.Errorf("e1 recovered with attempts %+v", e.past)
+		if e.id == "e1" && len(e.pastSends) != 3 {
+			t.Errorf("e1 recovered with attempts %+v", e.pastSends)
 		}
 	}
 	if len(pending) != 2 {
@@ -331,7 +331,7 @@
 		}
 		before := folderSize(t, folder)
 		report, err := ReadJournal(folder)
-		if err != nil || len(report.Owed) != wantPending || (report.Torn > 0) != wantTorn || report.Lost != wantLost ||
+		if err != nil || len(report.Pending) != wantPending || (report.TruncatedBytes > 0) != wantTorn || report.RecordsMissing != wantLost ||
 			(len(report.Faults) > 0) != wantFaults {
 			t.Errorf("%s: %+v, %v", what, report, err)
 		}
--- a/node/legacy_journal.go
+++ b/node/legacy_journal.go
@@ -10,8 +10,8 @@
 	"strconv"
 	"time"
 
+	"jaspersill/delivery"
 	"jaspersill/errclass"
-	"jaspersill/port"
 	"jaspersill/store"
 )
 
@@ -176,7 +176,7 @@
 			entry.BeginAttempt(number, attempt)
 		}
 	case legacyAttemptEnded:
-		number, outcome := int(d.Byte()), port.Outcome(d.Byte())
+		number, outcome := int(d.Byte()), delivery.Outcome(d.Byte())
 		if d.Invalid() {
 			return false
 		}
--- a/node/notices.go
+++ b/node/notices.go
@@ -20,125 +20,125 @@
 )
 
 const (
-	noticeWithin = 250 * time.Millisecond // a notice is answered at once; a repeat does no harm
-	noticeAgain  = 50 * time.Millisecond  // between tries: a notice is overdue after 300 ms
-	noticePart   = 200                    // lines in one notice: some 12 kB
-	spareEvery   = time.Second            // between looks at whether the unused connection still stands
-	noticeBuffer = 1024                   // bytes: an answer is a line or two
+	noticeTimeout        = 250 * time.Millisecond // a notice is answered at once; a repeat does no harm
+	noticeRetryInterval  = 50 * time.Millisecond  // between tries: a notice is overdue after 300 ms
+	maxNoticesPerPost    = 200                    // lines in one notice: some 12 kB
+	spareCheckInterval   = time.Second            // between looks at whether the unused connection still stands
+	noticeReadBufferSize = 1024                   // bytes: an answer is a line or two
 
-	noticeTold   = "told"
-	noticeUnsure = "unsure"
-	noticeFailed = "failed"
+	noticeAcknowledged = "told"
+	noticeUnverified   = "unsure"
+	noticeFailed       = "failed"
 )
 
 var (
 	noticePosts = metrics.NewFamily("jaspersill_notice_posts_total", "Posts of notices to the platform, by what came of them.",
-		"result", noticeTold, noticeUnsure, noticeFailed)
+		"result", noticeAcknowledged, noticeUnverified, noticeFailed)
 	noticeConnections = metrics.New("jaspersill_notice_connections_total", "Connections opened to the platform for notices.")
 )
 
 // notice tells the platform how an event ended that was taken on and not delivered.
 type notice struct {
-	id      string
-	verdict verdict
-	after   int64  // when to come back, 0 for nothing told
-	told    func() // is called once the platform has surely read it
+	id             string
+	verdict        resolution
+	retryAfter     int64  // when to come back, 0 for nothing told
+	onAcknowledged func() // is called once the platform has surely read it
 }
 
-// notices tells the platform of ends until it has surely heard.
+// noticeSender tells the platform of ends until it has surely heard.
 //
 // An answer to a notice names none, so only the first one on a connection is believed: a connection carries one post
 // that counts, and the next one stands open before it is needed. The connection used last is kept for the time in which
 // no other can be opened. A post on it most likely reaches the platform, and is made again on a new one.
-type notices struct {
-	bell chan struct{}
+type noticeSender struct {
+	wake chan struct{}
 
-	mu       sync.Mutex
-	within   time.Duration // that the platform has to answer
-	again    time.Duration // until one that failed is told again
-	queue    []notice
-	address  string
-	lifetime context.Context // of the connections to this address
-	leave    context.CancelFunc
-	spare    *platformConn // open, and never used
-	used     *platformConn // what was used last
-	unsure   int           // notices at the head of the queue that were posted on a connection used before
+	mu            sync.Mutex
+	timeout       time.Duration // that the platform has to answer
+	retryInterval time.Duration // until one that failed is told again
+	queue         []notice
+	address       string
+	addressCtx    context.Context // of the connections to this address
+	cancelAddress context.CancelFunc
+	spare         *platformConn // open, and never used
+	lastUsed      *platformConn // what was used last
+	unverified    int           // notices at the head of the queue that were posted on a connection used before
 }
 
 // platformConn is a connection to the platform for notices.
 type platformConn struct {
 	*retryConn
-	id      uint64
-	address string
-	in      *bufio.Reader
-	stop    func() bool
+	id              uint64
+	address         string
+	reader          *bufio.Reader
+	stopCloseOnMove func() bool
 }
 
 func (c *platformConn) Close() error {
-	c.stop()
+	c.stopCloseOnMove()
 	return c.retryConn.Close()
 }
 
-func openNotices(address string) *notices {
-	n := &notices{bell: make(chan struct{}, 1), within: noticeWithin, again: noticeAgain, leave: func() {}}
-	n.move(address)
+func newNoticeSender(address string) *noticeSender {
+	n := &noticeSender{wake: make(chan struct{}, 1), timeout: noticeTimeout, retryInterval: noticeRetryInterval, cancelAddress: func() {}}
+	n.setAddress(address)
 	return n
 }
 
-// times changes how long a notice may take, from the next one on.
-func (n *notices) times(within, again time.Duration) {
+// setTimeouts changes how long a notice may take, from the next one on.
+func (n *noticeSender) setTimeouts(within, again time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.within, n.again = within, again
+	n.timeout, n.retryInterval = within, again
 }
 
-// move tells the platform at another address from now on. What hangs at the old one is broken off, and told again.
-func (n *notices) move(address string) {
+// setAddress tells the platform at another address from now on. What hangs at the old one is broken off, and told again.
+func (n *noticeSender) setAddress(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.address == address {
 		return
 	}
-	n.leave()
-	n.lifetime, n.leave = context.WithCancel(context.Background())
-	n.address, n.spare, n.used, n.unsure = address, nil, nil, 0
+	n.cancelAddress()
+	n.addressCtx, n.cancelAddress = context.WithCancel(context.Background())
+	n.address, n.spare, n.lastUsed, n.unverified = address, nil, nil, 0
 }
 
-// post queues a notice.
-func (n *notices) post(next notice) {
+// enqueue queues a notice.
+func (n *noticeSender) enqueue(next notice) {
 	n.mu.Lock()
 	n.queue = append(n.queue, next)
 	n.mu.Unlock()
 	select {
-	case n.bell <- struct{}{}:
+	case n.wake <- struct{}{}:
 	default:
 	}
 }
 
 // run sends notices for as long as the process lasts.
-func (n *notices) run(stop <-chan struct{}) {
-	telling := trouble{part: "notices", what: "telling the platform"}
-	look := time.NewTicker(spareEvery)
+func (n *noticeSender) run(stop <-chan struct{}) {
+	telling := failureLog{part: "notices", operation: "telling the platform"}
+	look := time.NewTicker(spareCheckInterval)
 	defer look.Stop()
-	go n.renewSpare()
+	go n.ensureSpare()
 	for {
 		select {
 		case <-stop:
 			return
 		case <-look.C:
-			go n.renewSpare()
+			go n.ensureSpare()
 			continue
-		case <-n.bell:
+		case <-n.wake:
 		}
 		for {
-			part, again := n.next()
+			part, again := n.nextBatch()
 			if len(part) == 0 {
 				break
 			}
-			err := n.tell(part)
-			telling.note(err)
+			err := n.postBatch(part)
+			telling.record(err)
 			if err == nil {
-				n.done(part)
+				n.acknowledge(part)
 				continue
 			}
 			select {
@@ -150,30 +150,30 @@
 	}
 }
 
-// next is what is told next, and how long to wait if that fails.
-func (n *notices) next() (part []notice, again time.Duration) {
+// nextBatch is what is told nextBatch, and how long to wait if that fails.
+func (n *noticeSender) nextBatch() (part []notice, again time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.queue[:min(len(n.queue), noticePart)], n.again
+	return n.queue[:min(len(n.queue), maxNoticesPerPost)], n.retryInterval
 }
 
-// done notes that notices at the head of the queue are told.
-func (n *notices) done(part []notice) {
+// acknowledge notes that notices at the head of the queue are told.
+func (n *noticeSender) acknowledge(part []notice) {
 	for _, told := range part {
-		told.told()
+		told.onAcknowledged()
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.queue = append([]notice(nil), n.queue[len(part):]...)
-	n.unsure = max(0, n.unsure-len(part))
+	n.unverified = max(0, n.unverified-len(part))
 }
 
-// tell posts notices on a connection that was never used. Where none stands open, they go out on the one used last
+// postBatch posts notices on a connection that was never used. Where none stands open, they go out on the one used last
 // meanwhile, since opening one may take too long, or fail.
-func (n *notices) tell(part []notice) error {
+func (n *noticeSender) postBatch(part []notice) error {
 	conn := n.takeSpare()
 	if conn == nil {
-		go n.tellUnsurely(part)
+		go n.postUnverified(part)
 		var err error
 		if conn, err = n.connect(); err != nil {
 			return err
@@ -181,48 +181,48 @@
 	}
 	sent, err := n.exchange(conn, part)
 	if err != nil {
-		n.log(conn, part, noticeFailed, err)
+		n.logPost(conn, part, noticeFailed, err)
 		if !sent {
 			n.keepSpare(conn)
 			return err
 		}
 		conn.Close()
-		go n.renewSpare()
+		go n.ensureSpare()
 		return err
 	}
-	n.log(conn, part, noticeTold, nil)
-	n.keepUsed(conn)
-	go n.renewSpare()
+	n.logPost(conn, part, noticeAcknowledged, nil)
+	n.keepLastUsed(conn)
+	go n.ensureSpare()
 	return nil
 }
 
-// tellUnsurely posts those notices on the connection used last that have not gone out on it yet. They count as not told.
-func (n *notices) tellUnsurely(part []notice) {
+// postUnverified posts those notices on the connection used last that have not gone out on it yet. They count as not told.
+func (n *noticeSender) postUnverified(part []notice) {
 	n.mu.Lock()
-	conn := n.used
-	if conn == nil || n.unsure >= len(part) {
+	conn := n.lastUsed
+	if conn == nil || n.unverified >= len(part) {
 		n.mu.Unlock()
 		return
 	}
-	part = part[n.unsure:]
-	n.unsure += len(part)
-	n.used = nil
+	part = part[n.unverified:]
+	n.unverified += len(part)
+	n.lastUsed = nil
 	n.mu.Unlock()
 	sent, err := n.exchange(conn, part)
-	n.log(conn, part, noticeUnsure, err)
+	n.logPost(conn, part, noticeUnverified, err)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if err != nil {
-		n.unsure = 0
+		n.unverified = 0
 	}
-	if (err != nil && sent) || n.used != nil || conn.address != n.address {
+	if (err != nil && sent) || n.lastUsed != nil || conn.address != n.address {
 		conn.Close()
 		return
 	}
-	n.used = conn
+	n.lastUsed = conn
 }
 
-func (n *notices) log(conn *platformConn, part []notice, result string, err error) {
+func (n *noticeSender) logPost(conn *platformConn, part []notice, result string, err error) {
 	noticePosts.With(result).Add()
 	if !logs.Debugging() {
 		return
@@ -236,39 +236,39 @@
 	}
 }
 
-// keepUsed keeps a connection for the time in which no other can be opened.
-func (n *notices) keepUsed(conn *platformConn) {
+// keepLastUsed keeps a connection for the time in which no other can be opened.
+func (n *noticeSender) keepLastUsed(conn *platformConn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.used != nil {
-		n.used.Close()
-		n.used = nil
+	if n.lastUsed != nil {
+		n.lastUsed.Close()
+		n.lastUsed = nil
 	}
 	if conn.address == n.address {
-		n.used = conn
+		n.lastUsed = conn
 	} else {
 		conn.Close()
 	}
 }
 
 // takeSpare takes the connection that stands open unused, nil for none.
-func (n *notices) takeSpare() *platformConn {
+func (n *noticeSender) takeSpare() *platformConn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	conn := n.spare
 	n.spare = nil
-	if conn != nil && stateAtRest(conn.retryConn) != restQuiet {
+	if conn != nil && inspectIdleConn(conn.retryConn) != idleConnOpen {
 		conn.Close()
 		return nil
 	}
 	return conn
 }
 
-// renewSpare opens the connection that the next post takes, unless one stands.
-func (n *notices) renewSpare() {
+// ensureSpare opens the connection that the next post takes, unless one stands.
+func (n *noticeSender) ensureSpare() {
 	n.mu.Lock()
 	if conn := n.spare; conn != nil {
-		if stateAtRest(conn.retryConn) == restQuiet {
+		if inspectIdleConn(conn.retryConn) == idleConnOpen {
 			n.mu.Unlock()
 			return
 		}
@@ -284,7 +284,7 @@
 }
 
 // keepSpare keeps a connection on which nothing was written for the next post.
-func (n *notices) keepSpare(conn *platformConn) {
+func (n *noticeSender) keepSpare(conn *platformConn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.spare != nil || conn.address != n.address {
@@ -295,9 +295,9 @@
 }
 
 // connect opens a connection to the platform, which ends with the address that it goes to.
-func (n *notices) connect() (*platformConn, error) {
+func (n *noticeSender) connect() (*platformConn, error) {
 	n.mu.Lock()
-	address, lifetime, within := n.address, n.lifetime, n.within
+	address, lifetime, within := n.address, n.addressCtx, n.timeout
 	n.mu.Unlock()
 	ctx, cancel := context.WithTimeout(lifetime, within)
 	defer cancel()
@@ -305,13 +305,13 @@
 	dial := func(ctx context.Context, address string) (net.Conn, error) {
 		return dialer.DialContext(ctx, "tcp", address)
 	}
-	conn, err := dialAgain(ctx, dial, address)
+	conn, err := dialWithRetry(ctx, dial, address)
 	if err != nil {
 		return nil, err
 	}
 	noticeConnections.Add()
 	return &platformConn{retryConn: conn, id: newConnectionID(), address: address,
-		in: bufio.NewReaderSize(conn, noticeBuffer), stop: context.AfterFunc(lifetime, func() { conn.Close() })}, nil
+		reader: bufio.NewReaderSize(conn, noticeReadBufferSize), stopCloseOnMove: context.AfterFunc(lifetime, func() { conn.Close() })}, nil
 }
 
 type statusError int
@@ -320,18 +320,18 @@
 
 // exchange posts notices and reads the answer. It tells whether a byte of them may have gone out, or the connection has
 // ended.
-func (n *notices) exchange(conn *platformConn, part []notice) (sent bool, err error) {
+func (n *noticeSender) exchange(conn *platformConn, part []notice) (sent bool, err error) {
 	n.mu.Lock()
-	within := n.within
+	within := n.timeout
 	n.mu.Unlock()
-	if state := stateAtRest(conn.retryConn); state != restQuiet {
+	if state := inspectIdleConn(conn.retryConn); state != idleConnOpen {
 		return true, fmt.Errorf("the connection is %s", state.closeReason())
 	}
 	conn.SetDeadline(time.Now().Add(within))
 	defer conn.SetDeadline(time.Time{})
 	out := bytebufferpool.Get()
 	defer bytebufferpool.Put(out)
-	if err := writeNotices(out, conn.address, part); err != nil {
+	if err := writeNoticeRequest(out, conn.address, part); err != nil {
 		return false, err
 	}
 	if written, err := conn.Write(out.B); err != nil {
@@ -339,7 +339,7 @@
 	}
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
-	if err := resp.ReadLimitBody(conn.in, mostReply); err != nil {
+	if err := resp.ReadLimitBody(conn.reader, maxResponseBytes); err != nil {
 		return true, err
 	}
 	if resp.StatusCode() != fasthttp.StatusNoContent {
@@ -348,8 +348,8 @@
 	return true, nil
 }
 
-// writeNotices writes a post of notices, one to a line.
-func writeNotices(out *bytebufferpool.ByteBuffer, address string, part []notice) error {
+// writeNoticeRequest writes a post of notices, one to a line.
+func writeNoticeRequest(out *bytebufferpool.ByteBuffer, address string, part []notice) error {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.Header.SetMethod(fasthttp.MethodPost)
@@ -365,8 +365,8 @@
 			body = append(body, `,"status":"undeliverable"}`...)
 		} else {
 			body = append(body, `,"status":"deferred"`...)
-			if one.after > 0 {
-				body = strconv.AppendInt(append(body, `,"again_ms":`...), (one.after+999_999)/1e6, 10)
+			if one.retryAfter > 0 {
+				body = strconv.AppendInt(append(body, `,"again_ms":`...), (one.retryAfter+999_999)/1e6, 10)
 			}
 			body = append(body, '}')
 		}
--- a/node/momentary.go
+++ b/node/retryconn.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	callAgain     = time.Millisecond // before a call is tried again that failed for a moment, doubling
-	callAgainMost = 20 * time.Millisecond
+	minRetryPause = time.Millisecond // before a call is tried again that failed for a moment, doubling
+	maxRetryPause = 20 * time.Millisecond
 )
 
-var momentaryFailures = metrics.NewFamily("jaspersill_momentary_failures_total",
+var transientFailures = metrics.NewFamily("jaspersill_momentary_failures_total",
 	"Calls on sockets that failed for a reason of this machine and were tried again.", "call", "read", "write", "connect", "accept")
 
 // retryConn is a connection whose reads and writes are tried again when they fail for a moment: nothing is lost on
 // it then. Its deadlines, and closing it, end the trying. One goroutine reads at a time.
 type retryConn struct {
 	net.Conn
-	delayedSince time.Time  // when a read first failed so; what was read since may have come then
-	stalls       func(bool) // hears when reads begin to fail so, and when they work again; nil for nobody
+	readFailingSince time.Time  // when a read first failed so; what was read since may have come then
+	onStall          func(bool) // hears when reads begin to fail so, and when they work again; nil for nobody
 
 	mu       sync.Mutex // held while bytes are taken off the connection, so that they are seen on one side or the other
 	received bool       // bytes were taken off it since it was last told to expect some
@@ -38,21 +38,21 @@
 	stalled := false
 	defer func() {
 		if stalled {
-			c.stalls(false)
+			c.onStall(false)
 		}
 	}()
-	for pause := callAgain; ; pause = min(2*pause, callAgainMost) {
+	for pause := minRetryPause; ; pause = min(2*pause, maxRetryPause) {
 		n, err := c.readOnce(b)
-		if n > 0 || errclass.Stream(err) != errclass.Momentary {
+		if n > 0 || errclass.Stream(err) != errclass.Transient {
 			return n, err
 		}
-		momentaryFailures.With("read").Add()
-		if c.delayedSince.IsZero() {
-			c.delayedSince = time.Now()
+		transientFailures.With("read").Add()
+		if c.readFailingSince.IsZero() {
+			c.readFailingSince = time.Now()
 		}
-		if !stalled && c.stalls != nil {
+		if !stalled && c.onStall != nil {
 			stalled = true
-			c.stalls(true)
+			c.onStall(true)
 		}
 		time.Sleep(pause)
 	}
@@ -60,38 +60,38 @@
 
 // Write implements net.Conn. What went out in part is gone on with.
 func (c *retryConn) Write(b []byte) (written int, err error) {
-	for pause := callAgain; ; pause = min(2*pause, callAgainMost) {
+	for pause := minRetryPause; ; pause = min(2*pause, maxRetryPause) {
 		n, err := c.writeOnce(b[written:])
 		written += n
-		if written == len(b) || (err != nil && errclass.Stream(err) != errclass.Momentary) {
+		if written == len(b) || (err != nil && errclass.Stream(err) != errclass.Transient) {
 			return written, err
 		}
 		if n == 0 {
-			momentaryFailures.With("write").Add()
+			transientFailures.With("write").Add()
 			time.Sleep(pause)
 		}
 	}
 }
 
-// WriteUnlessFailing writes all or, where its first write fails for a moment, nothing: then the error says so, and
+// WriteIfReady writes all or, where its first write fails for a moment, nothing: then the error says so, and
 // the caller decides whether what it wanted to write is still wanted. It stops where an answer comes before the last byte
 // is written.
-func (c *retryConn) WriteUnlessFailing(b []byte) (written int, err error) {
+func (c *retryConn) WriteIfReady(b []byte) (written int, err error) {
 	written, err = c.writeOnce(b)
-	if written == 0 || written == len(b) || (err != nil && errclass.Stream(err) != errclass.Momentary) {
+	if written == 0 || written == len(b) || (err != nil && errclass.Stream(err) != errclass.Transient) {
 		return written, err
 	}
-	for pause := callAgain; ; pause = min(2*pause, callAgainMost) {
+	for pause := minRetryPause; ; pause = min(2*pause, maxRetryPause) {
 		if c.hasUnread() {
 			return written, errEarlyAnswer
 		}
 		n, err := c.writeOnce(b[written:])
 		written += n
-		if written == len(b) || (err != nil && errclass.Stream(err) != errclass.Momentary) {
+		if written == len(b) || (err != nil && errclass.Stream(err) != errclass.Transient) {
 			return written, err
 		}
 		if n == 0 {
-			momentaryFailures.With("write").Add()
+			transientFailures.With("write").Add()
 			time.Sleep(pause)
 		}
 	}
@@ -164,15 +164,15 @@
 	c.received = c.received || n > 0
 }
 
-// expect begins to watch for an answer.
-func (c *retryConn) expect() {
+// expectAnswer begins to watch for an answer.
+func (c *retryConn) expectAnswer() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.received = false
 }
 
-// answerBegun tells whether bytes came since expect, whether or not they were read.
-func (c *retryConn) answerBegun() bool {
+// answerStarted tells whether bytes came since expect, whether or not they were read.
+func (c *retryConn) answerStarted() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.received || c.hasUnread()
@@ -211,17 +211,17 @@
 // dialFunc connects to an address, for as long as its context lasts.
 type dialFunc func(ctx context.Context, address string) (net.Conn, error)
 
-// dialAgain connects, and tries again while connecting fails for a reason of this machine.
-func dialAgain(ctx context.Context, dial dialFunc, address string) (*retryConn, error) {
-	for pause := callAgain; ; pause = min(2*pause, callAgainMost) {
+// dialWithRetry connects, and tries again while connecting fails for a reason of this machine.
+func dialWithRetry(ctx context.Context, dial dialFunc, address string) (*retryConn, error) {
+	for pause := minRetryPause; ; pause = min(2*pause, maxRetryPause) {
 		conn, err := dial(ctx, address)
 		if err == nil {
 			return &retryConn{Conn: conn}, nil
 		}
-		if errclass.Socket(err) != errclass.Momentary {
+		if errclass.Socket(err) != errclass.Transient {
 			return nil, err
 		}
-		momentaryFailures.With("connect").Add()
+		transientFailures.With("connect").Add()
 		select {
 		case <-ctx.Done():
 			return nil, err
@@ -231,13 +231,13 @@
 }
 
 const (
-	listenWithin = 5 * time.Second // for sockets that cannot be opened at the start
-	listenAgain  = 20 * time.Millisecond
+	openSocketTimeout  = 5 * time.Second // for sockets that cannot be opened at the start
+	openSocketInterval = 20 * time.Millisecond
 )
 
 // openSocket opens a socket of the start, and tries again while that fails for a reason of this machine.
 func openSocket[S any](open func() (S, error)) (socket S, err error) {
-	err = errclass.Retry(errclass.Socket, listenWithin, listenAgain, func() error {
+	err = errclass.Retry(errclass.Socket, openSocketTimeout, openSocketInterval, func() error {
 		socket, err = open()
 		return err
 	})
--- a/node/wire.go
+++ b/node/wire.go
@@ -17,54 +17,56 @@
 	"github.com/valyala/bytebufferpool"
 	"github.com/valyala/fasthttp"
 
+	"jaspersill/delivery"
 	"jaspersill/lifecycle"
-	"jaspersill/port"
 )
 
 const (
-	headID       = "Req-Id"
-	headKind     = "Req-Kind"
-	headOwner    = "Req-Owner"
-	headDeadline = "Req-Deadline-Ms"
-	headMark     = "Idempotency-Key"
-	headEnvelope = "X-Envelope"
-	headRetry    = "Retry-After"
-	headNoSlot   = "X-No-Slot"
-	headLoad     = "Srv-Load"
+	headerID             = "Req-Id"
+	headerKind           = "Req-Kind"
+	headerOwner          = "Req-Owner"
+	headerDeadline       = "Req-Deadline-Ms"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerEnvelope       = "X-Envelope"
+	headerRetryAfter     = "Retry-After"
+	headerNoSlot         = "X-No-Slot"
+	headerLoad           = "Srv-Load"
 
-	statusTaken    = fasthttp.StatusAccepted
+	statusAccepted = fasthttp.StatusAccepted
 	statusDeclined = fasthttp.StatusServiceUnavailable
 
-	firstOK      = "HTTP/1.1 200"
-	firstInterim = "HTTP/1.1 1" // more comes
-	mostInterim  = 16
+	statusLineOK        = "HTTP/1.1 200"
+	statusLineInterim   = "HTTP/1.1 1" // more comes
+	maxInterimResponses = 16
 
-	mostBody  = 64 << 10 // bytes of an event's body: the protocol's
-	bulkLine  = 16       // bytes around an event in a bulk call: length, two spaces, two CRLFs, some to spare
-	mostReply = 64 << 10 // bytes of an answer's body: a line for each event of a call fits many times
+	maxBodyBytes      = 64 << 10 // bytes of an event's body: the protocol's
+	bulkEventOverhead = 16       // bytes around an event in a bulk call: length, two spaces, two CRLFs, some to spare
+	maxResponseBytes  = 64 << 10 // bytes of an answer's body: a line for each event of a call fits many times
 
-	// restWithin is how long the rest of an answer may take once it has begun: it is written in one piece.
-	restWithin = 300 * time.Millisecond
+	// responseReadTimeout is how long the rest of an answer may take once it has begun: it is written in one piece.
+	responseReadTimeout = 300 * time.Millisecond
 )
 
 // bulkSize is what an event takes of the body of a call of several.
-func bulkSize(e *event) int { return len(e.id) + len(e.mark) + len(e.body) + bulkLine }
+func bulkSize(e *event) int {
+	return len(e.id) + len(e.idempotencyKey) + len(e.body) + bulkEventOverhead
+}
 
 // writeCall writes a call of one event, or of several. Id, mark and body go on as they came.
-func writeCall(out *bytebufferpool.ByteBuffer, sends []*send, wait int64) error {
+func writeCall(out *bytebufferpool.ByteBuffer, sends []*attempt, wait int64) error {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.Header.SetNoDefaultContentType(true)
 	req.Header.SetUserAgent("jaspersill")
 	req.Header.SetHost("endpoint")
-	req.Header.Set(headDeadline, strconv.FormatInt(wait/1e6, 10))
+	req.Header.Set(headerDeadline, strconv.FormatInt(wait/1e6, 10))
 	if len(sends) == 1 {
 		e := sends[0].event
 		req.SetRequestURI("/inbox")
-		req.Header.Set(headID, e.id)
-		if e.mark != "" {
-			req.Header.Set(headMark, e.mark)
+		req.Header.Set(headerID, e.id)
+		if e.idempotencyKey != "" {
+			req.Header.Set(headerIdempotencyKey, e.idempotencyKey)
 		}
 		req.SetBodyRaw(e.body)
 		_, err := req.WriteTo(out)
@@ -73,7 +75,7 @@
 	body := bytebufferpool.Get()
 	defer bytebufferpool.Put(body)
 	for _, s := range sends {
-		e, mark := s.event, s.event.mark
+		e, mark := s.event, s.event.idempotencyKey
 		if mark == "" {
 			mark = "-"
 		}
@@ -87,61 +89,61 @@
 	return err
 }
 
-// reply is an endpoint's answer, taken apart.
-type reply struct {
-	results  []result // of each send
-	identity lifecycle.Answer
-	cut      bool        // only its beginning came, which says that its one event is delivered
-	close    closeReason // why the connection ends with it, empty if it does not
+// callResponse is an endpoint's answer, taken apart.
+type callResponse struct {
+	results   []result // of each send
+	identity  lifecycle.Answer
+	truncated bool        // only its beginning came, which says that its one event is delivered
+	close     closeReason // why the connection ends with it, empty if it does not
 }
 
-type replyReader struct {
+type responseReader struct {
 	conn net.Conn
 	buf  *bufio.Reader
 }
 
-func newReplyReader(conn net.Conn) *replyReader {
-	return &replyReader{conn, bufio.NewReaderSize(conn, replySize)}
+func newResponseReader(conn net.Conn) *responseReader {
+	return &responseReader{conn, bufio.NewReaderSize(conn, responseBufferSize)}
 }
 
-// errSpoilt: an answer came that cannot be read. What was sent has run, for all that is known.
-var errSpoilt = errors.New("an answer cannot be read")
+// errUnreadableResponse: an answer came that cannot be read. What was sent has run, for all that is known.
+var errUnreadableResponse = errors.New("an answer cannot be read")
 
-// read reads the answer to a call: what it says of each send, or one result for all. Where it is not known
+// readResponse reads the answer to a call: what it says of each send, or one result for all. Where it is not known
 // how the call fared, an answer was spoilt, or the connection broke before it was whole.
-func (r *replyReader) read(sends []*send) reply {
+func (r *responseReader) readResponse(sends []*attempt) callResponse {
 	if _, err := r.buf.Peek(1); err != nil {
-		return reply{results: []result{{how: port.Reset}}, close: closeBroken}
+		return callResponse{results: []result{{outcome: delivery.Reset}}, close: closeBroken}
 	}
 	// Danger: an answer that never ends would hold its slot, and what it says, for all the send's time.
-	r.conn.SetReadDeadline(time.Now().Add(restWithin))
+	r.conn.SetReadDeadline(time.Now().Add(responseReadTimeout))
 	defer r.conn.SetReadDeadline(time.Time{})
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
 	var err error
-	for n := 0; err == nil && r.begins(firstInterim); n++ {
-		if err = resp.Header.Read(r.buf); n >= mostInterim {
-			err = errSpoilt
+	for n := 0; err == nil && r.nextIs(statusLineInterim); n++ {
+		if err = resp.Header.Read(r.buf); n >= maxInterimResponses {
+			err = errUnreadableResponse
 		}
 	}
-	delivered := err == nil && len(sends) == 1 && r.saysOK()
+	delivered := err == nil && len(sends) == 1 && r.statusLineIsOK()
 	if err == nil {
-		err = resp.ReadLimitBody(r.buf, mostReply)
+		err = resp.ReadLimitBody(r.buf, maxResponseBytes)
 	}
 	switch {
 	case err == nil:
 	case delivered: // its first line has delivered a single event, whatever becomes of the rest
-		return reply{results: []result{{how: port.Acked, over: true, wait: r.toldWait(resp)}}, cut: true, close: closeAnswer}
+		return callResponse{results: []result{{outcome: delivery.Acked, final: true, retryAfter: r.retryAfter(resp)}}, truncated: true, close: closeAnswer}
 	case errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET):
-		return reply{results: []result{{how: port.Reset, wait: r.toldWait(resp)}}, close: closeAnswer}
+		return callResponse{results: []result{{outcome: delivery.Reset, retryAfter: r.retryAfter(resp)}}, close: closeAnswer}
 	default:
-		return reply{results: []result{{how: port.Spoilt, wait: r.toldWait(resp)}}, close: closeAnswer}
+		return callResponse{results: []result{{outcome: delivery.Unreadable, retryAfter: r.retryAfter(resp)}}, close: closeAnswer}
 	}
 	var all result
-	all.left, all.limit = readLoad(string(resp.Header.Peek(headLoad)))
-	all.wait = readWait(string(resp.Header.Peek(headRetry)))
-	out := reply{results: make([]result, len(sends))}
-	out.identity.Digest = digest(resp)
+	all.rateFree, all.rateLimit = parseLoad(string(resp.Header.Peek(headerLoad)))
+	all.retryAfter = parseRetryAfter(string(resp.Header.Peek(headerRetryAfter)))
+	out := callResponse{results: make([]result, len(sends))}
+	out.identity.Digest = responseDigest(resp)
 	if resp.ConnectionClose() {
 		out.close = closeAnswer
 	}
@@ -150,15 +152,15 @@
 	}
 	status := resp.StatusCode()
 	if len(sends) > 1 && status == fasthttp.StatusOK {
-		if readEnds(resp.Body(), sends, all, out.results) {
-			out.identity.Named = true
+		if parseBulkResults(resp.Body(), sends, all, out.results) {
+			out.identity.NamesRequests = true
 		} else {
 			out.close = closeSurplus // it is another call's, or none
 		}
 		return out
 	}
-	all.how, all.over = readStatus(status, len(resp.Header.Peek(headNoSlot)) > 0, len(sends) > 1)
-	out.identity.NotRun = !all.how.MayHaveRun()
+	all.outcome, all.final = classifyStatus(status, len(resp.Header.Peek(headerNoSlot)) > 0, len(sends) > 1)
+	out.identity.NotRun = !all.outcome.MayHaveRun()
 	for i := range out.results {
 		out.results[i] = all
 	}
@@ -168,12 +170,12 @@
 // digestSeed is the same for all answers of a process.
 var digestSeed = maphash.MakeSeed()
 
-// digest stands for all that an answer means. Fields that a path might add to a copy have no part in it.
-func digest(resp *fasthttp.Response) uint64 {
+// responseDigest stands for all that an answer means. Fields that a path might add to a copy have no part in it.
+func responseDigest(resp *fasthttp.Response) uint64 {
 	var hash maphash.Hash
 	hash.SetSeed(digestSeed)
 	fmt.Fprintf(&hash, "%d %v %d\n", resp.StatusCode(), resp.ConnectionClose(), len(resp.Body()))
-	for _, name := range []string{headRetry, headNoSlot, headLoad} {
+	for _, name := range []string{headerRetryAfter, headerNoSlot, headerLoad} {
 		hash.Write(resp.Header.Peek(name))
 		hash.WriteByte('\n')
 	}
@@ -181,25 +183,25 @@
 	return hash.Sum64()
 }
 
-// toldWait finds the wait that an answer tells. Danger: of an answer that cannot be read to its end, the
+// retryAfter finds the wait that an answer tells. Danger: of an answer that cannot be read to its end, the
 // wait that stands in it binds all the same, and its sender holds us to it. A head that was not taken in is
 // still unread.
-func (r *replyReader) toldWait(resp *fasthttp.Response) int64 {
-	if wait := readWait(string(resp.Header.Peek(headRetry))); wait > 0 {
+func (r *responseReader) retryAfter(resp *fasthttp.Response) int64 {
+	if wait := parseRetryAfter(string(resp.Header.Peek(headerRetryAfter))); wait > 0 {
 		return wait
 	}
 	unread, _ := r.buf.Peek(r.buf.Buffered())
 	for line := range bytes.Lines(unread) {
 		name, value, _ := bytes.Cut(line, []byte(":"))
-		if bytes.EqualFold(name, []byte(headRetry)) && bytes.HasSuffix(value, []byte("\n")) {
-			return readWait(string(value))
+		if bytes.EqualFold(name, []byte(headerRetryAfter)) && bytes.HasSuffix(value, []byte("\n")) {
+			return parseRetryAfter(string(value))
 		}
 	}
 	return 0
 }
 
-// begins tells whether what comes next is text, waiting only for as long as it may be.
-func (r *replyReader) begins(text string) bool {
+// nextIs tells whether what comes next is text, waiting only for as long as it may be.
+func (r *responseReader) nextIs(text string) bool {
 	for n := range len(text) {
 		if b, err := r.buf.Peek(n + 1); err != nil || b[n] != text[n] {
 			return false
@@ -208,14 +210,14 @@
 	return true
 }
 
-// saysOK tells whether a first line comes that says 200. Danger: cut off within it, nothing is delivered yet.
-func (r *replyReader) saysOK() bool {
-	if !r.begins(firstOK) {
+// statusLineIsOK tells whether a first line comes that says 200. Danger: cut off within it, nothing is delivered yet.
+func (r *responseReader) statusLineIsOK() bool {
+	if !r.nextIs(statusLineOK) {
 		return false
 	}
-	for n := len(firstOK) + 1; ; n++ {
+	for n := len(statusLineOK) + 1; ; n++ {
 		b, err := r.buf.Peek(n)
-		if err != nil || (n == len(firstOK)+1 && b[n-1] != ' ' && b[n-1] != '\r') {
+		if err != nil || (n == len(statusLineOK)+1 && b[n-1] != ' ' && b[n-1] != '\r') {
 			return false
 		}
 		if b[n-1] == '\n' {
@@ -224,34 +226,34 @@
 	}
 }
 
-// readStatus maps an answer's status to how the send ended and whether its event is over.
-func readStatus(status int, noSlot, bulk bool) (how port.Outcome, over bool) {
+// classifyStatus maps an answer's status to how the send ended and whether its event is over.
+func classifyStatus(status int, noSlot, bulk bool) (how delivery.Outcome, over bool) {
 	switch {
 	case status == fasthttp.StatusOK:
-		return port.Acked, true
+		return delivery.Acked, true
 	case status == fasthttp.StatusTooManyRequests:
-		return port.Declined, false
+		return delivery.Refused, false
 	case status == fasthttp.StatusServiceUnavailable && noSlot:
-		return port.Unsent, false
+		return delivery.Unsent, false
 	case status == fasthttp.StatusServiceUnavailable:
-		return port.Declined, false
+		return delivery.Refused, false
 	case status == fasthttp.StatusGatewayTimeout: // all its sends are used up
-		return port.Unsent, false
+		return delivery.Unsent, false
 	case status == fasthttp.StatusGone:
-		return port.Unsent, true
+		return delivery.Unsent, true
 	case bulk && (status == fasthttp.StatusBadRequest || status == fasthttp.StatusRequestEntityTooLarge):
-		return port.Unsent, false // none has run
+		return delivery.Unsent, false // none has run
 	}
-	return port.Errored, false // danger: what is not known may have run
+	return delivery.Errored, false // danger: what is not known may have run
 }
 
-// readEnds reads the line of each event. An answer that leaves one out is not whole: it was cut short, or is another
+// parseBulkResults reads the line of each event. An answer that leaves one out is not whole: it was cut short, or is another
 // call's, and what was sent may have run, all of it. It tells whether the answer names all events of the call.
-func readEnds(body []byte, sends []*send, all result, results []result) (named bool) {
+func parseBulkResults(body []byte, sends []*attempt, all result, results []result) (named bool) {
 	count := 0
 	for i := range results {
 		results[i] = all
-		results[i].how = port.Spoilt
+		results[i].outcome = delivery.Unreadable
 	}
 	for line := range bytes.Lines(body) {
 		id, word, _ := strings.Cut(strings.TrimSpace(string(line)), " ")
@@ -262,15 +264,15 @@
 			count++
 			switch strings.TrimSpace(word) {
 			case "done":
-				results[i].how, results[i].over = port.Acked, true
+				results[i].outcome, results[i].final = delivery.Acked, true
 			case "failed":
-				results[i].how = port.Errored
+				results[i].outcome = delivery.Errored
 			case "busy":
-				results[i].how = port.Declined
+				results[i].outcome = delivery.Refused
 			case "void":
-				results[i].how, results[i].over = port.Unsent, true
+				results[i].outcome, results[i].final = delivery.Unsent, true
 			case "used_up":
-				results[i].how = port.Unsent
+				results[i].outcome = delivery.Unsent
 			default:
 				count--
 			}
@@ -281,13 +283,13 @@
 	}
 	for i := range results {
 		results[i] = all // a wait that it told binds all the same
-		results[i].how = port.Spoilt
+		results[i].outcome = delivery.Unreadable
 	}
 	return false
 }
 
-// readWait reads seconds, whole or decimal, as nanoseconds, rounded up: a wait must not end early.
-func readWait(text string) int64 {
+// parseRetryAfter reads seconds, whole or decimal, as nanoseconds, rounded up: a wait must not end early.
+func parseRetryAfter(text string) int64 {
 	f, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	if err != nil || !(f > 0) || f > 1e6 {
 		return 0
@@ -295,9 +297,9 @@
 	return int64(math.Ceil(f * 1e9))
 }
 
-// readLoad reads a load report: the share of the limit that is left, and the limit in calls a second. Danger:
+// parseLoad reads a load report: the share of the limit that is left, and the limit in calls a second. Danger:
 // read in part, a spoilt one would say that nothing is left, or that there is no limit. It is no news.
-func readLoad(text string) (left, limit float64) {
+func parseLoad(text string) (left, limit float64) {
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		f, err := strconv.ParseFloat(value, 64)
--- a/choice/choice.go
+++ b/scheduler/scheduler.go
@@ -5,7 +5,7 @@
 // its max age, under the companion pace. A lane shares one limit: a destination, or a route apart.
 //
 // Beside the design stand these mechanisms:
-package choice
+package scheduler
 
 import (
 	"cmp"
@@ -13,7 +13,7 @@
 	"math/bits"
 	"slices"
 
-	"jaspersill/port"
+	"jaspersill/delivery"
 )
 
 const (
@@ -105,12 +105,12 @@
 	judged, silent  bool  // its fate is known; it was overdue
 }
 
-type Node struct {
-	out    port.Writer
+type Scheduler struct {
+	out    delivery.Executor
 	chance pcg
-	types  []port.StreamType
-	kinds  []port.Partner
-	room   port.Room
+	types  []delivery.StreamType
+	kinds  []delivery.DestinationKind
+	room   delivery.Limits
 
 	events                []event
 	waiting, destLane     []int32 // live events with nothing out, in order; a destination's lane, where shared
@@ -129,14 +129,14 @@
 	byDest [][]int32 // a destination's endpoints, in their ranked order
 }
 
-func New(seed uint64, types []port.StreamType, kinds []port.Partner, room port.Room, back port.Recovery,
-	dir port.Directory, fleet port.Fleet, orderPause int64) *Node {
-	return &Node{chance: pcg(seed), types: types, kinds: append(kinds, port.Partner{PerCall: 1}), room: room,
-		dir: directory{asked: dir.Asked, pushed: dir.Pushed}, keys: turns{}, pause: orderPause,
-		notes: fleet.Notes, eps: endpoints{back: back}, lanes: lanes{nodes: float64(max(1, fleet.Nodes))}}
+func New(seed uint64, types []delivery.StreamType, kinds []delivery.DestinationKind, room delivery.Limits, back delivery.Recovery,
+	dir delivery.Directory, fleet delivery.Cluster, orderPause int64) *Scheduler {
+	return &Scheduler{chance: pcg(seed), types: types, kinds: append(kinds, delivery.DestinationKind{MaxEventsPerCall: 1}), room: room,
+		dir: directory{asked: dir.RequiresWatch, pushed: dir.Automatic}, keys: turns{}, pause: orderPause,
+		notes: fleet.PeerMessages, eps: endpoints{back: back}, lanes: lanes{nodes: float64(max(1, fleet.Nodes))}}
 }
 
-func (n *Node) Round(now int64, feed port.Feed, out port.Writer) {
+func (n *Scheduler) Round(now int64, feed delivery.Feed, out delivery.Executor) {
 	n.now, n.out, n.round = now, out, n.round+1
 	feed.Deliver(n)
 	n.dir.ask(now, out)
@@ -157,7 +157,7 @@
 	}
 }
 
-func (n *Node) Event(evt int32, typ, customer int, key uint64, left, work int64, dest int32) { // port.Intake
+func (n *Scheduler) Event(evt int32, typ, customer int, key uint64, left, work int64, dest int32) { // port.Intake
 	n.destination(dest)
 	t, age := &n.types[typ], n.types[typ].MaxAge-left // handed in before, it is no longer new
 	n.events = put(n.events, evt, event{typ: typ, dest: dest, call: -1, key: key, came: n.now - age,
@@ -170,7 +170,7 @@
 }
 
 // Resumed: danger: sends before a restart count, and one that was out then may have run, and may run still.
-func (n *Node) Resumed(evt int32, sends int, mayRun bool, ago int64, zone int) {
+func (n *Scheduler) Resumed(evt int32, sends int, mayRun bool, ago int64, zone int) {
 	e := &n.events[evt]
 	e.sends, e.mayRun, e.ranAt, e.ranZone = sends, mayRun, n.now-ago, zone
 	if k := n.keys[e.key]; k != nil && mayRun && n.types[e.typ].Ordered {
@@ -178,26 +178,26 @@
 	}
 }
 
-func (n *Node) Full() int64 {
-	return min(fullBack+int64(n.chance.float()*float64(fullBack)), n.room.ComeBack)
+func (n *Scheduler) RetryAfter() int64 {
+	return min(fullBack+int64(n.chance.float()*float64(fullBack)), n.room.MaxRetryAfter)
 }
 
-func (n *Node) Begun(evt int32, send int) { n.events[evt].deadline = math.MaxInt64 } // no time runs any more
+func (n *Scheduler) ProcessingStarted(evt int32, send int) { n.events[evt].deadline = math.MaxInt64 } // no time runs any more
 
 // Unconfirmed: an answer that may be another call's proves nothing of its send.
-func (n *Node) Unconfirmed(evt int32, send int) {
+func (n *Scheduler) Unconfirmed(evt int32, send int) {
 	e := &n.events[evt]
 	if e.call >= 0 {
 		e.unconfirmed = append(e.unconfirmed, unconfirmed{send, e.sentAt, n.eps.zone[n.calls[e.call].endpoint]})
 	}
 }
 
-func (n *Node) Confirmed(evt int32, send int) {
+func (n *Scheduler) Confirmed(evt int32, send int) {
 	e := &n.events[evt]
 	e.unconfirmed = slices.DeleteFunc(e.unconfirmed, func(u unconfirmed) bool { return u.send == send })
 }
 
-func (n *Node) Outcome(evt int32, send int, ep int32, how port.Outcome, wait, took int64, ended bool,
+func (n *Scheduler) Outcome(evt int32, send int, ep int32, how delivery.Outcome, wait, took int64, ended bool,
 	left, told float64) {
 	e := &n.events[evt]
 	if e.call >= 0 {
@@ -209,21 +209,21 @@
 			n.lanes.judge(n.eps.lane[ep], n.now, how, wait, left, told)
 			was := n.eps.aside[ep]
 			soon := n.eps.mean[ep] * min(0.5, float64(c.idle)/1e9) // after a short idle time it must be the quicker
-			if how == port.Acked || (how == port.Reset && float64(took) < soon) {
-				n.stale.learn(how == port.Reset, c.idle, n.now)
+			if how == delivery.Acked || (how == delivery.Reset && float64(took) < soon) {
+				n.stale.learn(how == delivery.Reset, c.idle, n.now)
 			}
-			if how == port.Acked && (n.eps.fails[ep] == 1 || (!was && n.eps.fails[ep] > 0)) &&
-				n.eps.last[ep] == port.ConnectFailed && n.lanes.nodes >= crowdNodes { // no outage
+			if how == delivery.Acked && (n.eps.fails[ep] == 1 || (!was && n.eps.fails[ep] > 0)) &&
+				n.eps.last[ep] == delivery.ConnectFailed && n.lanes.nodes >= crowdNodes { // no outage
 				n.stale.crowdedUntil = n.now + staleKeep
 			}
 			// Danger: each of many nodes meets an outage but once, by a refused connection too, and pushes on the
 			// destination when it is back; all come when the wait ends that a shut one told. And one call may
 			// have sat out a silence alone: when it ends, the backlog follows.
-			mute, luck := (how == port.TimedOut && took >= shutWait || how == port.Cancelled && took >= leastOut) &&
+			mute, luck := (how == delivery.TimedOut && took >= shutWait || how == delivery.Cancelled && took >= leastOut) &&
 				n.eps.ackAt[ep] < c.at, n.chance.float()
 			limit := n.lanes.limit[n.eps.lane[ep]]
 			many := n.eps.coldBudget(limit) < fewCalls*n.lanes.nodes
-			sure := mute || wait >= shutWait || (how == port.ConnectFailed &&
+			sure := mute || wait >= shutWait || (how == delivery.ConnectFailed &&
 				(took >= leastLate || (many && limit > 0 && n.now >= n.stale.crowdedUntil)))
 			if mute { // time-outs end apart from each other: one try at once brings no crowd
 				luck = 1
@@ -240,7 +240,7 @@
 			} else if was && !n.eps.aside[ep] {
 				n.out.Log("endpoint back, warming up", ep)
 				if n.notes {
-					n.out.TellGood(ep)
+					n.out.AnnounceHealthy(ep)
 				}
 			}
 			for _, sib := range n.byDest[e.dest] { // danger: saved up during a told wait, all spend credit at its end
@@ -257,11 +257,11 @@
 		}
 		e.call = -1
 	}
-	if how.MayHaveRun() && how != port.Acked {
+	if how.MayHaveRun() && how != delivery.Acked {
 		if !e.mayRun {
 			e.mayRun, e.ranAt, e.ranZone = true, e.sentAt, n.eps.zone[ep]
 		}
-		if k := n.keys[e.key]; k != nil && how != port.Errored && n.types[e.typ].Ordered {
+		if k := n.keys[e.key]; k != nil && how != delivery.Errored && n.types[e.typ].Ordered {
 			k.freeAt = n.now + n.pause // the send may still run: the key's next event must not overtake it
 		}
 	}
@@ -272,21 +272,21 @@
 	}
 }
 
-func (n *Node) ListBegins(whole bool) {
+func (n *Scheduler) ListStarted(whole bool) {
 	if whole {
 		clear(n.eps.ready)
 	}
 }
 
-func (n *Node) Listed(ep, dest int32, kind, zone int, state port.State, rate float64) {
+func (n *Scheduler) EndpointListed(ep, dest int32, kind, zone int, state delivery.EndpointState, rate float64) {
 	n.destination(dest)
 	if int(ep) >= len(n.eps.lane) || n.eps.lane[ep] < 0 {
 		n.eps.blank(ep)
 		n.eps.zone[ep], n.eps.credit[ep], n.eps.creditAt[ep] = zone, n.chance.float(), n.now
 		n.byDest[dest] = slices.Insert(n.byDest[dest], int(n.chance.float()*float64(len(n.byDest[dest])+1)), ep)
 		partner := n.kinds[min(kind, len(n.kinds)-1)]
-		if n.eps.lane[ep] = n.destLane[dest]; partner.Routes || n.destLane[dest] < 0 {
-			n.eps.lane[ep] = n.lanes.add(partner.PerCall, n.chance.float())
+		if n.eps.lane[ep] = n.destLane[dest]; partner.LimitPerEndpoint || n.destLane[dest] < 0 {
+			n.eps.lane[ep] = n.lanes.add(partner.MaxEventsPerCall, n.chance.float())
 			n.destLane[dest] = n.eps.lane[ep]
 		}
 		n.lanes.ends[n.eps.lane[ep]]++
@@ -297,40 +297,40 @@
 			n.eps.warmAt[ep] = max(n.eps.warmAt[ep], n.eps.warmAt[sib])
 		}
 	}
-	n.eps.ready[ep] = state == port.Ready
+	n.eps.ready[ep] = state == delivery.Ready
 }
 
-func (n *Node) ListEnds() {
+func (n *Scheduler) ListEnded() {
 	n.dir.watched, n.dir.delay = n.dir.at > 0, 0
 	n.dir.heard = n.dir.watched
 }
 
-func (n *Node) Withdrawn(evt int32)                                         { n.close(evt) }
-func (n *Node) ListFailed()                                                 { n.dir.failed(n.now, &n.chance) }
-func (n *Node) Probed(ep int32, how port.Outcome, took int64, l, r float64) {}
-func (n *Node) Woken()                                                      { n.wakeAt = 0 }
+func (n *Scheduler) Withdrawn(evt int32)                                             { n.close(evt) }
+func (n *Scheduler) ListFailed()                                                     { n.dir.failed(n.now, &n.chance) }
+func (n *Scheduler) Probed(ep int32, how delivery.Outcome, took int64, l, r float64) {}
+func (n *Scheduler) Woken()                                                          { n.wakeAt = 0 }
 
-func (n *Node) PeerGood(peer int, ep int32) {
+func (n *Scheduler) PeerReportedHealthy(peer int, ep int32) {
 	if n.eps.suspect(ep, n.now) { // it comes back, cold
 		n.eps.takeBack(ep, n.now, n.chance.float())
 	}
 }
 
-func (n *Node) destination(dest int32) {
+func (n *Scheduler) destination(dest int32) {
 	if int(dest) >= len(n.byDest) {
 		n.byDest, n.destLane = put(n.byDest, dest, nil), put(n.destLane, dest, -1)
 	}
 }
 
 // retry plans an event's next send after a failed one, or ends it.
-func (n *Node) retry(evt, ep int32, how port.Outcome, wait int64) {
+func (n *Scheduler) retry(evt, ep int32, how delivery.Outcome, wait int64) {
 	e, t := &n.events[evt], &n.types[n.events[evt].typ]
 	delay := wait
 	switch {
-	case how == port.Declined && wait == 0:
+	case how == delivery.Refused && wait == 0:
 		delay = min(refusalBase, t.MaxAge/refusalPart) + min(extraBase, t.MaxAge/extraPart)<<min(e.refusals, 20)
 		e.refusals++
-	case how != port.Declined:
+	case how != delivery.Refused:
 		delay = errorBase << min(e.errors, 20)
 		e.errors++
 	}
@@ -338,7 +338,7 @@
 		delay += int64(n.chance.float() * jitterPart * float64(delay))
 	}
 	// Danger: a clump refused at many nodes comes back at once. It is spread until our part brings a call.
-	if l := n.lanes.limit[n.eps.lane[ep]]; how == port.Declined && l > 0 {
+	if l := n.lanes.limit[n.eps.lane[ep]]; how == delivery.Refused && l > 0 {
 		left := spreadPart * float64(max(0, n.lastSend(e)-n.now-delay))
 		delay += int64(n.chance.float() * min(n.lanes.nodes/l*float64(second), left))
 	}
@@ -351,19 +351,19 @@
 }
 
 // lastSend: danger: past it a send comes too late or takes effect twice, its mark being forgotten or missing.
-func (n *Node) lastSend(e *event) int64 {
+func (n *Scheduler) lastSend(e *event) int64 {
 	switch t := &n.types[e.typ]; {
-	case e.sends >= n.room.Sends || (e.mayHaveRun() && t.Safety == port.NonIdempotent):
+	case e.sends >= n.room.MaxAttempts || (e.mayHaveRun() && t.Safety == delivery.NonIdempotent):
 		return min(n.now, e.deadline)
 	}
 	return min(e.deadline, n.windowEnd(e))
 }
 
 // windowEnd is the end of the time in which a repeat is known by its mark.
-func (n *Node) windowEnd(e *event) int64 {
-	if t := &n.types[e.typ]; e.mayHaveRun() && t.Safety == port.Deduplicated {
+func (n *Scheduler) windowEnd(e *event) int64 {
+	if t := &n.types[e.typ]; e.mayHaveRun() && t.Safety == delivery.Deduplicated {
 		at, _ := e.ran()
-		return at + t.Window - windowMargin
+		return at + t.DedupWindow - windowMargin
 	}
 	return math.MaxInt64
 }
@@ -386,19 +386,19 @@
 }
 
 // giveUp ends an event at once: declined, with the time to come back, where nothing can have run.
-func (n *Node) giveUp(evt int32, comeBack int64) {
+func (n *Scheduler) giveUp(evt int32, comeBack int64) {
 	if e := &n.events[evt]; e.mayHaveRun() || e.call >= 0 {
 		if e.call >= 0 { // danger: what still connects must not go out after the end was told
-			n.out.Recall(evt, e.sends-1)
+			n.out.CancelUnsent(evt, e.sends-1)
 		}
 		n.out.Discard(evt)
 	} else {
-		n.out.Decline(evt, min(comeBack, n.room.ComeBack))
+		n.out.Decline(evt, min(comeBack, n.room.MaxRetryAfter))
 	}
 	n.close(evt)
 }
 
-func (n *Node) close(evt int32) { // a send still out keeps its key's turn until its outcome
+func (n *Scheduler) close(evt int32) { // a send still out keeps its key's turn until its outcome
 	n.events[evt].live = false
 	if e := &n.events[evt]; e.call < 0 {
 		n.keys.leave(e.key, evt, n.now)
@@ -406,8 +406,8 @@
 }
 
 // sweep answers events whose time is up. Danger: silent calls hold all slots; those without hope end.
-func (n *Node) sweep() {
-	scarce := scarcePart*(n.room.Slots-n.slots) <= n.room.Slots && len(n.waiting) > backlog*n.room.Slots
+func (n *Scheduler) sweep() {
+	scarce := scarcePart*(n.room.MaxConcurrentCalls-n.slots) <= n.room.MaxConcurrentCalls && len(n.waiting) > backlog*n.room.MaxConcurrentCalls
 	for i := range n.events {
 		e := &n.events[i]
 		if e.live && (n.now >= e.deadline || (e.call < 0 && n.now >= n.lastSend(e))) {
@@ -420,14 +420,14 @@
 		// Danger: a send waits for its connection; a wait, the list or its window may forbid it when that stands.
 		if !e.recalled && (n.now < n.lanes.waitUntil[n.eps.lane[c.endpoint]] || !n.eps.ready[c.endpoint] ||
 			n.now >= n.windowEnd(e)) {
-			n.out.Recall(int32(i), e.sends-1)
+			n.out.CancelUnsent(int32(i), e.sends-1)
 			e.recalled = true
 		}
-		if e.calledOff || !n.room.Cancels {
+		if e.calledOff || !n.room.CanCancel {
 			continue
 		}
 		late := n.now-c.at >= n.eps.timeout(c.endpoint)
-		dead := n.stale.dead(c.idle, n.now) && n.types[e.typ].Safety != port.NonIdempotent
+		dead := n.stale.dead(c.idle, n.now) && n.types[e.typ].Safety != delivery.NonIdempotent
 		if (late && (dead || scarce)) || (!n.eps.ready[c.endpoint] && n.eps.suspect(c.endpoint, n.now)) {
 			n.out.Cancel(int32(i), e.sends-1)
 			e.calledOff = true
@@ -436,7 +436,7 @@
 }
 
 // closeIdle: danger: where endpoints take few connections, those many nodes keep idle shut out the others.
-func (n *Node) closeIdle(ep int32) {
+func (n *Scheduler) closeIdle(ep int32) {
 	if n.now < n.stale.crowdedUntil && n.eps.out[ep] == 0 && n.eps.used[ep][0] > 0 {
 		n.out.CloseIdle(ep)
 		n.eps.used[ep] = [levels]int64{}
@@ -444,7 +444,7 @@
 }
 
 // forget frees the index of an endpoint off the list. Danger: where all are new, what is kept of them grows.
-func (n *Node) forget(ep int32, dest int) bool {
+func (n *Scheduler) forget(ep int32, dest int) bool {
 	if n.closeIdle(ep); n.eps.ready[ep] || n.eps.out[ep] > 0 {
 		n.eps.leftAt[ep] = n.now
 	}
@@ -460,7 +460,7 @@
 	return old
 }
 
-func (n *Node) dispatch() {
+func (n *Scheduler) dispatch() {
 	if n.dir.holds(n.now) {
 		return
 	}
@@ -487,26 +487,26 @@
 	})
 }
 
-func worth(t *port.StreamType, slo, age int64) float64 { // the share of its utility left at an age
+func worth(t *delivery.StreamType, slo, age int64) float64 { // the share of its utility left at an age
 	late := float64(max(0, age-slo))
 	switch {
 	case age >= t.MaxAge:
 		return 0
-	case t.Halving:
+	case t.ExponentialDecay:
 		return max(t.LateUtility, math.Pow(0.5, late/float64(slo)))
 	}
 	return 1 - (1-t.LateUtility)*late/float64(max(1, t.MaxAge-slo))
 }
 
 // endpoint picks one for an event, -1 for none: the first with room, else the least used; set aside singly.
-func (n *Node) endpoint(e *event) int32 {
+func (n *Scheduler) endpoint(e *event) int32 {
 	best, trial, t := int32(-1), int32(-1), &n.types[e.typ]
 	_, ranZone := e.ran()
 	for _, ep := range n.byDest[e.dest] {
 		lane := n.eps.lane[ep]
 		switch {
 		case !n.eps.ready[ep] || n.now < n.lanes.waitUntil[lane]:
-		case e.mayHaveRun() && t.ByZone && n.eps.zone[ep] != ranZone: // it does not know the mark
+		case e.mayHaveRun() && t.DedupPerZone && n.eps.zone[ep] != ranZone: // it does not know the mark
 		case n.joinable(ep, t) >= 0:
 			return ep
 		case !n.eps.may(ep, n.now, cmp.Or(n.lanes.limit[lane], guessLimit)/n.lanes.ends[lane], n.lanes.nodes):
@@ -520,18 +520,18 @@
 	}
 	// Danger: a trial at a silent endpoint costs a non-idempotent event its life, and any other its time-out.
 	if trial < 0 || (best >= 0 && e.errors > 0) ||
-		(t.Safety == port.NonIdempotent && n.eps.last[trial].MayHaveRun() && n.now-e.came <= t.MaxAge/2) {
+		(t.Safety == delivery.NonIdempotent && n.eps.last[trial].MayHaveRun() && n.now-e.came <= t.MaxAge/2) {
 		return best
 	}
 	return trial
 }
 
-func (n *Node) send(evt, ep int32) {
+func (n *Scheduler) send(evt, ep int32) {
 	e, l, lane := &n.events[evt], &n.lanes, n.eps.lane[ep]
 	t := &n.types[e.typ]
 	if e.call = n.joinable(ep, t); e.call < 0 {
 		// Danger: a destination that answers late or never fills the slots. Each leaves half of those it finds.
-		if l.out[lane] >= n.room.Slots-n.slots || !l.may(lane, n.now) {
+		if l.out[lane] >= n.room.MaxConcurrentCalls-n.slots || !l.may(lane, n.now) {
 			return
 		}
 		e.call = int32(slices.IndexFunc(append(n.calls, call{}), func(c call) bool { return c.events == 0 }))
@@ -551,10 +551,10 @@
 	e.sends, e.sentAt, e.calledOff, e.recalled = e.sends+1, n.now, false, false
 	timeout, short := e.deadline-n.now, n.eps.timeout(ep)
 	switch t.Safety { // for non-idempotent ones it would be the end
-	case port.Idempotent:
+	case delivery.Idempotent:
 		timeout = min(timeout, patience*short)
-	case port.Deduplicated: // danger: past its window no repeat is allowed, and the event is lost
-		timeout = min(timeout, patience*short, max(short, t.Window/windowTries))
+	case delivery.Deduplicated: // danger: past its window no repeat is allowed, and the event is lost
+		timeout = min(timeout, patience*short, max(short, t.DedupWindow/windowTries))
 	}
 	n.out.Send(evt, ep, timeout)
 }
@@ -562,7 +562,7 @@
 // joinable is the call opened in this round to an endpoint, if it has room for one more event, -1 for none.
 // Danger: a call ends as a whole, so events that must wait for their answer share none with those that are
 // soon repeated.
-func (n *Node) joinable(ep int32, t *port.StreamType) int32 {
+func (n *Scheduler) joinable(ep int32, t *delivery.StreamType) int32 {
 	last := n.lanes.last[n.eps.lane[ep]][patient(t)]
 	if last >= 0 && n.calls[last].round == n.round && n.calls[last].endpoint == ep &&
 		n.calls[last].events < n.lanes.perCall[n.eps.lane[ep]] {
@@ -571,29 +571,29 @@
 	return -1
 }
 
-func patient(t *port.StreamType) int {
-	if t.Safety == port.NonIdempotent {
+func patient(t *delivery.StreamType) int {
+	if t.Safety == delivery.NonIdempotent {
 		return 1
 	}
 	return 0
 }
 
 type endpoints struct {
-	back port.Recovery
+	back delivery.Recovery
 
 	lane                       []int32
-	ready, aside               []bool          // listed as ready; set aside
-	last                       []port.Outcome  // how the last call that failed ended
-	mean, dev, credit          []float64       // answer times; calls that may go while cold
-	zone, out, fails, timeouts []int           // fails, timeouts: in a row
-	failedAt, ackAt, creditAt  []int64         // first of the failures in a row; last good answer
-	used                       [][levels]int64 // when it last had a call more than so many out, 0 for never
-	overdueAt, leftAt, warmAt  []int64         // oldest call overdue, 0: none; last listed; back, -1: never
+	ready, aside               []bool             // listed as ready; set aside
+	last                       []delivery.Outcome // how the last call that failed ended
+	mean, dev, credit          []float64          // answer times; calls that may go while cold
+	zone, out, fails, timeouts []int              // fails, timeouts: in a row
+	failedAt, ackAt, creditAt  []int64            // first of the failures in a row; last good answer
+	used                       [][levels]int64    // when it last had a call more than so many out, 0 for never
+	overdueAt, leftAt, warmAt  []int64            // oldest call overdue, 0: none; last listed; back, -1: never
 }
 
 func (p *endpoints) blank(ep int32) { // as one that was never heard of
 	p.lane, p.zone, p.out = put(p.lane, ep, -1), put(p.zone, ep, 0), put(p.out, ep, 0)
-	p.ready, p.aside, p.last = put(p.ready, ep, false), put(p.aside, ep, false), put(p.last, ep, port.Acked)
+	p.ready, p.aside, p.last = put(p.ready, ep, false), put(p.aside, ep, false), put(p.last, ep, delivery.Acked)
 	p.mean, p.dev, p.credit = put(p.mean, ep, 0), put(p.dev, ep, 0), put(p.credit, ep, 1)
 	p.fails, p.timeouts, p.failedAt = put(p.fails, ep, 0), put(p.timeouts, ep, 0), put(p.failedAt, ep, 0)
 	p.ackAt, p.overdueAt, p.warmAt = put(p.ackAt, ep, -1), put(p.overdueAt, ep, 0), put(p.warmAt, ep, -1)
@@ -635,12 +635,12 @@
 	return t << min(p.timeouts[ep], 6)
 }
 
-func (p *endpoints) judge(ep int32, now int64, how port.Outcome, took int64, full, sure bool, luck float64) {
+func (p *endpoints) judge(ep int32, now int64, how delivery.Outcome, took int64, full, sure bool, luck float64) {
 	switch {
-	case how == port.Unsent, how == port.Spoilt,
-		!sure && (how == port.Cancelled || how == port.Declined && full):
+	case how == delivery.Unsent, how == delivery.Unreadable,
+		!sure && (how == delivery.Cancelled || how == delivery.Refused && full):
 		return // called off, the silence may be of the way there; spoilt, it answers; over a limit, it is not shut
-	case how == port.Acked:
+	case how == delivery.Acked:
 		if p.aside[ep] {
 			p.takeBack(ep, now, luck)
 		}
@@ -651,21 +651,21 @@
 		p.dev[ep] += answerKeep * (math.Abs(float64(took)-p.mean[ep]) - p.dev[ep])
 		p.mean[ep] += answerKeep * (float64(took) - p.mean[ep])
 		return
-	case how == port.TimedOut:
+	case how == delivery.TimedOut:
 		p.timeouts[ep]++
 	}
 	if p.last[ep], p.fails[ep] = how, p.fails[ep]+1; p.fails[ep] == 1 {
 		p.failedAt[ep] = now
 	}
-	enough := p.fails[ep] >= asideAfter && (how != port.Reset || p.fails[ep] >= asideResets)
-	if sure || (enough && (how != port.Declined || now-p.failedAt[ep] >= paceCutEvery)) {
+	enough := p.fails[ep] >= asideAfter && (how != delivery.Reset || p.fails[ep] >= asideResets)
+	if sure || (enough && (how != delivery.Refused || now-p.failedAt[ep] >= paceCutEvery)) {
 		p.setAside(ep, now, luck)
 	}
 }
 
 // coldBudget is the calls that a cold destination of some limit bears in the rule's window.
 func (p *endpoints) coldBudget(limit float64) float64 {
-	return p.back.FallMultiple * p.back.ColdShare * limit * float64(p.back.FallAfter) / float64(second)
+	return p.back.OverloadFactor * p.back.ColdShare * limit * float64(p.back.OverloadAfter) / float64(second)
 }
 
 func (p *endpoints) setAside(ep int32, now int64, luck float64) {
@@ -682,18 +682,18 @@
 // may tells if a cold endpoint bears one more call. Danger: pushed over it stays down. All that met it share.
 func (p *endpoints) may(ep int32, now int64, rate, nodes float64) bool {
 	warm, until := p.back.ColdShare, now
-	if p.back.FallAfter <= 0 || p.back.FallMultiple <= 0 { // nothing falls there
+	if p.back.OverloadAfter <= 0 || p.back.OverloadFactor <= 0 { // nothing falls there
 		return true
 	}
 	if !p.aside[ep] {
-		if until = p.warmAt[ep]; until < 0 || now-until >= p.back.WarmAfter {
+		if until = p.warmAt[ep]; until < 0 || now-until >= p.back.WarmupTime {
 			return true
 		}
-		warm += (1 - warm) * float64(now-until) / float64(p.back.WarmAfter)
+		warm += (1 - warm) * float64(now-until) / float64(p.back.WarmupTime)
 	}
-	window := float64(p.back.FallAfter) / float64(second)
+	window := float64(p.back.OverloadAfter) / float64(second)
 	met := -math.Expm1(-coldMet * rate / nodes * (float64(until-p.failedAt[ep])/float64(second) + window))
-	budget := p.back.FallMultiple * warm * rate * window
+	budget := p.back.OverloadFactor * warm * rate * window
 	if nodes*met > budget { // danger: with less than a call for each of many nodes, chance brings them together
 		budget = max(coldLeast*budget, budget-coldChance*math.Sqrt(budget))
 	}
@@ -728,11 +728,11 @@
 	return i
 }
 
-func (l *lanes) judge(lane int32, now int64, how port.Outcome, wait int64, left, limit float64) {
+func (l *lanes) judge(lane int32, now int64, how delivery.Outcome, wait int64, left, limit float64) {
 	l.limit[lane] = cmp.Or(limit, l.limit[lane])
 	l.wait(lane, now+wait)
 	switch {
-	case how == port.Acked && l.pace[lane] > 0:
+	case how == delivery.Acked && l.pace[lane] > 0:
 		span := float64(min(now-l.climbAt[lane], paceSpan)) / float64(second)
 		if fair := l.limit[lane] / l.nodes; l.pace[lane] < fair {
 			l.pace[lane] = min(fair, l.pace[lane]+paceBack*fair*span)
@@ -740,7 +740,7 @@
 			l.pace[lane] = min(l.pace[lane]*(1+paceClimb*span), cmp.Or(limit, math.MaxFloat64))
 		}
 		l.climbAt[lane] = now
-	case how == port.Declined && now >= l.cutAt[lane]+paceCutEvery:
+	case how == delivery.Refused && now >= l.cutAt[lane]+paceCutEvery:
 		l.cutAt[lane], l.climbAt[lane] = now, now
 		cut := paceCut * min(float64(l.lastSecond(lane, now)), cmp.Or(l.pace[lane], math.MaxFloat64))
 		if limit > 0 && left < spentLeft { // no burst of a moment: the limit is used up
@@ -830,7 +830,7 @@
 }
 
 // ask asks for changes until a watch stands: what is not asked for counts as told all the same.
-func (d *directory) ask(now int64, out port.Writer) {
+func (d *directory) ask(now int64, out delivery.Executor) {
 	if d.asked && !d.watched && now >= d.at {
 		out.Watch(true)
 		d.at, d.firstAsk = now+askOut, cmp.Or(d.firstAsk, now)
--- a/choice/choice_test.go
+++ b/scheduler/scheduler_test.go
@@ -1,4 +1,4 @@
-package choice
+package scheduler
 
 import (
 	"cmp"
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"jaspersill/port"
+	"jaspersill/delivery"
 )
 
 // TestScenarios plays testdata/*.txt. A scenario is a name ("== name"), facts read at start, then steps:
@@ -44,8 +44,8 @@
 
 func play(t *testing.T, body string) {
 	p := &player{t: t, types: map[string]int{}, auto: map[string]due{},
-		room: port.Room{Slots: 8, Events: 100, Sends: 6, Cancels: true, ComeBack: 2 * second},
-		back: port.Recovery{ColdShare: 0.25, WarmAfter: 10 * second, FallMultiple: 2, FallAfter: 2 * second},
+		room: delivery.Limits{MaxConcurrentCalls: 8, MaxEvents: 100, MaxAttempts: 6, CanCancel: true, MaxRetryAfter: 2 * second},
+		back: delivery.Recovery{ColdShare: 0.25, WarmupTime: 10 * second, OverloadFactor: 2, OverloadAfter: 2 * second},
 	}
 	body = "type alert idempotent slo 4s age 28s utility 1 late 0.5\ntype charge once slo 4s age 24s utility 4 late 0.5\n" +
 		"type status idempotent slo 1s age 8s utility 3\n" + body
@@ -64,7 +64,7 @@
 type due struct {
 	at, took, wait int64
 	evt, ep        int32
-	how            port.Outcome
+	how            delivery.Outcome
 	limit          float64
 	never          bool
 }
@@ -76,19 +76,19 @@
 
 // player is the world of one scenario: it feeds the module, takes its decisions and keeps the rules in sight.
 type player struct {
-	port.Writer // what no scenario speaks of
-	t           *testing.T
-	line        string
-	types       map[string]int
-	decl        []port.StreamType
-	kinds       []port.Partner
-	room        port.Room
-	back        port.Recovery
-	dir         port.Directory
-	fleet       port.Fleet
-	pause       int64
-	node        *Node
-	now         int64
+	delivery.Executor // what no scenario speaks of
+	t                 *testing.T
+	line              string
+	types             map[string]int
+	decl              []delivery.StreamType
+	kinds             []delivery.DestinationKind
+	room              delivery.Limits
+	back              delivery.Recovery
+	dir               delivery.Directory
+	fleet             delivery.Cluster
+	pause             int64
+	node              *Scheduler
+	now               int64
 
 	evts, eps, dests []string
 	sends            []int
@@ -98,7 +98,7 @@
 	ready            map[string]bool
 	dues             []due
 	auto             map[string]due
-	news             []func(port.Intake)
+	news             []func(delivery.Handler)
 	got              []decision
 }
 
@@ -142,8 +142,8 @@
 	return int32(i)
 }
 
-var outcomes = map[string]port.Outcome{"acked": port.Acked, "errored": port.Errored, "declined": port.Declined,
-	"timedout": port.TimedOut, "spoilt": port.Spoilt, "nolink": port.ConnectFailed, "reset": port.Reset, "unsent": port.Unsent}
+var outcomes = map[string]delivery.Outcome{"acked": delivery.Acked, "errored": delivery.Errored, "declined": delivery.Refused,
+	"timedout": delivery.TimedOut, "spoilt": delivery.Unreadable, "nolink": delivery.ConnectFailed, "reset": delivery.Reset, "unsent": delivery.Unsent}
 
 func (p *player) step(line string) {
 	w := strings.Fields(line)
@@ -151,18 +151,18 @@
 	switch w[0] {
 	case "type": // type NAME SAFETY slo D age D utility N late N window D ordered 1 zone 1
 		p.types[w[1]] = len(p.decl)
-		p.decl = append(p.decl, port.StreamType{SLO: dur("slo"), MaxAge: dur("age"), Utility: num("utility"),
-			LateUtility: num("late"), Window: dur("window"), Ordered: num("ordered") > 0, ByZone: num("zone") > 0,
-			Safety: port.Safety(slices.Index([]string{"idempotent", "deduplicated", "once"}, w[2]))})
+		p.decl = append(p.decl, delivery.StreamType{SLO: dur("slo"), MaxAge: dur("age"), Utility: num("utility"),
+			LateUtility: num("late"), DedupWindow: dur("window"), Ordered: num("ordered") > 0, DedupPerZone: num("zone") > 0,
+			Safety: delivery.Safety(slices.Index([]string{"idempotent", "deduplicated", "once"}, w[2]))})
 	case "start": // start with slots N sends N nodes N pause D percall N routes 1 asked 1 pushed 1 firm 1
-		p.room.Slots, p.room.Sends = cmp.Or(int(num("slots")), p.room.Slots), cmp.Or(int(num("sends")), p.room.Sends)
-		p.fleet = port.Fleet{Nodes: int(num("nodes")), Notes: true}
+		p.room.MaxConcurrentCalls, p.room.MaxAttempts = cmp.Or(int(num("slots")), p.room.MaxConcurrentCalls), cmp.Or(int(num("sends")), p.room.MaxAttempts)
+		p.fleet = delivery.Cluster{Nodes: int(num("nodes")), PeerMessages: true}
 		p.pause = dur("pause")
 		if num("firm") > 0 {
-			p.back = port.Recovery{}
+			p.back = delivery.Recovery{}
 		}
-		p.kinds = []port.Partner{{PerCall: max(1, int(num("percall"))), Routes: num("routes") > 0}}
-		p.dir = port.Directory{Asked: num("asked") > 0, Pushed: num("pushed") > 0}
+		p.kinds = []delivery.DestinationKind{{MaxEventsPerCall: max(1, int(num("percall"))), LimitPerEndpoint: num("routes") > 0}}
+		p.dir = delivery.Directory{RequiresWatch: num("asked") > 0, Automatic: num("pushed") > 0}
 	case "at", "to":
 		head, want, _ := strings.Cut(line[3:], "=>")
 		when, news, _ := strings.Cut(head, ":")
@@ -210,9 +210,9 @@
 		p.fail("outcome for %s, which has no send out", p.evts[d.evt])
 	}
 	p.outs[d.evt] = nil
-	p.ended[d.evt] = p.ended[d.evt] || d.how == port.Acked
+	p.ended[d.evt] = p.ended[d.evt] || d.how == delivery.Acked
 	n, ended := p.sends[d.evt]-1, p.ended[d.evt]
-	p.news = append(p.news, func(to port.Intake) {
+	p.news = append(p.news, func(to delivery.Handler) {
 		to.Outcome(d.evt, n, d.ep, d.how, d.wait, d.took, ended, 0, d.limit)
 	})
 }
@@ -227,7 +227,7 @@
 		p.late = append(p.late, p.now+left)
 		sends, ran := int(num("sends")), dur("ran")
 		p.sends[e] = sends
-		p.news = append(p.news, func(to port.Intake) {
+		p.news = append(p.news, func(to delivery.Handler) {
 			if to.Event(e, typ, 0, key, left, 0, dest); sends > 0 {
 				to.Resumed(e, sends, ran > 0, ran, 0)
 			}
@@ -235,16 +235,16 @@
 	case "withdrawn":
 		e := index(&p.evts, f[1])
 		p.ended[e] = true
-		p.news = append(p.news, func(to port.Intake) { to.Withdrawn(e) })
+		p.news = append(p.news, func(to delivery.Handler) { to.Withdrawn(e) })
 	case "full": // full LEAST MOST: the come-back time told lies between
-		p.news = append(p.news, func(port.Intake) {
-			if back := p.node.Full(); back < p.dur(f[1]) || back > p.dur(f[2]) {
+		p.news = append(p.news, func(delivery.Handler) {
+			if back := p.node.RetryAfter(); back < p.dur(f[1]) || back > p.dur(f[2]) {
 				p.fail("told to come back after %v", time.Duration(back))
 			}
 		})
 	case "good":
 		ep := index(&p.eps, f[1])
-		p.news = append(p.news, func(to port.Intake) { to.PeerGood(1, ep) })
+		p.news = append(p.news, func(to delivery.Handler) { to.PeerReportedHealthy(1, ep) })
 	case "reply":
 		how, ever := outcomes[f[2]]
 		num, _ := p.options(f, 4)
@@ -269,24 +269,24 @@
 
 func (p *player) list(how string, entries []string) {
 	if how == "failed" {
-		p.news = append(p.news, func(to port.Intake) { to.ListFailed() })
+		p.news = append(p.news, func(to delivery.Handler) { to.ListFailed() })
 		return
 	}
-	p.news = append(p.news, func(to port.Intake) { to.ListBegins(how == "full") })
+	p.news = append(p.news, func(to delivery.Handler) { to.ListStarted(how == "full") })
 	if p.ready == nil || how == "full" {
 		p.ready = map[string]bool{}
 	}
 	for _, entry := range entries {
 		part := append(strings.Split(entry, ":"), "ready", "0")
 		zone, _ := strconv.Atoi(part[3])
-		state := map[string]port.State{"ready": port.Ready, "draining": port.Draining, "gone": port.Gone}[part[2]]
-		p.ready[part[0]] = state == port.Ready
+		state := map[string]delivery.EndpointState{"ready": delivery.Ready, "draining": delivery.Draining, "gone": delivery.Gone}[part[2]]
+		p.ready[part[0]] = state == delivery.Ready
 		ep, dest := index(&p.eps, part[0]), index(&p.dests, part[1])
-		p.news = append(p.news, func(to port.Intake) {
-			to.Listed(ep, dest, 0, zone, state, 0)
+		p.news = append(p.news, func(to delivery.Handler) {
+			to.EndpointListed(ep, dest, 0, zone, state, 0)
 		})
 	}
-	p.news = append(p.news, func(to port.Intake) { to.ListEnds() })
+	p.news = append(p.news, func(to delivery.Handler) { to.ListEnded() })
 }
 
 func (p *player) expect(want string) {
@@ -325,7 +325,7 @@
 }
 
 // Deliver implements port.Feed; the methods below implement port.Writer.
-func (p *player) Deliver(to port.Intake) {
+func (p *player) Deliver(to delivery.Handler) {
 	for _, item := range p.news {
 		item(to)
 	}
@@ -342,7 +342,7 @@
 	p.outs[evt] = &due{at: p.now, evt: evt, ep: ep}
 	if a, ok := p.auto[name]; ok {
 		if a.evt, a.ep = evt, ep; a.never || timeout < a.took {
-			a.how, a.took = port.TimedOut, timeout
+			a.how, a.took = delivery.TimedOut, timeout
 		}
 		a.at = p.now + a.took
 		p.dues = append(p.dues, a)
@@ -362,17 +362,17 @@
 	p.note("cancel " + p.evts[evt])
 	for i := range p.dues {
 		if p.dues[i].evt == evt {
-			p.dues[i].at, p.dues[i].how, p.dues[i].took = p.now, port.Cancelled, p.now-p.outs[evt].at
+			p.dues[i].at, p.dues[i].how, p.dues[i].took = p.now, delivery.Cancelled, p.now-p.outs[evt].at
 		}
 	}
 }
 
-func (p *player) Recall(evt int32, send int)        { p.note("recall " + p.evts[evt]) }
+func (p *player) CancelUnsent(evt int32, send int)  { p.note("recall " + p.evts[evt]) }
 func (p *player) Decline(evt int32, comeBack int64) { p.end(evt, "decline") }
 func (p *player) Discard(evt int32)                 { p.end(evt, "discard") }
 func (p *player) Wake(int64)                        {}
 func (p *player) Watch(bool)                        { p.note("watch") }
-func (p *player) TellGood(ep int32)                 { p.note("good " + p.eps[ep]) }
+func (p *player) AnnounceHealthy(ep int32)          { p.note("good " + p.eps[ep]) }
 func (p *player) Log(string, int32)                 {}
 func (p *player) Forget(ep int32)                   { p.note("forget " + p.eps[ep]); p.eps[ep] = "" }
 func (p *player) CloseIdle(ep int32)                { p.note("close " + p.eps[ep]) }
--- a/simwire/simwire.go
+++ b/simwire/simwire.go
@@ -11,9 +11,9 @@
 	"io"
 	"math"
 
+	"jaspersill/delivery"
 	"jaspersill/door"
 	"jaspersill/note"
-	"jaspersill/port"
 	"jaspersill/start"
 )
 
@@ -72,11 +72,11 @@
 func usable(f, most float64) bool { return f >= -most && f <= most }
 
 // outcomes maps the wire's codes.
-var outcomes = map[uint16]port.Outcome{200: port.Acked, 502: port.Errored, 429: port.Declined,
-	408: port.TimedOut, 521: port.ConnectFailed, 520: port.Reset, 444: port.Cancelled, 409: port.Unsent}
+var outcomes = map[uint16]delivery.Outcome{200: delivery.Acked, 502: delivery.Errored, 429: delivery.Refused,
+	408: delivery.TimedOut, 521: delivery.ConnectFailed, 520: delivery.Reset, 444: delivery.Cancelled, 409: delivery.Unsent}
 
 // Serve answers batches until the input ends.
-func Serve(in io.Reader, out io.Writer, launch func(seed uint64, s start.Start) port.Decider) error {
+func Serve(in io.Reader, out io.Writer, launch func(seed uint64, s start.Start) delivery.Scheduler) error {
 	l := link{launch: launch, in: bufio.NewReaderSize(in, 1<<16), out: bufio.NewWriterSize(out, 1<<16),
 		nodes: make(map[uint16]*instance)}
 	for {
@@ -91,7 +91,7 @@
 }
 
 type link struct {
-	launch  func(uint64, start.Start) port.Decider
+	launch  func(uint64, start.Start) delivery.Scheduler
 	in      *bufio.Reader
 	out     *bufio.Writer
 	body    bytes.Buffer
@@ -107,7 +107,7 @@
 type instance struct {
 	number  uint16
 	link    *link
-	decider port.Decider
+	decider delivery.Scheduler
 	news    []item
 	listed  bool // has an event in this batch
 
@@ -318,7 +318,7 @@
 }
 
 // Deliver implements port.Feed.
-func (n *instance) Deliver(to port.Intake) {
+func (n *instance) Deliver(to delivery.Handler) {
 	for _, it := range n.news {
 		r := n.link.records[it.at : it.at+eventSize]
 		switch r[0] {
@@ -328,7 +328,7 @@
 			n.knock(r, to)
 		case evBegun:
 			if e, ok := n.evts.Find(le.Uint64(r[1:])); ok {
-				to.Begun(e, int(le.Uint16(r[9:])))
+				to.ProcessingStarted(e, int(le.Uint16(r[9:])))
 			}
 		case evFinished:
 			n.finished(r, to)
@@ -347,28 +347,28 @@
 		case evMemo:
 			if id, ok := note.ReadGood(it.entries); ok {
 				if ep, known := n.eps.Find(id); known {
-					to.PeerGood(int(le.Uint16(r[1:])), ep)
+					to.PeerReportedHealthy(int(le.Uint16(r[1:])), ep)
 				}
 			}
 		}
 	}
 }
 
-func (n *instance) list(how byte, entries []byte, to port.Intake) {
+func (n *instance) list(how byte, entries []byte, to delivery.Handler) {
 	if how == topoFailed {
 		to.ListFailed()
 		return
 	}
-	to.ListBegins(how != topoChanges)
+	to.ListStarted(how != topoChanges)
 	for e := entries; len(e) > 0; e = e[entrySize:] {
 		ep, _ := n.eps.Take(le.Uint32(e))
 		rate := single(e[10:])
 		if !n.rated || !usable(rate, 1e9) {
 			rate = 0
 		}
-		to.Listed(ep, n.dest(uint32(le.Uint16(e[7:]))), int(e[6]), int(le.Uint16(e[4:])), port.State(e[9]), rate)
+		to.EndpointListed(ep, n.dest(uint32(le.Uint16(e[7:]))), int(e[6]), int(le.Uint16(e[4:])), delivery.EndpointState(e[9]), rate)
 	}
-	to.ListEnds()
+	to.ListEnded()
 }
 
 func (n *instance) dest(number uint32) int32 {
@@ -376,7 +376,7 @@
 	return d
 }
 
-func (n *instance) knock(r []byte, to port.Intake) {
+func (n *instance) knock(r []byte, to delivery.Handler) {
 	e, fresh := n.evts.Take(le.Uint64(r[1:]))
 	if !fresh {
 		return
@@ -393,7 +393,7 @@
 		work, n.dest(uint32(single(r[37:]))))
 }
 
-func (n *instance) finished(r []byte, to port.Intake) {
+func (n *instance) finished(r []byte, to delivery.Handler) {
 	e, ok := n.evts.Find(le.Uint64(r[1:]))
 	ep, known := n.eps.Find(le.Uint32(r[26:]))
 	if !ok || !known {
@@ -410,7 +410,7 @@
 	}
 	how := outcomes[le.Uint16(r[13:])]
 	var wait int64
-	if how == port.Declined {
+	if how == delivery.Refused {
 		wait = int64(le.Uint32(r[9:])) * 1e6
 	}
 	to.Outcome(e, int(le.Uint16(r[23:])), ep, how, wait, nanos(float(r[15:])), ended,
@@ -497,8 +497,8 @@
 
 func (w *writer) Cancel(evt int32, send int) { le.PutUint16(w.about(acRevoke, evt)[9:], uint16(send)) }
 
-// Recall has no action of its own: the simulator's sends leave at once.
-func (w *writer) Recall(evt int32, send int) {}
+// CancelUnsent has no action of its own: the simulator's sends leave at once.
+func (w *writer) CancelUnsent(evt int32, send int) {}
 
 func (w *writer) Wake(after int64) {
 	le.PutUint64(w.record(acRemind)[1:], math.Float64bits(min(millis(after), maxDelayMS)))
@@ -518,6 +518,6 @@
 	w.text(acWriteLog, fmt.Sprintf("%s: %d", text, w.node.eps.ID(ep)))
 }
 
-func (w *writer) TellGood(ep int32) {
+func (w *writer) AnnounceHealthy(ep int32) {
 	le.PutUint16(w.bytes(acMemoTo, 3, note.Good(w.node.eps.ID(ep)))[1:], allPeers)
 }
--- a/simwire/simwire_test.go
+++ b/simwire/simwire_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"jaspersill/port"
+	"jaspersill/delivery"
 	"jaspersill/start"
 )
 
@@ -65,10 +65,10 @@
 // script is a Decider that says what comes in and does what the test tells.
 type script struct {
 	said []string
-	act  func(port.Writer)
+	act  func(delivery.Executor)
 }
 
-func (s *script) Round(now int64, feed port.Feed, out port.Writer) {
+func (s *script) Round(now int64, feed delivery.Feed, out delivery.Executor) {
 	s.say("round", now)
 	feed.Deliver(s)
 	s.act(out)
@@ -78,28 +78,28 @@
 func (s *script) Event(e int32, typ, customer int, key uint64, left, work int64, dest int32) {
 	s.say("event", e, typ, customer, key, left, work, dest)
 }
-func (s *script) Begun(e int32, send int) { s.say("begun", e, send) }
+func (s *script) ProcessingStarted(e int32, send int) { s.say("begun", e, send) }
 func (s *script) Resumed(e int32, sends int, mayRun bool, ago int64, zone int) {
 	s.say("resumed", e, sends, mayRun, ago, zone)
 }
-func (s *script) Outcome(e int32, send int, ep int32, how port.Outcome, wait, took int64, ended bool, left, limit float64) {
+func (s *script) Outcome(e int32, send int, ep int32, how delivery.Outcome, wait, took int64, ended bool, left, limit float64) {
 	s.say("outcome", e, send, ep, uint8(how), wait, took, ended, left, limit)
 }
 func (s *script) Withdrawn(e int32)             { s.say("withdrawn", e) }
 func (s *script) Unconfirmed(e int32, send int) { s.say("unconfirmed", e, send) }
 func (s *script) Confirmed(e int32, send int)   { s.say("confirmed", e, send) }
-func (s *script) ListBegins(whole bool)         { s.say("list", whole) }
-func (s *script) Listed(ep, dest int32, partner, zone int, state port.State, rate float64) {
+func (s *script) ListStarted(whole bool)        { s.say("list", whole) }
+func (s *script) EndpointListed(ep, dest int32, partner, zone int, state delivery.EndpointState, rate float64) {
 	s.say("listed", ep, dest, partner, zone, state, rate)
 }
-func (s *script) ListEnds()   { s.say("list ends") }
+func (s *script) ListEnded()  { s.say("list ends") }
 func (s *script) ListFailed() { s.say("list failed") }
-func (s *script) Probed(ep int32, how port.Outcome, took int64, left, limit float64) {
+func (s *script) Probed(ep int32, how delivery.Outcome, took int64, left, limit float64) {
 	s.say("probed", ep, how)
 }
-func (s *script) PeerGood(peer int, ep int32) { s.say("good", peer, ep) }
-func (s *script) Woken()                      { s.say("woken") }
-func (s *script) Full() int64                 { return 0 }
+func (s *script) PeerReportedHealthy(peer int, ep int32) { s.say("good", peer, ep) }
+func (s *script) Woken()                                 { s.say("woken") }
+func (s *script) RetryAfter() int64                      { return 0 }
 
 func TestFramesRoundTrip(t *testing.T) {
 	var in, out bytes.Buffer
@@ -116,19 +116,19 @@
 	in.Write(new(frame).bytes(3, 1010))
 	s := &script{}
 	rounds := 0
-	s.act = func(w port.Writer) {
+	s.act = func(w delivery.Executor) {
 		if rounds++; rounds == 1 {
 			w.Send(0, 1, 1500*1000)
 			w.Wake(5 * 1e6)
 			w.Watch(true)
-			w.TellGood(2)
+			w.AnnounceHealthy(2)
 		} else {
 			w.Decline(0, 700*1e6)
 			w.Log("two words", 1)
 		}
 	}
 	var got start.Start
-	if err := Serve(&in, &out, func(seed uint64, st start.Start) port.Decider { got = st; s.say("seed", seed); return s }); err != nil {
+	if err := Serve(&in, &out, func(seed uint64, st start.Start) delivery.Scheduler { got = st; s.say("seed", seed); return s }); err != nil {
 		t.Fatal(err)
 	}
 	want := []string{"seed 99", "round 1000000000", "list true", "listed 0 0 1 1 2 4.5", "listed 1 0 1 1 2 4.5",
@@ -137,9 +137,9 @@
 	if !slices.Equal(s.said, want) {
 		t.Errorf("got\n%s\nwant\n%s", strings.Join(s.said, "\n"), strings.Join(want, "\n"))
 	}
-	typ := port.StreamType{Safety: port.Deduplicated, ByZone: true, Window: 5e9, SLO: 1e9, MaxAge: 9e9, Utility: 2}
-	if got.Types[0] != typ || got.Partners[0] != (port.Partner{PerCall: 3}) || got.Partners[1] != (port.Partner{Routes: true, PerCall: 1}) ||
-		got.Room.ComeBack != 1500*1e6 || !got.Directory.Asked || got.Fleet.Nodes != 2 {
+	typ := delivery.StreamType{Safety: delivery.Deduplicated, DedupPerZone: true, DedupWindow: 5e9, SLO: 1e9, MaxAge: 9e9, Utility: 2}
+	if got.Types[0] != typ || got.Partners[0] != (delivery.DestinationKind{MaxEventsPerCall: 3}) || got.Partners[1] != (delivery.DestinationKind{LimitPerEndpoint: true, MaxEventsPerCall: 1}) ||
+		got.Room.MaxRetryAfter != 1500*1e6 || !got.Directory.RequiresWatch || got.Fleet.Nodes != 2 {
 		t.Errorf("read at start: %+v", got)
 	}
 	record := func(code byte, fields ...any) string {
@@ -188,7 +188,7 @@
 		{withEnv("by_key", "sometimes"), `services.0.semantics: want one of repeatable by_key once, got "sometimes"`},
 		{withEnv("services.count=1", "services.count=900000000"), `settings: services.count: want at most 4096`},
 	} {
-		err := Serve(bytes.NewReader(c.in), &bytes.Buffer{}, func(uint64, start.Start) port.Decider { return &script{act: func(port.Writer) {}} })
+		err := Serve(bytes.NewReader(c.in), &bytes.Buffer{}, func(uint64, start.Start) delivery.Scheduler { return &script{act: func(delivery.Executor) {}} })
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("want %q, got %v", c.want, err)
 		}
@@ -197,9 +197,9 @@
 
 func TestPanicBecomesBailOut(t *testing.T) {
 	var out bytes.Buffer
-	s := &script{act: func(w port.Writer) { w.Watch(true); panic("lost count") }}
+	s := &script{act: func(w delivery.Executor) { w.Watch(true); panic("lost count") }}
 	in := new(frame).put(evTo, uint16(3)).put(evLaunch, uint64(9), launchEnv).bytes(1, 0)
-	if err := Serve(bytes.NewReader(in), &out, func(uint64, start.Start) port.Decider { return s }); err != nil {
+	if err := Serve(bytes.NewReader(in), &out, func(uint64, start.Start) delivery.Scheduler { return s }); err != nil {
 		t.Fatal(err)
 	}
 	if b := out.Bytes(); len(b) < 60 || b[4] != 2 || b[12+actionSize] != acBailOut || !bytes.HasSuffix(b, []byte("lost count")) {
@@ -212,7 +212,7 @@
 	b.put(evTopology, byte(3), uint64(1), uint16(0)).put(evKnock, uint64(1), uint16(0), uint16(0), uint64(0), 90.0)
 	f.Add(b.bytes(1, 0))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		s := &script{act: func(port.Writer) {}}
-		_ = Serve(bytes.NewReader(in), &bytes.Buffer{}, func(uint64, start.Start) port.Decider { return s })
+		s := &script{act: func(delivery.Executor) {}}
+		_ = Serve(bytes.NewReader(in), &bytes.Buffer{}, func(uint64, start.Start) delivery.Scheduler { return s })
 	})
 }
