--- a/start/start.go
+++ b/start/start.go
@@ -12,19 +12,19 @@
 	"strconv"
 	"strings"
 
-	"jaspersill/port"
+	"jaspersill/delivery"
 )
 
 // Start is what a delivery node is told at its start.
 type Start struct {
-	Types      []port.StreamType
-	Customers  []port.Customer
+	Types      []delivery.StreamType
+	Customers  []delivery.Customer
 	OverShare  float64
-	Partners   []port.Partner
-	Room       port.Room
-	Recovery   port.Recovery
-	Directory  port.Directory
-	Fleet      port.Fleet
+	Partners   []delivery.DestinationKind
+	Room       delivery.Limits
+	Recovery   delivery.Recovery
+	Directory  delivery.Directory
+	Fleet      delivery.Cluster
 	OrderPause int64
 
 	Rated           bool // the list tells rates
@@ -206,37 +206,37 @@
 	if _, ok := e.get("family_info.late"); ok {
 		halving = e.text("family_info.late", "even", "by_half") == "by_half"
 	}
-	safeties := map[string]port.Safety{
-		"repeatable": port.Idempotent, "by_key": port.Deduplicated, "once": port.NonIdempotent}
+	safeties := map[string]delivery.Safety{
+		"repeatable": delivery.Idempotent, "by_key": delivery.Deduplicated, "once": delivery.NonIdempotent}
 	types := e.listed("services.count")
 	if types == 0 && e.err == nil {
 		e.fail("services.count", e.word("services.count"), "1 or more")
 	}
 	for i := range types {
 		at := "services." + strconv.Itoa(i) + "."
-		t := port.StreamType{
-			Safety:      safeties[e.text(at+"semantics", "repeatable", "by_key", "once")],
-			SLO:         e.time(at+"aim_ms", true),
-			SLOPerWork:  e.number(at+"aim_stretch", false),
-			MaxAge:      e.time(at+"deadline_ms", true),
-			Utility:     e.number(at+"value", true),
-			LateUtility: e.number(at+"late_value", false),
-			Ordered:     e.flag(at + "sequential"),
-			Halving:     halving,
+		t := delivery.StreamType{
+			Safety:           safeties[e.text(at+"semantics", "repeatable", "by_key", "once")],
+			SLO:              e.time(at+"aim_ms", true),
+			SLOPerWork:       e.number(at+"aim_stretch", false),
+			MaxAge:           e.time(at+"deadline_ms", true),
+			Utility:          e.number(at+"value", true),
+			LateUtility:      e.number(at+"late_value", false),
+			Ordered:          e.flag(at + "sequential"),
+			ExponentialDecay: halving,
 		}
 		if t.MaxAge == 0 && e.err == nil {
 			e.fail(at+"deadline_ms", e.word(at+"deadline_ms"), "over 0")
 		}
-		if t.Safety == port.Deduplicated {
-			t.Window = e.time(at+"memory_span_ms", true)
-			t.ByZone = e.text(at+"group", "all", "zone", "cell") == "zone"
+		if t.Safety == delivery.Deduplicated {
+			t.DedupWindow = e.time(at+"memory_span_ms", true)
+			t.DedupPerZone = e.text(at+"group", "all", "zone", "cell") == "zone"
 		}
 		s.Types = append(s.Types, t)
 		s.TypeNames = append(s.TypeNames, e.word(at+"name"))
 	}
 	for i := range e.listed("projects.count") {
 		s.Customers = append(s.Customers,
-			port.Customer{Rate: e.number("projects."+strconv.Itoa(i)+".quota_rps", true)})
+			delivery.Customer{Rate: e.number("projects."+strconv.Itoa(i)+".quota_rps", true)})
 		s.CustomerNames = append(s.CustomerNames, e.word("projects."+strconv.Itoa(i)+".name"))
 	}
 	s.OverShare = 1
@@ -247,46 +247,46 @@
 	routes := split(e.word("family_info.own_limits"))
 	s.PartnerNames, s.ZoneNames = split(e.text("models")), split(e.word("areas"))
 	for i := range s.PartnerNames {
-		p := port.Partner{PerCall: 1}
+		p := delivery.DestinationKind{MaxEventsPerCall: 1}
 		if i < len(perCall) {
 			n, err := strconv.Atoi(perCall[i])
 			if err != nil || n < 1 {
 				e.fail("family_info.per_call", perCall[i], "whole numbers from 1")
 			}
-			p.PerCall = n
+			p.MaxEventsPerCall = n
 		}
 		if i < len(routes) {
 			if routes[i] != "true" && routes[i] != "false" {
 				e.fail("family_info.own_limits", routes[i], "true or false")
 			}
-			p.Routes = routes[i] == "true"
+			p.LimitPerEndpoint = routes[i] == "true"
 		}
 		s.Partners = append(s.Partners, p)
 	}
-	s.Room = port.Room{
-		Slots:   e.atLeast(1, "family_info.slots"),
-		Events:  e.atLeast(1, "ceilings.max_open"),
-		Sends:   e.atLeast(1, "ceilings.max_attempts"),
-		Cancels: e.flag("ceilings.cancel"),
+	s.Room = delivery.Limits{
+		MaxConcurrentCalls: e.atLeast(1, "family_info.slots"),
+		MaxEvents:          e.atLeast(1, "ceilings.max_open"),
+		MaxAttempts:        e.atLeast(1, "ceilings.max_attempts"),
+		CanCancel:          e.flag("ceilings.cancel"),
 	}
 	if e.flag("ceilings.retry_after") {
-		s.Room.ComeBack = e.time("ceilings.max_retry_after_ms", false)
+		s.Room.MaxRetryAfter = e.time("ceilings.max_retry_after_ms", false)
 	}
-	s.Recovery = port.Recovery{
-		ColdShare:    e.number("rules.cold_share", true),
-		WarmAfter:    e.time("rules.ramp_time_ms", true),
-		FallMultiple: e.number("rules.fall_multiple", true),
-		FallAfter:    e.time("rules.tip_after_ms", true),
+	s.Recovery = delivery.Recovery{
+		ColdShare:      e.number("rules.cold_share", true),
+		WarmupTime:     e.time("rules.ramp_time_ms", true),
+		OverloadFactor: e.number("rules.fall_multiple", true),
+		OverloadAfter:  e.time("rules.tip_after_ms", true),
 	}
-	s.Directory = port.Directory{
-		Asked: e.text("discovery", "automatic", "subscribe") == "subscribe",
-		Grace: e.time("rules.drain_grace_ms", true),
+	s.Directory = delivery.Directory{
+		RequiresWatch: e.text("discovery", "automatic", "subscribe") == "subscribe",
+		DrainGrace:    e.time("rules.drain_grace_ms", true),
 	}
-	s.Fleet = port.Fleet{
-		Me:     e.count("me", true),
-		Nodes:  e.atLeast(1, "replicas_of_me"),
-		Notes:  e.flag("ceilings.peer_messages"),
-		Probes: e.flag("ceilings.probes"),
+	s.Fleet = delivery.Cluster{
+		Self:         e.count("me", true),
+		Nodes:        e.atLeast(1, "replicas_of_me"),
+		PeerMessages: e.flag("ceilings.peer_messages"),
+		Probes:       e.flag("ceilings.probes"),
 	}
 	s.Rated = e.word("weight_kind") == "nominal" || e.word("weight_kind") == "rough"
 	names := split(e.word("feedback.names"))
--- a/start/start_test.go
+++ b/start/start_test.go
@@ -65,7 +65,7 @@
 	}
 	if a.TypeNames[0] != Name("fleet alert") || a.CustomerNames[1] != Name("a,b c") || a.LimitAt != 0 ||
 		a.LeftAt != 1 || a.Tick != 5e6 || a.IdleFor != 15e9 || a.ConnectWithin != 15e8 ||
-		a.Room.ComeBack != 1500.5*1e6 {
+		a.Room.MaxRetryAfter != 1500.5*1e6 {
 		t.Errorf("read %+v", a)
 	}
 	if len(a.Unknown) != 1 || a.Unknown[0] != "unknown.key" {
--- a/store/record.go
+++ b/store/record.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"hash/crc32"
 
-	"jaspersill/port"
+	"jaspersill/delivery"
 )
 
 // kind is the type of a record.
@@ -168,16 +168,16 @@
 // Invalid reports whether any read failed.
 func (d *Decoder) Invalid() bool { return d.invalid }
 
-type outcome = port.Outcome
+type outcome = delivery.Outcome
 
-const unsent = port.Unsent
+const unsent = delivery.Unsent
 
 // Attempt is an attempt to deliver an event, as recorded.
 type Attempt struct {
 	StartedAt int64 // time of day in ns
 	Zone      string
 	Ended     bool
-	Outcome   port.Outcome
+	Outcome   delivery.Outcome
 }
 
 // MayHaveRun reports whether the attempt may have taken effect, as far as is known.
@@ -219,7 +219,7 @@
 // were never started are filled in as unsent, since they cannot have taken effect.
 func (e *Event) BeginAttempt(number int, s Attempt) {
 	for len(e.Attempts) < number {
-		e.Attempts = append(e.Attempts, Attempt{StartedAt: s.StartedAt, Zone: s.Zone, Ended: true, Outcome: port.Unsent})
+		e.Attempts = append(e.Attempts, Attempt{StartedAt: s.StartedAt, Zone: s.Zone, Ended: true, Outcome: delivery.Unsent})
 	}
 	switch {
 	case len(e.Attempts) == number:
@@ -268,7 +268,7 @@
 	}
 	for range n {
 		s := Attempt{StartedAt: d.readVarint(), Zone: d.readText()}
-		s.Ended, s.Outcome = d.readByte() == 1, port.Outcome(d.readByte())
+		s.Ended, s.Outcome = d.readByte() == 1, delivery.Outcome(d.readByte())
 		e.Attempts = append(e.Attempts, s)
 	}
 	e.Body = d.readBytes()
--- a/store/store_test.go
+++ b/store/store_test.go
@@ -14,7 +14,7 @@
 
 	"pgregory.net/rapid"
 
-	"jaspersill/port"
+	"jaspersill/delivery"
 )
 
 // testNow is the time of the test clock. The value is arbitrary.
@@ -86,7 +86,7 @@
 			m.attempted[id] = true
 		}
 	case 2:
-		if err = s.RecordOutcome(id, 0, 0, port.Reset).Wait(); err == nil && m.attempted[id] {
+		if err = s.RecordOutcome(id, 0, 0, delivery.Reset).Wait(); err == nil && m.attempted[id] {
 			m.attempted[id] = true
 		}
 	case 3:
@@ -368,7 +368,7 @@
 	for i := range accepted { // every accepted event can be completed although the store is full
 		id := fmt.Sprintf("e%d", i)
 		for n := range 6 {
-			if err := errors.Join(s.RecordAttempt(id, 0, n, testNow, "zone"), s.RecordOutcome(id, 0, n, port.Errored).Wait()); err != nil {
+			if err := errors.Join(s.RecordAttempt(id, 0, n, testNow, "zone"), s.RecordOutcome(id, 0, n, delivery.Errored).Wait()); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -447,7 +447,7 @@
 			defer wg.Done()
 			for i := range each {
 				e := testEvent(w*each+i, "body")
-				err := errors.Join(accept(s, e), s.RecordAttempt(e.ID, 0, 0, testNow, "z"), s.RecordOutcome(e.ID, 0, 0, port.Acked).Wait())
+				err := errors.Join(accept(s, e), s.RecordAttempt(e.ID, 0, 0, testNow, "z"), s.RecordOutcome(e.ID, 0, 0, delivery.Acked).Wait())
 				if err != nil {
 					t.Error(err)
 				}
--- a/store/write_failure_test.go
+++ b/store/write_failure_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"jaspersill/port"
+	"jaspersill/delivery"
 )
 
 // waitUntil waits for a condition that the store reaches by its own retries.
@@ -74,7 +74,7 @@
 			}
 		}
 		fsys.failNext(failures, "", failNothingDone)
-		s.RecordOutcome("e0", 0, 0, port.Declined).Wait()
+		s.RecordOutcome("e0", 0, 0, delivery.Refused).Wait()
 		s.RecordVerdict("e1", 0, Discarded, 0).Wait()
 		s.Complete("e2", 0, 0).Wait()
 		waitUntil(t, "all records are written", func() bool {
--- a/store/writer.go
+++ b/store/writer.go
@@ -106,7 +106,7 @@
 		if closed && closedSince.IsZero() {
 			closedSince = time.Now()
 		}
-		if closed && (errclass.File(err) != errclass.Momentary || time.Since(closedSince) > closeTimeout) {
+		if closed && (errclass.File(err) != errclass.Transient || time.Since(closedSince) > closeTimeout) {
 			s.mu.Lock()
 			s.closeErr = err
 			s.mu.Unlock()
@@ -234,7 +234,7 @@
 		if s.rollSegment() == nil {
 			return
 		}
-		if errclass.File(err) != errclass.Momentary || time.Since(began) > undoTimeout {
+		if errclass.File(err) != errclass.Transient || time.Since(began) > undoTimeout {
 			return
 		}
 	}
