--- a/node/journal_test.go
+++ b/node/journal_test.go
@@ -205,8 +205,8 @@
 
 func TestJournalDistinguishesEventsWithSameID(t *testing.T) {
 	folder, ahead := t.TempDir(), int64(0)
-	wallClock := func() int64 { return wallClock() + ahead }
-	j, _, err := openJournal(folder, store.Dir(folder), wallClock, 3, 6, findAnyType)
+	shiftedClock := func() int64 { return wallClock() + ahead }
+	j, _, err := openJournal(folder, store.Dir(folder), shiftedClock, 3, 6, findAnyType)
 	if err != nil {
 		t.Fatal(err)
 	}
