--- a/node/journal_test.go
+++ b/node/journal_test.go
@@ -297,7 +297,9 @@
 		t.Errorf("legacy files not removed: %v", left)
 	}
 	write(folder) // a crash between import and removal: the legacy files are still there
-	j.complete(pending[2])
+	if err := j.complete(pending[2]).Wait(); err != nil {
+		t.Fatal(err)
+	}
 	folder = copyAsKilled(t, folder)
 	j.close()
 	j, pending = reopenJournal(t, folder, 3)
