--- a/lifecycle/lifecycle_test.go
+++ b/lifecycle/lifecycle_test.go
@@ -112,7 +112,7 @@
 // Guards against an answer that is believed to be a call's though it may be a copy of an earlier one.
 func TestAnAnswerIsCertainOnlyWhereItCanBeNoCopy(t *testing.T) {
 	const prove = "prove"
-	ok, full, named := Answer{Digest: 1}, Answer{Digest: 2, NotRun: true}, Answer{Digest: 3, NamesRequests: true}
+	ok, full, named := Response{Digest: 1}, Response{Digest: 2, NotRun: true}, Response{Digest: 3, NamesRequests: true}
 	for _, c := range []struct {
 		name string
 		play []any
@@ -128,10 +128,10 @@
 		{"another behind one that names its requests", []any{ok, ok, named, full}, Certain},
 		{"one that names them for the second time", []any{named, named}, Unconfirmed},
 	} {
-		var s AnswerTracker
+		var s ResponseTracker
 		got := Certain
 		for _, step := range c.play {
-			if answer, read := step.(Answer); read {
+			if answer, read := step.(Response); read {
 				got = s.Observe(answer)
 			} else {
 				s.MarkInSync()
@@ -141,16 +141,16 @@
 			t.Errorf("%s: %d, want %d", c.name, got, c.want)
 		}
 	}
-	var s AnswerTracker
-	for i := range uint64(2 * maxSeenAnswers) {
-		s.Observe(Answer{Digest: 10 + i})
+	var s ResponseTracker
+	for i := range uint64(2 * maxSeenResponses) {
+		s.Observe(Response{Digest: 10 + i})
 		s.MarkInSync()
 	}
-	var cut AnswerTracker
+	var cut ResponseTracker
 	if cut.ObserveTruncated() != Certain || s.ObserveTruncated() != Unconfirmed {
 		t.Error("half an answer is certain only where it is the first")
 	}
-	if s.Observe(full) != Unconfirmed || !s.SawNotRun() || len(s.seen) > maxSeenAnswers {
+	if s.Observe(full) != Unconfirmed || !s.SawNotRun() || len(s.seen) > maxSeenResponses {
 		t.Error("a connection with too many answers to know them all takes one for new")
 	}
 }
--- a/lifecycle/answers.go
+++ b/lifecycle/responses.go
@@ -9,32 +9,32 @@
 	Unconfirmed                    // it may be a copy of an earlier answer, or the answer to an earlier call
 )
 
-// maxSeenAnswers bounds the answers of a connection that are told apart. Those beyond count as seen before.
-const maxSeenAnswers = 64
+// maxSeenResponses bounds the answers of a connection that are told apart. Those beyond count as seen before.
+const maxSeenResponses = 64
 
-// AnswerTracker decides to which call an answer belongs on a connection that carries calls one after another, whose
+// ResponseTracker decides to which call an answer belongs on a connection that carries calls one after another, whose
 // answers name no call. The connection is in step while each call has had exactly one answer. The first answer of a
 // connection can only be the first call's; on one in step, so can an answer that is unlike all before it. All others may
 // be copies, and after one that was a copy each call gets the answer of the one before it.
 //
 // The zero value is a new connection. It is for one goroutine at a time.
-type AnswerTracker struct {
+type ResponseTracker struct {
 	seen      map[uint64]struct{}
 	outOfSync bool // it is not known to be in step
 	sawNotRun bool
 }
 
-// Answer is what decides whose an answer is.
-type Answer struct {
+// Response is what decides whose an answer is.
+type Response struct {
 	Digest        uint64 // of all that it means; equal for copies
 	NamesRequests bool   // it names the requests of its call, and only these
 	NotRun        bool   // it says that its call never ran
 }
 
 // Observe notes the next answer, and tells how sure it is whose.
-func (s *AnswerTracker) Observe(a Answer) Attribution {
+func (s *ResponseTracker) Observe(a Response) Attribution {
 	_, seen := s.seen[a.Digest]
-	seen = seen || len(s.seen) >= maxSeenAnswers
+	seen = seen || len(s.seen) >= maxSeenResponses
 	if s.seen == nil {
 		s.seen = map[uint64]struct{}{}
 	}
@@ -54,7 +54,7 @@
 }
 
 // ObserveTruncated notes an answer of which only the beginning came, and tells how sure it is whose.
-func (s *AnswerTracker) ObserveTruncated() Attribution {
+func (s *ResponseTracker) ObserveTruncated() Attribution {
 	if len(s.seen) == 0 {
 		return Certain
 	}
@@ -63,11 +63,11 @@
 }
 
 // MarkInSync notes that the connection is in step: it has rested, with no byte unread, for longer than an answer takes.
-func (s *AnswerTracker) MarkInSync() { s.outOfSync = false }
+func (s *ResponseTracker) MarkInSync() { s.outOfSync = false }
 
 // InSync tells whether the connection is known to be in step.
-func (s *AnswerTracker) InSync() bool { return !s.outOfSync }
+func (s *ResponseTracker) InSync() bool { return !s.outOfSync }
 
 // SawNotRun tells whether an answer on the connection said that its call never ran. A copy of it could say so of a call
 // that did.
-func (s *AnswerTracker) SawNotRun() bool { return s.sawNotRun }
+func (s *ResponseTracker) SawNotRun() bool { return s.sawNotRun }
--- a/node/attribution_test.go
+++ b/node/attribution_test.go
@@ -203,7 +203,7 @@
 	defer close(stop)
 	go n.run(stop)
 	for i := range 5 {
-		n.enqueue(notice{id: fmt.Sprint("x", i), verdict: discarded, onAcknowledged: func() { told <- struct{}{} }})
+		n.enqueue(notice{id: fmt.Sprint("x", i), resolution: discarded, onAcknowledged: func() { told <- struct{}{} }})
 		select {
 		case <-told:
 		case <-time.After(testTimeout):
@@ -230,7 +230,7 @@
 	n.setTimeouts(within, time.Millisecond)
 	go n.run(stop)
 	post := func(id string) {
-		n.enqueue(notice{id: id, verdict: discarded, onAcknowledged: func() { told <- struct{}{} }})
+		n.enqueue(notice{id: id, resolution: discarded, onAcknowledged: func() { told <- struct{}{} }})
 	}
 	post("first")
 	<-heard
@@ -366,7 +366,7 @@
 	spare.Conn = &faultyConn{TCPConn: spare.Conn.(*net.TCPConn), errno: syscall.ENOMEM, failWrites: 10, writeNothing: true}
 	platform.Listener.Close()
 	go n.run(stop)
-	n.enqueue(notice{id: "x", verdict: discarded, onAcknowledged: func() { told <- struct{}{} }})
+	n.enqueue(notice{id: "x", resolution: discarded, onAcknowledged: func() { told <- struct{}{} }})
 	select {
 	case <-told:
 	case <-time.After(testTimeout):
--- a/node/call.go
+++ b/node/call.go
@@ -140,7 +140,7 @@
 	switch {
 	case err == nil:
 		reason = closeGivenUp
-	case errors.Is(err, errEarlyAnswer): // to no call: an endpoint begins one when its last byte has come
+	case errors.Is(err, errEarlyResponse): // to no call: an endpoint begins one when its last byte has come
 		reason, wait = closeUnread, conn.reader.readResponse(c.attempts).results[0].retryAfter
 	}
 	c.pool.closeConn(conn, reason)
@@ -304,7 +304,7 @@
 		return false
 	}
 	c.conn, c.progress, c.sentAt = conn, progressWriting, now
-	conn.expectAnswer()
+	conn.expectResponse()
 	for _, s := range c.attempts {
 		c.logAttempt(s, "an attempt goes out", nil)
 	}
@@ -370,7 +370,7 @@
 	if c.ended || c.abandoned {
 		return
 	}
-	if how == delivery.TimedOut && c.progress == progressWritten && !c.timeoutExtended && c.conn.answerStarted() { // its answer has begun to come
+	if how == delivery.TimedOut && c.progress == progressWritten && !c.timeoutExtended && c.conn.responseStarted() { // its answer has begun to come
 		c.timeoutExtended = true
 		time.AfterFunc(responseReadTimeout, func() { c.abandon(delivery.TimedOut) })
 		return
@@ -442,7 +442,7 @@
 	} else {
 		s.event.request.FinishAttempt(r.outcome.MayHaveRun() && c.progress != progressNone && c.progress != progressRecording)
 	}
-	s.event.updates <- eventUpdate{kind: updateSendEnded, send: s, result: r}
+	s.event.updates <- eventUpdate{kind: updateAttemptEnded, attempt: s, result: r}
 }
 
 // logAttempt writes a line about an attempt, with the connection that it goes out on.
--- a/node/call_test.go
+++ b/node/call_test.go
@@ -349,8 +349,8 @@
 		t.Errorf("%d events are owed, want 2", len(owed))
 	}
 	for _, e := range owed {
-		if len(e.pastSends) > 0 != (e.id == "b") {
-			t.Errorf("the journal has %d sends of %s; b's alone went", len(e.pastSends), e.id)
+		if len(e.pastAttempts) > 0 != (e.id == "b") {
+			t.Errorf("the journal has %d sends of %s; b's alone went", len(e.pastAttempts), e.id)
 		}
 	}
 }
--- a/node/clientconn.go
+++ b/node/clientconn.go
@@ -175,7 +175,7 @@
 	g.busy, g.stateSince = false, time.Now()
 	g.listener.trimIdle()
 	if len(g.listener.conns) >= g.listener.maxConns {
-		g.listener.connClosed.Signal()
+		g.listener.roomChanged.Signal()
 	}
 }
 
@@ -208,7 +208,7 @@
 	g.listener.mu.Lock()
 	defer g.listener.mu.Unlock()
 	delete(g.listener.conns, g)
-	g.listener.connClosed.Signal()
+	g.listener.roomChanged.Signal()
 }
 
 func (g *clientConn) discardInput() {
--- a/node/clients.go
+++ b/node/clients.go
@@ -231,7 +231,7 @@
 		c.recentRequests.complete(request, c.acceptEvent(ctx, e))
 	}
 	<-request.done
-	c.respond(ctx, request.answer)
+	c.respond(ctx, request.response)
 }
 
 // acceptEvent takes an event on, or refuses it, and returns what its client hears.
--- a/node/clock_test.go
+++ b/node/clock_test.go
@@ -19,7 +19,7 @@
 }
 
 // Guards against a time of day that goes along when the wall clock steps.
-func TestTheTimeOfDayDoesNotStepWithTheWallClock(t *testing.T) {
+func TestTimeOfDayIgnoresWallClockSteps(t *testing.T) {
 	const second, hour = int64(time.Second), int64(time.Hour)
 	near := func(what string, got, want int64) {
 		t.Helper()
@@ -44,7 +44,7 @@
 }
 
 // Guards against requests that are given up, or held for an hour, because the wall clock stepped between two starts.
-func TestADeadlineOutlastsAStepOfTheWallClock(t *testing.T) {
+func TestDeadlineSurvivesWallClockStep(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, time.Hour} {
 		w := newTestEnv(t)
 		w.startNode()
--- a/node/confirmation.go
+++ b/node/confirmation.go
@@ -218,19 +218,19 @@
 
 // provisionalCompletion is the end of an event that an answer brought which may be another call's.
 type provisionalCompletion struct {
-	node    *Node
-	id      string
-	came    uint64
-	due     int64
-	request *lifecycle.Request
-	record  *store.PendingWrite
+	node       *Node
+	id         string
+	arrivalSeq uint64
+	deadline   int64
+	request    *lifecycle.Request
+	record     *store.PendingWrite
 }
 
 // settle ends the event: nothing more is owed if the answer was its own, else a notice, which does no harm if it was.
 func (e *provisionalCompletion) settle(confirmed bool) {
 	if confirmed {
 		e.request.ConfirmEnd()
-		e.node.journal.completeByID(e.id, e.came)
+		e.node.journal.completeByID(e.id, e.arrivalSeq)
 		return
 	}
 	if e.request.FailConfirmation() != nil {
@@ -247,14 +247,14 @@
 		select {
 		case <-e.record.Written():
 			written = true
-		case <-time.After(time.Duration(e.due - e.node.clock.now())):
+		case <-time.After(time.Duration(e.deadline - e.node.clock.now())):
 		}
 	}
 	if e.request.ReportEnd(e.node.clock.now(), written) != nil {
 		return
 	}
-	e.node.notices.enqueue(notice{id: e.id, verdict: discarded, onAcknowledged: func() {
+	e.node.notices.enqueue(notice{id: e.id, resolution: discarded, onAcknowledged: func() {
 		e.node.unreportedEnds.Add(-1)
-		e.node.journal.completeByID(e.id, e.came)
+		e.node.journal.completeByID(e.id, e.arrivalSeq)
 	}})
 }
--- a/node/decisionloop.go
+++ b/node/decisionloop.go
@@ -14,7 +14,7 @@
 // those who wait for them. Its indices and the events behind them belong to that goroutine.
 type decisionLoop struct {
 	clock         clock
-	module        delivery.Scheduler
+	scheduler     delivery.Scheduler
 	minInterval   int64 // least time between rounds
 	eventsPerCall []int // events in one call, by partner
 	endpoints     *endpointPool
@@ -27,12 +27,12 @@
 	stop         chan struct{}
 	done         chan struct{}
 
-	eventIndex    door.Table[*event]
-	activeSends   []*attempt // the send that is out, by event
-	destIndex     door.Table[uint32]
-	endpointIndex door.Table[string]
-	partnerOf     []int   // by endpoint
-	forgotten     []int32 // endpoints that the module forgot and calls may still know
+	eventIndex     door.Table[*event]
+	activeAttempts []*attempt // the send that is out, by event
+	destIndex      door.Table[uint32]
+	endpointIndex  door.Table[string]
+	partnerOf      []int   // by endpoint
+	forgotten      []int32 // endpoints that the module forgot and calls may still know
 
 	wakeAt    int64 // 0 for not asked for
 	newEvents []int32
@@ -42,7 +42,7 @@
 }
 
 func newDecisionLoop(c clock, module delivery.Scheduler, tick int64, perCall []int) *decisionLoop {
-	return &decisionLoop{clock: c, module: module, minInterval: max(tick, 1), eventsPerCall: perCall, inputReady: make(chan struct{}, 1),
+	return &decisionLoop{clock: c, scheduler: module, minInterval: max(tick, 1), eventsPerCall: perCall, inputReady: make(chan struct{}, 1),
 		stop: make(chan struct{}), done: make(chan struct{})}
 }
 
@@ -94,7 +94,7 @@
 }
 
 func (d *decisionLoop) round(now int64) {
-	d.module.Round(now, d, d)
+	d.scheduler.Round(now, d, d)
 	for _, e := range d.newEvents {
 		if !d.ended[e] {
 			d.eventIndex.ID(e).updates <- eventUpdate{kind: updateKept}
@@ -102,7 +102,7 @@
 	}
 	for _, c := range d.newCalls {
 		for _, s := range c.attempts {
-			s.event.updates <- eventUpdate{kind: updateSendStarted, send: s}
+			s.event.updates <- eventUpdate{kind: updateAttemptStarted, attempt: s}
 		}
 		d.endpoints.callStarted(c.endpoint)
 		go d.endpoints.execute(c)
@@ -115,7 +115,7 @@
 		return free
 	})
 	for _, e := range d.removed {
-		d.activeSends[e] = nil
+		d.activeAttempts[e] = nil
 		d.eventIndex.Release(e)
 	}
 	d.newEvents, d.newCalls, d.removed = d.newEvents[:0], d.newCalls[:0], d.removed[:0]
@@ -140,34 +140,34 @@
 func (d *decisionLoop) addEvent(e *event) {
 	d.enqueue(func(to delivery.Handler) {
 		if e.index, _ = d.eventIndex.Take(e); int(e.index) == len(d.ended) {
-			d.activeSends, d.ended = append(d.activeSends, nil), append(d.ended, false)
+			d.activeAttempts, d.ended = append(d.activeAttempts, nil), append(d.ended, false)
 		}
 		d.ended[e.index] = false
 		d.newEvents = append(d.newEvents, e.index)
 		dest, _ := d.destIndex.Take(e.dest)
 		to.Event(e.index, e.typ, e.customer, 0, e.monoDeadline-d.clock.now(), 0, dest)
-		if len(e.pastSends) > 0 {
-			d.reportPastSends(e, to)
+		if len(e.pastAttempts) > 0 {
+			d.reportPastAttempts(e, to)
 		}
 	})
 }
 
-// reportPastSends tells of the sends before a restart. Danger: one that was out when the process ended may have run.
-func (d *decisionLoop) reportPastSends(e *event, to delivery.Handler) {
+// reportPastAttempts tells of the sends before a restart. Danger: one that was out when the process ended may have run.
+func (d *decisionLoop) reportPastAttempts(e *event, to delivery.Handler) {
 	ranAgo, zone, mayRun := int64(0), 0, false
-	for _, s := range e.pastSends {
+	for _, s := range e.pastAttempts {
 		if !mayRun && s.MayHaveRun() {
 			mayRun, ranAgo, zone = true, max(0, d.clock.timeOfDay()-s.StartedAt), d.directory.zoneIndex(s.Zone)
 		}
 	}
-	to.Resumed(e.index, len(e.pastSends), mayRun, ranAgo, zone)
+	to.Resumed(e.index, len(e.pastAttempts), mayRun, ranAgo, zone)
 }
 
 // reportOutcome hands in how a send ended.
 func (d *decisionLoop) reportOutcome(e *event, s *attempt, r result) {
 	over := r.outcome == delivery.Acked || r.final
 	d.enqueue(func(to delivery.Handler) {
-		d.activeSends[e.index] = nil
+		d.activeAttempts[e.index] = nil
 		d.ended[e.index] = d.ended[e.index] || over
 		if r.confirmation != nil && !over {
 			to.Unconfirmed(e.index, s.number)
@@ -184,7 +184,7 @@
 // fullRetryAfter asks when one may come back that there is no room for; nothing is told once the desk is closed.
 func (d *decisionLoop) fullRetryAfter() int64 {
 	reply := make(chan int64, 1)
-	d.enqueue(func(delivery.Handler) { reply <- d.module.RetryAfter() })
+	d.enqueue(func(delivery.Handler) { reply <- d.scheduler.RetryAfter() })
 	select {
 	case comeBack := <-reply:
 		return comeBack
@@ -214,9 +214,9 @@
 // their bodies fit into one.
 func (d *decisionLoop) Send(evt, ep int32, timeout int64) {
 	e := d.eventIndex.ID(evt)
-	s := &attempt{event: e, number: e.sendCount, endpoint: ep, timeout: timeout, startedAt: d.clock.now()}
-	e.sendCount++
-	d.activeSends[evt] = s
+	s := &attempt{event: e, number: e.attemptCount, endpoint: ep, timeout: timeout, startedAt: d.clock.now()}
+	e.attemptCount++
+	d.activeAttempts[evt] = s
 	most := d.eventsPerCall[min(d.partnerOf[ep], len(d.eventsPerCall)-1)]
 	for _, c := range d.newCalls {
 		if c.endpoint == ep && len(c.attempts) < most && c.bodySize+bulkSize(e) <= maxBodyBytes {
@@ -242,13 +242,13 @@
 }
 
 func (d *decisionLoop) Cancel(evt int32, number int) {
-	if s := d.activeSends[evt]; s != nil && s.number == number {
+	if s := d.activeAttempts[evt]; s != nil && s.number == number {
 		s.call.abandon(delivery.Cancelled)
 	}
 }
 
 func (d *decisionLoop) CancelUnsent(evt int32, number int) {
-	if s := d.activeSends[evt]; s != nil && s.number == number {
+	if s := d.activeAttempts[evt]; s != nil && s.number == number {
 		s.call.recall(s)
 	}
 }
--- a/node/directory.go
+++ b/node/directory.go
@@ -41,7 +41,7 @@
 type directory struct {
 	address        string
 	silenceTimeout atomic.Int64 // ns; without a sign for so long, a call is broken
-	desk           *decisionLoop
+	decisions      *decisionLoop
 	endpoints      *endpointPool
 	partnerNames   []string
 	zoneNames      []string
@@ -140,7 +140,7 @@
 // reportFailure tells the module that a call reportFailure or the watch broke.
 func (d *directory) reportFailure(err error) {
 	d.watchErrors.record(err)
-	d.desk.enqueue(func(to delivery.Handler) { to.ListFailed() })
+	d.decisions.enqueue(func(to delivery.Handler) { to.ListFailed() })
 }
 
 // follow makes one call and hands in each list that it brings, until it ends.
@@ -287,17 +287,17 @@
 	for _, e := range list {
 		d.knownDests[e.dest] = struct{}{}
 	}
-	d.desk.enqueue(func(to delivery.Handler) {
+	d.decisions.enqueue(func(to delivery.Handler) {
 		to.ListStarted(whole)
 		for _, e := range list {
-			ep, fresh := d.desk.registerEndpoint(e.host, e.partner)
+			ep, fresh := d.decisions.registerEndpoint(e.host, e.partner)
 			if e.dial != "" || fresh {
 				d.endpoints.updateEndpoint(ep, e.host, e.site, e.dial)
 			}
 			if e.state == delivery.Gone { // danger: what answers there from now on may be another
 				d.endpoints.updateEndpoint(ep, e.host, e.site, "")
 			}
-			dest, _ := d.desk.destIndex.Take(e.dest)
+			dest, _ := d.decisions.destIndex.Take(e.dest)
 			to.EndpointListed(ep, dest, e.partner, d.zoneIndex(e.site), e.state, e.rate)
 		}
 		to.ListEnded()
--- a/node/endpointconn.go
+++ b/node/endpointconn.go
@@ -58,7 +58,7 @@
 	address    string // the address it goes to
 	lastUsedAt int64  // when its last call ended
 	callCount  int
-	responses  lifecycle.AnswerTracker
+	responses  lifecycle.ResponseTracker
 
 	// These belong to endpoints, under its lock.
 	idle        bool            // it is among the idle ones
--- a/node/event.go
+++ b/node/event.go
@@ -21,17 +21,17 @@
 	updates            chan eventUpdate    // what its life waits for
 	response           chan clientResponse // what its client hears, nil for one restored
 	index              int32               // the desk's
-	pastSends          []store.Attempt     // sends before a restart, in order
+	pastAttempts       []store.Attempt     // sends before a restart, in order
 	arrivalSeq         uint64              // by which the journal tells it from another of its id
-	sendCount          int                 // how many in all; the desk's
+	attemptCount       int                 // how many in all; the desk's
 	request            *lifecycle.Request
-	resolution         resolution // an end that was decided before a restart
+	verdict            verdict // an end that was decided before a restart
 	retryAfter         int64
 }
 
 // mayHaveRun tells whether an attempt before a restart may have taken effect.
 func (e *event) mayHaveRun() bool {
-	return slices.ContainsFunc(e.pastSends, func(s store.Attempt) bool { return s.MayHaveRun() })
+	return slices.ContainsFunc(e.pastAttempts, func(s store.Attempt) bool { return s.MayHaveRun() })
 }
 
 // clientResponse is what a client hears: a status, and when to come back, 0 for nothing told.
@@ -40,11 +40,11 @@
 	retryAfter int64
 }
 
-// resolution is how an event ends that is not delivered.
-type resolution uint8
+// verdict is how an event ends that is not delivered.
+type verdict uint8
 
 const (
-	unresolved resolution = iota
+	undecided verdict = iota
 	declined
 	discarded
 )
@@ -52,7 +52,7 @@
 // eventUpdate is one thing that happens to an event.
 type eventUpdate struct {
 	kind       updateKind
-	send       *attempt // begun, outcome
+	attempt    *attempt // begun, outcome
 	result     result   // outcome
 	retryAfter int64    // decline
 }
@@ -60,9 +60,9 @@
 type updateKind uint8
 
 const (
-	updateKept        updateKind = iota // the module keeps the event, for now
-	updateSendStarted                   // it chose an endpoint
-	updateSendEnded                     // a send ended
+	updateKept           updateKind = iota // the module keeps the event, for now
+	updateAttemptStarted                   // it chose an endpoint
+	updateAttemptEnded                     // a send ended
 	updateDecline
 	updateDiscard
 	updateNoticeAcknowledged // the platform has the notice
--- a/node/eventtask.go
+++ b/node/eventtask.go
@@ -40,12 +40,12 @@
 type eventTask struct {
 	node *Node
 	*event
-	clientWaiting bool // still waits for its answer
-	sendsInFlight int  // attempts that did not end yet
-	released      bool // nothing more is decided for it
-	pending       pendingEnd
-	deadlineTimer *time.Timer
-	endUnreported bool // the end is decided and not told
+	clientWaiting    bool // still waits for its answer
+	attemptsInFlight int  // attempts that did not end yet
+	released         bool // nothing more is decided for it
+	pending          pendingEnd
+	deadlineTimer    *time.Timer
+	endUnreported    bool // the end is decided and not told
 }
 
 // pendingEnd is an end that is decided and may not be told yet.
@@ -62,7 +62,7 @@
 	if l.clientWaiting && !l.accept() {
 		return
 	}
-	if e.resolution != unresolved { // decided before a restart: only the notice is owed
+	if e.verdict != undecided { // decided before a restart: only the notice is owed
 		l.reportRestoredEnd()
 		return
 	}
@@ -83,7 +83,7 @@
 	l.node.activeEvents.Add(-1)
 	switch {
 	case errors.Is(err, errAlreadyPending), errors.Is(err, errAlreadyCompleted): // it came before a restart
-		l.answerClient(statusAccepted, 0)
+		l.respond(statusAccepted, 0)
 		return false
 	case errors.Is(err, errFull):
 		recordRefusal(l.id, refusedJournalFull)
@@ -92,11 +92,11 @@
 		l.node.journal.writeFailures.record(err)
 		logs.Event("clients", l.id).WithError(err).Debug("refused: it cannot be stored")
 	}
-	l.answerClient(statusDeclined, l.node.decisions.fullRetryAfter())
+	l.respond(statusDeclined, l.node.decisions.fullRetryAfter())
 	return false
 }
 
-func (l *eventTask) answerClient(status int, comeBack int64) {
+func (l *eventTask) respond(status int, comeBack int64) {
 	if l.clientWaiting {
 		l.clientWaiting = false
 		l.response <- clientResponse{status: status, retryAfter: comeBack}
@@ -116,7 +116,7 @@
 // run takes one step after another until nothing more is owed and no attempt is out.
 func (l *eventTask) run() {
 	shut := l.node.decisions.done
-	for !l.released || l.endUnreported || l.sendsInFlight > 0 {
+	for !l.released || l.endUnreported || l.attemptsInFlight > 0 {
 		select {
 		case s := <-l.updates:
 			l.handle(s)
@@ -129,7 +129,7 @@
 		case <-shut: // its client must hear, though nothing is decided any more: the journal has it
 			shut = nil
 			if l.pending.written == nil {
-				l.answerClient(statusAccepted, 0)
+				l.respond(statusAccepted, 0)
 			}
 		}
 	}
@@ -141,17 +141,17 @@
 func (l *eventTask) handle(s eventUpdate) {
 	switch s.kind {
 	case updateKept:
-		l.answerClient(statusAccepted, 0)
-	case updateSendStarted:
-		l.sendsInFlight++
-	case updateSendEnded:
-		l.sendsInFlight--
-		l.handleOutcome(s.send, s.result)
-		l.node.decisions.reportOutcome(l.event, s.send, s.result)
+		l.respond(statusAccepted, 0)
+	case updateAttemptStarted:
+		l.attemptsInFlight++
+	case updateAttemptEnded:
+		l.attemptsInFlight--
+		l.handleOutcome(s.attempt, s.result)
+		l.node.decisions.reportOutcome(l.event, s.attempt, s.result)
 	case updateRefusalConfirmed:
 		l.request.ConfirmRefusal()
-		l.node.journal.recordOutcome(l.event, s.send.number, s.result.outcome)
-		l.node.decisions.reportConfirmed(l.event, s.send)
+		l.node.journal.recordOutcome(l.event, s.attempt.number, s.result.outcome)
+		l.node.decisions.reportConfirmed(l.event, s.attempt)
 	case updateDecline:
 		l.endUndelivered(declined, s.retryAfter)
 	case updateDiscard:
@@ -186,7 +186,7 @@
 		event := l.event
 		r.confirmation.whenSettled(func(confirmed bool) {
 			if confirmed {
-				event.updates <- eventUpdate{kind: updateRefusalConfirmed, send: s, result: result{outcome: r.outcome}}
+				event.updates <- eventUpdate{kind: updateRefusalConfirmed, attempt: s, result: result{outcome: r.outcome}}
 			}
 		})
 	default:
@@ -201,11 +201,11 @@
 		return
 	}
 	l.release()
-	l.answerClient(statusAccepted, 0)
+	l.respond(statusAccepted, 0)
 	if !l.request.EndProvisionally() {
 		return
 	}
-	end := &provisionalCompletion{node: l.node, id: l.id, came: l.arrivalSeq, due: l.monoDeadline, request: l.request,
+	end := &provisionalCompletion{node: l.node, id: l.id, arrivalSeq: l.arrivalSeq, deadline: l.monoDeadline, request: l.request,
 		record: l.node.journal.recordVerdictAndTrim(l.event, discarded)}
 	c.whenSettled(end.settle)
 }
@@ -217,7 +217,7 @@
 		return
 	}
 	l.release()
-	l.answerClient(statusAccepted, 0)
+	l.respond(statusAccepted, 0)
 	l.request.DecideEnd()
 	l.node.journal.complete(l.event)
 	l.request.ReportEnd(l.node.clock.now(), true) // the endpoint knows
@@ -226,23 +226,23 @@
 // newNotice is the newNotice of the event's end; its life hears when the platform has it.
 func (l *eventTask) newNotice() notice {
 	e := l.event
-	return notice{id: e.id, verdict: e.resolution, retryAfter: e.retryAfter, onAcknowledged: func() { e.updates <- eventUpdate{kind: updateNoticeAcknowledged} }}
+	return notice{id: e.id, resolution: e.verdict, retryAfter: e.retryAfter, onAcknowledged: func() { e.updates <- eventUpdate{kind: updateNoticeAcknowledged} }}
 }
 
 // endUndelivered ends an event that is not delivered. Where its client still waits, a refusal is all it needs to hear; else
 // the platform hears of it. Both only once a restart would respect it.
-func (l *eventTask) endUndelivered(v resolution, comeBack int64) {
+func (l *eventTask) endUndelivered(v verdict, comeBack int64) {
 	l.release()
 	if !l.request.DecideEnd() {
 		return
 	}
-	l.resolution, l.retryAfter = v, comeBack
+	l.verdict, l.retryAfter = v, comeBack
 	l.endUnreported = true
 	l.node.unreportedEnds.Add(1)
 	if l.clientWaiting && v == declined {
 		l.pending = pendingEnd{record: l.node.journal.complete(l.event), toClient: true, clientTimeout: time.After(refusalRecordTimeout)}
 	} else {
-		l.answerClient(statusAccepted, 0)
+		l.respond(statusAccepted, 0)
 		l.pending = pendingEnd{record: l.node.journal.recordVerdict(l.event)}
 	}
 	l.pending.written = l.pending.record.Written()
@@ -272,7 +272,7 @@
 		return
 	}
 	recordRefusal(l.id, refusedByPolicy)
-	l.answerClient(statusDeclined, l.retryAfter)
+	l.respond(statusDeclined, l.retryAfter)
 	l.endUnreported = false
 	l.node.unreportedEnds.Add(-1)
 }
@@ -280,5 +280,5 @@
 // redirectToPlatform has the platform hear of a refusal whose record takes too long for its client to wait.
 func (l *eventTask) redirectToPlatform() {
 	l.pending.toClient, l.pending.clientTimeout = false, nil
-	l.answerClient(statusAccepted, 0)
+	l.respond(statusAccepted, 0)
 }
--- a/node/iofaults_test.go
+++ b/node/iofaults_test.go
@@ -74,7 +74,7 @@
 }
 
 // Guards against a notice for a request that a restart would forward again, because the end is not on the disk.
-func TestANoticeWaitsForItsRecordOrForTheDeadline(t *testing.T) {
+func TestNoticeWaitsForRecordOrDeadline(t *testing.T) {
 	for _, recovers := range []bool{true, false} {
 		w := newTestEnv(t)
 		disk := &faultyDisk{Dir: store.Dir(w.folder)}
@@ -116,7 +116,7 @@
 }
 
 // Guards against a refusal that is told while a restart would still find the request and forward it.
-func TestARefusalIsToldOnceARestartWouldNotForward(t *testing.T) {
+func TestRefusalIsSentOnlyOnceItIsDurable(t *testing.T) {
 	w := newTestEnv(t)
 	disk := &faultyDisk{Dir: store.Dir(w.folder)}
 	disk.onWrite = func(text []byte) {
@@ -144,7 +144,7 @@
 }
 
 // Guards against an attempt that goes out after its request's deadline because its record took long to write.
-func TestNothingIsSentAfterTheDeadlineWhenTheDiskIsSlow(t *testing.T) {
+func TestNoAttemptAfterDeadlineOnSlowDisk(t *testing.T) {
 	w := newTestEnv(t)
 	disk := &faultyDisk{Dir: store.Dir(w.folder)}
 	w.disk = disk
@@ -163,7 +163,7 @@
 }
 
 // Guards against a slow write that holds whoever calls an attempt off: the event loop does.
-func TestCallingOffDoesNotWaitForTheDisk(t *testing.T) {
+func TestCancellationDoesNotWaitForTheDisk(t *testing.T) {
 	folder := t.TempDir()
 	disk := &faultyDisk{Dir: store.Dir(folder)}
 	j, _, err := openJournal(folder, disk, wallClock, 3, 6, findAnyType)
@@ -274,7 +274,7 @@
 }
 
 // Guards against connections of clients that are closed with no answer because a read or a write failed for a moment.
-func TestAClientHearsItsAnswerThoughCallsFailForAMoment(t *testing.T) {
+func TestClientIsAnsweredDespiteMomentarySocketErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR, syscall.ETIMEDOUT,
 		syscall.EHOSTUNREACH} {
 		w := newTestEnv(t)
@@ -296,7 +296,7 @@
 }
 
 // Guards against attempts that count as failed by their endpoint because a call here failed for a moment.
-func TestAnAttemptOutlastsCallsThatFailForAMoment(t *testing.T) {
+func TestAttemptSurvivesMomentarySocketErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL, syscall.EINTR} {
 		at := newTestEndpoint(t, respond(httpResponse("200 OK", "", "")))
 		p := newTestPool(t, at.Addr().String())
@@ -321,7 +321,7 @@
 }
 
 // Guards against an endpoint that counts as silent because this machine could not connect anywhere.
-func TestALocalFailureIsNotChargedToTheEndpoint(t *testing.T) {
+func TestLocalFailureIsNotAttributedToEndpoint(t *testing.T) {
 	p := newTestPool(t, "127.0.0.1:9")
 	p.dial = func(context.Context, string) (net.Conn, error) {
 		return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", syscall.ENFILE)}
@@ -333,7 +333,7 @@
 
 // Guards against resting connections that are closed, and requests that are hurried, when accepting fails for a
 // reason that closing them does not mend.
-func TestAnAcceptThatFailsClosesNoConnection(t *testing.T) {
+func TestAcceptErrorClosesNoConnection(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.EPROTO, syscall.ENETDOWN} {
 		w := newTestEnv(t)
 		w.addEndpoint(1, respond(httpResponse("200 OK", "", "")))
@@ -366,7 +366,7 @@
 }
 
 // Guards against a request that is read from a connection which can carry no answer any more.
-func TestNothingIsReadBehindTheEndOfAConnection(t *testing.T) {
+func TestNothingIsReadAfterHalfClose(t *testing.T) {
 	w := newTestEnv(t)
 	w.addEndpoint(1, respond(httpResponse("200 OK", "", "")))
 	conns := make(chan *faultyConn, 10)
@@ -400,7 +400,7 @@
 }
 
 // Guards against a request that is forwarded after its deadline, since reading it had failed for a while.
-func TestADeadlineCountsFromWhenTheRequestCame(t *testing.T) {
+func TestDeadlineCountsFromArrivalDespiteReadErrors(t *testing.T) {
 	w := newTestEnv(t)
 	at := w.addEndpoint(1, respond(httpResponse("200 OK", "", "")))
 	w.beforeRun = func(n *Node) {
@@ -416,7 +416,7 @@
 }
 
 // Guards against a start that ends because a socket cannot be opened for a moment.
-func TestASocketThatCannotBeOpenedForAMomentIsOpenedAgain(t *testing.T) {
+func TestOpenSocketRetriesMomentaryErrors(t *testing.T) {
 	fails := 3
 	l, err := openSocket(func() (net.Listener, error) {
 		if fails--; fails >= 0 {
@@ -431,7 +431,7 @@
 }
 
 // Guards against an attempt that goes out late, after a wait, its window or its deadline, because writing it failed.
-func TestAnAttemptThatCannotBeWrittenIsStillRecalled(t *testing.T) {
+func TestAttemptCanBeRecalledWhileWriteFails(t *testing.T) {
 	for name, callOff := range map[string]func(*call){
 		"given up": func(c *call) { c.abandon(delivery.TimedOut) },
 		"recalled": func(c *call) { c.recall(c.attempts[0]) },
@@ -467,7 +467,7 @@
 }
 
 // Guards against an attempt that was recalled, and told to be unsent, and goes out in the bytes of a call of several.
-func TestACallThatIsHeldUpGoesOutWithoutWhatWasRecalled(t *testing.T) {
+func TestDelayedBulkCallOmitsRecalledEvents(t *testing.T) {
 	bodies := make(chan string, 10)
 	at := newTestEndpoint(t, func(conn net.Conn, body string) bool {
 		bodies <- body
@@ -501,7 +501,7 @@
 }
 
 // Guards against an attempt that goes out while the answer which told to wait cannot be read.
-func TestNothingIsSentWhileAnAnswerCannotBeRead(t *testing.T) {
+func TestNoCallWhileResponseCannotBeRead(t *testing.T) {
 	at := newTestEndpoint(t, respond(httpResponse("200 OK", "", "")))
 	p := newTestPool(t, at.Addr().String())
 	usual := p.dial
@@ -536,7 +536,7 @@
 }
 
 // Guards against a request that is forwarded after its deadline, since it stood before a node whose places were taken.
-func TestADeadlineCountsWhileThereIsNoRoomForAConnection(t *testing.T) {
+func TestDeadlineCountsWhileConnectionWaitsForRoom(t *testing.T) {
 	w := newTestEnv(t)
 	at := w.addEndpoint(1, respond(httpResponse("200 OK", "", "")))
 	w.beforeRun = func(n *Node) {
@@ -567,7 +567,7 @@
 }
 
 // Guards against a connection that is closed over its request as soon as it has found room.
-func TestAConnectionThatWaitedForRoomIsServed(t *testing.T) {
+func TestConnectionThatWaitedForRoomIsServed(t *testing.T) {
 	w := newTestEnv(t)
 	w.addEndpoint(1, respond(httpResponse("200 OK", "", "")))
 	w.beforeRun = func(n *Node) {
@@ -593,7 +593,7 @@
 }
 
 // Guards against a request that is repeated after its delivery, since its call timed out while the answer came.
-func TestAnAnswerThatComesAtTheTimeOutIsHeard(t *testing.T) {
+func TestResponseArrivingAtTimeoutCounts(t *testing.T) {
 	at := newTestEndpoint(t, func(conn net.Conn, _ string) bool {
 		time.Sleep(60 * time.Millisecond)
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-")
@@ -616,14 +616,14 @@
 }
 
 // Guards against an answer that was taken off its connection and not looked at yet, in the moment in which its call times out.
-func TestAnAnswerThatIsBeingReadAtTheTimeOutIsHeard(t *testing.T) {
+func TestResponseBeingReadAtTimeoutCounts(t *testing.T) {
 	at := newTestEndpoint(t, respond(httpResponse("200 OK", "", "")))
 	p := newTestPool(t, at.Addr().String())
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	conn := (&call{pool: p, attempts: nil}).connect(ctx, at.Addr().String())
-	conn.expectAnswer()
-	if conn.answerStarted() {
+	conn.expectResponse()
+	if conn.responseStarted() {
 		t.Error("an answer before its call")
 	}
 	io.WriteString(conn, "POST /inbox HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
--- a/node/journal.go
+++ b/node/journal.go
@@ -75,7 +75,7 @@
 		events = append(
 			events,
 			&event{id: stored.ID, arrivalSeq: stored.ArrivalSeq, idempotencyKey: stored.IdempotencyKey, typ: typ, customer: customer, dest: stored.Dest,
-				wallDeadline: stored.Deadline, body: stored.Body, pastSends: stored.Attempts, sendCount: len(stored.Attempts), resolution: resolution(stored.Verdict),
+				wallDeadline: stored.Deadline, body: stored.Body, pastAttempts: stored.Attempts, attemptCount: len(stored.Attempts), verdict: verdict(stored.Verdict),
 				retryAfter: stored.RetryAfter, updates: make(chan eventUpdate, updateBuffer)},
 		)
 	}
@@ -156,11 +156,11 @@
 
 // recordVerdict records how an event ends, before its notice has been delivered.
 func (j *journal) recordVerdict(e *event) *store.PendingWrite {
-	return j.store.RecordVerdict(e.id, e.arrivalSeq, store.Verdict(e.resolution), e.retryAfter)
+	return j.store.RecordVerdict(e.id, e.arrivalSeq, store.Verdict(e.verdict), e.retryAfter)
 }
 
 // recordVerdictAndTrim is recordVerdict for an event that may at most need its notice delivered.
-func (j *journal) recordVerdictAndTrim(e *event, v resolution) *store.PendingWrite {
+func (j *journal) recordVerdictAndTrim(e *event, v verdict) *store.PendingWrite {
 	return j.store.RecordVerdictAndTrim(e.id, e.arrivalSeq, store.Verdict(v))
 }
 
--- a/node/journal_test.go
+++ b/node/journal_test.go
@@ -72,7 +72,7 @@
 			j.recordOutcome(e, 0, delivery.Refused)
 			j.recordOutcome(e, 1, delivery.Reset)
 		case 2:
-			e.resolution, e.retryAfter = declined, 500
+			e.verdict, e.retryAfter = declined, 500
 			j.recordVerdict(e)
 		}
 	}
@@ -91,12 +91,12 @@
 		case "e1":
 			past := []store.Attempt{{StartedAt: 50, Zone: "zone", Ended: true, Outcome: delivery.Refused},
 				{StartedAt: 60, Zone: "zone", Ended: true, Outcome: delivery.Reset}, {StartedAt: 70, Zone: "zone"}}
-			if !slices.Equal(e.pastSends, past) || e.sendCount != 3 || string(e.body) != "a\r\n\x00b" {
-				t.Errorf("e1: attempts %+v, body %q", e.pastSends, e.body)
+			if !slices.Equal(e.pastAttempts, past) || e.attemptCount != 3 || string(e.body) != "a\r\n\x00b" {
+				t.Errorf("e1: attempts %+v, body %q", e.pastAttempts, e.body)
 			}
 		case "e2":
-			if e.resolution != declined || e.retryAfter != 500 {
-				t.Errorf("e2: verdict %d, retry after %d", e.resolution, e.retryAfter)
+			if e.verdict != declined || e.retryAfter != 500 {
+				t.Errorf("e2: verdict %d, retry after %d", e.verdict, e.retryAfter)
 			}
 		case "e3":
 			if len(e.body) != 64<<10 {
@@ -196,8 +196,8 @@
 		j, pending = reopenJournal(t, folder, 3)
 		want := []store.Attempt{{StartedAt: 50, Zone: "zone", Ended: true, Outcome: delivery.Unsent},
 			{StartedAt: 50, Zone: "zone", Ended: true, Outcome: delivery.Refused}}
-		if !slices.Equal(pending[0].pastSends, want) {
-			t.Errorf("attempts %+v", pending[0].pastSends)
+		if !slices.Equal(pending[0].pastAttempts, want) {
+			t.Errorf("attempts %+v", pending[0].pastAttempts)
 		}
 	}
 	j.close()
@@ -229,7 +229,7 @@
 	j.close()
 	j, pending := reopenJournal(t, folder, 3)
 	defer j.close()
-	if len(pending) != 1 || len(pending[0].pastSends) != 0 {
+	if len(pending) != 1 || len(pending[0].pastAttempts) != 0 {
 		t.Errorf("pending %+v", pending)
 	}
 }
@@ -305,8 +305,8 @@
 	j, pending = reopenJournal(t, folder, 3)
 	defer j.close()
 	for _, e := range pending {
-		if e.id == "e1" && len(e.pastSends) != 3 {
-			t.Errorf("e1 recovered with attempts %+v", e.pastSends)
+		if e.id == "e1" && len(e.pastAttempts) != 3 {
+			t.Errorf("e1 recovered with attempts %+v", e.pastAttempts)
 		}
 	}
 	if len(pending) != 2 {
--- a/node/listener.go
+++ b/node/listener.go
@@ -31,10 +31,10 @@
 	delayedSince time.Time // when accepting began to fail or to wait for room: what is accepted since may have stood
 	delayedUntil time.Time // there as long, until what had gathered is accepted
 
-	mu         sync.Mutex
-	connClosed sync.Cond
-	conns      map[*clientConn]struct{}
-	closed     bool
+	mu          sync.Mutex
+	roomChanged sync.Cond
+	conns       map[*clientConn]struct{}
+	closed      bool
 }
 
 var pastDeadline = time.Unix(1, 0)
@@ -44,7 +44,7 @@
 		idleTimeout:  defaultClientIdleTimeout,
 		acceptErrors: failureLog{part: "clients", operation: "accepting connections"},
 		conns:        make(map[*clientConn]struct{})}
-	d.connClosed.L = &d.mu
+	d.roomChanged.L = &d.mu
 	return d
 }
 
@@ -78,8 +78,8 @@
 	for len(d.conns) >= d.maxConns && !d.closed {
 		d.markDelayed(time.Now())
 		d.evictOne(time.Now()) // danger: past the limit of descriptors nothing can be sent any more
-		look := time.AfterFunc(firstByteGrace, d.connClosed.Broadcast)
-		d.connClosed.Wait()
+		look := time.AfterFunc(firstByteGrace, d.roomChanged.Broadcast)
+		d.roomChanged.Wait()
 		look.Stop()
 	}
 	g.readFailingSince, g.stateSince = d.delayedSince, time.Now()
@@ -160,7 +160,7 @@
 func (d *listener) Close() error {
 	d.mu.Lock()
 	d.closed = true
-	d.connClosed.Broadcast()
+	d.roomChanged.Broadcast()
 	d.mu.Unlock()
 	return d.Listener.Close()
 }
--- a/node/node.go
+++ b/node/node.go
@@ -21,8 +21,8 @@
 	Peers                          []string
 	KnownEndpoints                 []byte // the list of endpoints as it was last had
 
-	disk    store.FS    // tests put one that fails in place of Folder
-	machine *timeSource // and one whose wall clock steps in place of this one
+	disk       store.FS    // tests put one that fails in place of Folder
+	timeSource *timeSource // and one whose wall clock steps in place of this one
 }
 
 // ClientTimeouts is how long clients' connections may take; 0 for the usual time.
@@ -72,11 +72,11 @@
 
 // Open opens the journal and the sockets of a delivery node; Run starts it.
 func Open(at Config, most Limits, times ClientTimeouts, s start.Start, module delivery.Scheduler) (*Node, error) {
-	if at.machine == nil {
+	if at.timeSource == nil {
 		m := systemTimeSource()
-		at.machine = &m
+		at.timeSource = &m
 	}
-	c := newClock(at.StateFolder, *at.machine)
+	c := newClock(at.StateFolder, *at.timeSource)
 	n := &Node{clock: c, maxEvents: int64(s.Room.MaxEvents), types: s.Types, typeNames: s.TypeNames,
 		customerNames: s.CustomerNames}
 	n.SetDrainTimes(drainCloseIdle, drainStopDeciding, drainExit)
@@ -103,7 +103,7 @@
 	n.endpoints = &endpointPool{clock: c, journal: n.journal, dial: newDialer(s.ConnectWithin),
 		idleTimeout: s.IdleFor, maxIdle: idle}
 	n.directory = &directory{address: at.Directory, openWatches: make(map[*watch]struct{}),
-		knownDests: make(map[uint32]struct{}), desk: n.decisions, endpoints: n.endpoints,
+		knownDests: make(map[uint32]struct{}), decisions: n.decisions, endpoints: n.endpoints,
 		partnerNames: s.PartnerNames, zoneNames: s.ZoneNames, useRates: s.Rated,
 		watchErrors: failureLog{part: "directory", operation: "watching the list"}}
 	n.notices = newNoticeSender(at.Directory)
@@ -155,7 +155,7 @@
 		e.monoDeadline = n.clock.now() + e.wallDeadline - n.clock.timeOfDay()
 		e.safety = n.safetyOf(e.typ)
 		e.request = lifecycle.RestoreRequest(e.id, e.monoDeadline, n.repeatable(e.typ), e.mayHaveRun())
-		if e.resolution == unresolved {
+		if e.verdict == undecided {
 			n.decisions.addEvent(e)
 		}
 		go n.runEvent(e)
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -96,7 +96,7 @@
 	s.Directory.RequiresWatch = true
 	module := scheduler.New(1, s.Types, s.Partners, s.Room, s.Recovery, s.Directory, s.Fleet, s.OrderPause)
 	w.Node, err = Open(Config{Listen: "127.0.0.1:0", Directory: directory.Addr().String(), StateFolder: w.folder,
-		KnownEndpoints: []byte(list), disk: w.disk, machine: w.timeSource}, Limits{DiskMB: w.diskMB}, ClientTimeouts{}, s, module)
+		KnownEndpoints: []byte(list), disk: w.disk, timeSource: w.timeSource}, Limits{DiskMB: w.diskMB}, ClientTimeouts{}, s, module)
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -171,7 +171,7 @@
 	return c.readResponse(headerRetryAfter)
 }
 
-func TestEventsEndOnceEachWay(t *testing.T) {
+func TestEachEventHasOneOutcome(t *testing.T) {
 	w := newTestEnv(t)
 	w.noticesToRefuse = 2
 	good := w.addEndpoint(1, respond(httpResponse("200 OK", "", "")))
@@ -213,7 +213,7 @@
 	}
 }
 
-func TestAnIdThatComesAgain(t *testing.T) {
+func TestDuplicateID(t *testing.T) {
 	w := newTestEnv(t)
 	answer := make(chan string)
 	at := w.addEndpoint(1, func(conn net.Conn, body string) bool { return respond(<-answer)(conn, body) })
@@ -230,7 +230,7 @@
 		t.Errorf("%d calls", calls)
 	}
 	// Handed in as the former ends, in the round that frees its index, it is another event.
-	d := newDecisionLoop(clock{start: time.Now()}, &recordingModule{}, ms, []int{1})
+	d := newDecisionLoop(clock{start: time.Now()}, &recordingScheduler{}, ms, []int{1})
 	first, second := &event{id: "same", updates: make(chan eventUpdate, 9)}, &event{id: "same", updates: make(chan eventUpdate, 9)}
 	d.addEvent(first)
 	d.round(0)
@@ -243,7 +243,7 @@
 	}
 }
 
-func TestBadRequestsGetPlainAnswers(t *testing.T) {
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	w := newTestEnv(t)
 	w.addEndpoint(1, noResponse)
 	w.startNode()
@@ -308,7 +308,7 @@
 	}
 }
 
-func TestNoRoomIsToldBeforeTakingOn(t *testing.T) {
+func TestRequestIsRefusedWhenFull(t *testing.T) {
 	for _, c := range []struct {
 		open   int
 		diskMB float64
@@ -331,7 +331,7 @@
 	}
 }
 
-func TestRestartOwesWhatWasTakenOn(t *testing.T) {
+func TestRestartRecoversAcceptedEvents(t *testing.T) {
 	w := newTestEnv(t)
 	at := w.addEndpoint(1, noResponse)
 	w.addEndpoint(2, respond(httpResponse("429 Full", "Retry-After: 60\r\n", "")))
@@ -371,8 +371,8 @@
 	}
 }
 
-func TestRestoredEventsAreHandedInAsTheyCame(t *testing.T) {
-	r := &recordingModule{}
+func TestRestoredEventsKeepTheirOrder(t *testing.T) {
+	r := &recordingScheduler{}
 	n := &Node{decisions: newDecisionLoop(clock{start: time.Now()}, r, ms, []int{1})}
 	want := ""
 	for i := range 50 {
@@ -386,12 +386,12 @@
 	}
 }
 
-func TestCallsOfSeveralKeepToTheBodyLimit(t *testing.T) {
+func TestBulkCallsRespectBodyLimit(t *testing.T) {
 	d := newDecisionLoop(clock{start: time.Now()}, nil, ms, []int{3})
 	d.partnerOf = []int{0}
 	for i, size := range []int{40 << 10, 20 << 10, 20 << 10, 10, 10} {
 		d.eventIndex.Take(&event{id: fmt.Sprint(i), body: make([]byte, size)})
-		d.activeSends = append(d.activeSends, nil)
+		d.activeAttempts = append(d.activeAttempts, nil)
 		d.Send(int32(i), 0, ms)
 	}
 	got := ""
@@ -407,7 +407,7 @@
 	}
 }
 
-func TestNoticeOwedAtARestartIsToldAndNothingSent(t *testing.T) {
+func TestPendingNoticeIsSentAfterRestartWithoutAttempts(t *testing.T) {
 	w := newTestEnv(t)
 	w.noticesToRefuse = 1 << 30
 	w.addEndpoint(1, respond(httpResponse("500 Error", "", "")))
@@ -424,7 +424,7 @@
 	}
 }
 
-func TestDrainAnswersEveryoneAndEndsWhatIsOut(t *testing.T) {
+func TestDrainAnswersAllRequestsAndFinishesAttempts(t *testing.T) {
 	w := newTestEnv(t)
 	answer := make(chan bool)
 	w.addEndpoint(1, func(conn net.Conn, body string) bool {
@@ -463,7 +463,7 @@
 	}
 }
 
-func TestClientIsAnsweredWhenNothingIsDecidedAnyMore(t *testing.T) {
+func TestClientIsAnsweredAfterDecisionsStop(t *testing.T) {
 	w := newTestEnv(t)
 	w.startNode()
 	w.decisions.close()
@@ -510,7 +510,7 @@
 	return &testEnv{t: t, Node: n}
 }
 
-func TestDoormanClosesIdleConnectionsWhenShort(t *testing.T) {
+func TestListenerEvictsIdleConnectionsAtLimit(t *testing.T) {
 	hold := make(chan bool)
 	w := newListenerEnv(t, 2, func(path string) {
 		if path == "/hold" {
@@ -553,7 +553,7 @@
 	}
 }
 
-func TestClientsThatNeverEndTheirRequestsAreClosed(t *testing.T) {
+func TestIncompleteRequestsTimeOut(t *testing.T) {
 	w := newTestEnv(t)
 	w.addEndpoint(1, respond(httpResponse("200 OK", "", "")))
 	w.startNode()
@@ -580,7 +580,7 @@
 	}
 }
 
-func TestUsualClientsGetInWhileOthersFillTheDoor(t *testing.T) {
+func TestNewClientsConnectWhileSlowClientsFillTheLimit(t *testing.T) {
 	w := newTestEnv(t)
 	w.addEndpoint(1, respond(httpResponse("200 OK", "", "")))
 	w.startNode()
@@ -606,7 +606,7 @@
 	}
 }
 
-func TestClientsThatAskOnceAndStayLeaveRoomForOthers(t *testing.T) {
+func TestIdleConnectionsAreTrimmed(t *testing.T) {
 	w := newTestEnv(t)
 	w.addEndpoint(1, respond(httpResponse("200 OK", "", "")))
 	w.startNode()
@@ -633,7 +633,7 @@
 	}
 }
 
-func TestAConnectionAskedToCloseDoesUnlessARequestCameFirst(t *testing.T) {
+func TestRequestCloseYieldsToARequest(t *testing.T) {
 	w := newListenerEnv(t, 2, func(string) {})
 	d := w.clients.listener
 	c := w.dial()
@@ -679,7 +679,7 @@
 	}
 }
 
-func TestAClientMayConnectAheadAndHearsOfHalfARequest(t *testing.T) {
+func TestIdleConnectionIsServedAndIncompleteRequestGets408(t *testing.T) {
 	w := newListenerEnv(t, 2, func(string) {})
 	d := w.clients.listener
 	d.requestTimeout = 50 * time.Millisecond // from the first byte: far less than a client may rest
@@ -699,7 +699,7 @@
 	}
 }
 
-func TestAListThatNeverEndsIsCutOff(t *testing.T) {
+func TestHeartbeatReaderLimitsListSize(t *testing.T) {
 	s := &heartbeatReader{body: strings.NewReader(strings.Repeat("x", 100)), remaining: 10, onRead: func(bool) {}}
 	if got, err := io.ReadAll(s); len(got) != 10 || err == nil {
 		t.Errorf("read %d bytes, %v", len(got), err)
@@ -707,7 +707,7 @@
 }
 
 // A close over unread bytes resets the connection, and the answers on their way go with it.
-func TestARequestThatCrossesTheEndTakesNoAnswerAlong(t *testing.T) {
+func TestCloseDoesNotDiscardResponseInFlight(t *testing.T) {
 	w := newListenerEnv(t, 9, func(string) {})
 	d := w.clients.listener
 	for range 50 {
@@ -728,7 +728,7 @@
 	}
 }
 
-func TestRequestsReadTogetherAreAllAnswered(t *testing.T) {
+func TestPipelinedRequestsAreAllAnswered(t *testing.T) {
 	w := newTestEnv(t)
 	w.addEndpoint(1, respond(httpResponse("200 OK", "", "")))
 	w.startNode()
@@ -757,7 +757,7 @@
 	}
 }
 
-func TestRequestsInAllFramings(t *testing.T) {
+func TestRequestFramings(t *testing.T) {
 	w := newTestEnv(t)
 	at := w.addEndpoint(1, respond(httpResponse("200 OK", "", "")))
 	w.startNode()
@@ -798,51 +798,51 @@
 	w.waitFor("all are delivered", func() bool { calls, _ := at.counts(); return calls > 0 && w.journal.empty() })
 }
 
-// recordingModule is a module that writes down some of what it is told, and decides nothing.
-type recordingModule struct {
+// recordingScheduler is a module that writes down some of what it is told, and decides nothing.
+type recordingScheduler struct {
 	delivery.Handler // what no test here tells it
 	mu               sync.Mutex
 	recorded         []string
 }
 
-func (r *recordingModule) record(format string, a ...any) {
+func (r *recordingScheduler) record(format string, a ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.recorded = append(r.recorded, fmt.Sprintf(format, a...))
 }
 
-func (r *recordingModule) joined() string {
+func (r *recordingScheduler) joined() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return strings.Join(r.recorded, " ")
 }
 
-func (r *recordingModule) Round(now int64, feed delivery.Feed, out delivery.Executor) {
+func (r *recordingScheduler) Round(now int64, feed delivery.Feed, out delivery.Executor) {
 	feed.Deliver(r)
 }
 
-func (r *recordingModule) Event(e int32, typ, customer int, key uint64, left, work int64, dest int32) {
+func (r *recordingScheduler) Event(e int32, typ, customer int, key uint64, left, work int64, dest int32) {
 	r.record("%d", dest)
 }
 
-func (r *recordingModule) Unconfirmed(e int32, send int)      { r.record("unconfirmed %d %d", e, send) }
-func (r *recordingModule) Confirmed(e int32, send int)        { r.record("confirmed %d %d", e, send) }
-func (r *recordingModule) RetryAfter() int64                  { return 0 }
-func (r *recordingModule) ListStarted(whole bool)             { r.record("whole=%v", whole) }
-func (r *recordingModule) ListEnded()                         { r.record(";") }
-func (r *recordingModule) ListFailed()                        { r.record("failed") }
-func (r *recordingModule) PeerReportedHealthy(p int, e int32) { r.record("good %d %d", p, e) }
-func (r *recordingModule) EndpointListed(ep, dest int32, partner, zone int, state delivery.EndpointState, rate float64) {
+func (r *recordingScheduler) Unconfirmed(e int32, send int)      { r.record("unconfirmed %d %d", e, send) }
+func (r *recordingScheduler) Confirmed(e int32, send int)        { r.record("confirmed %d %d", e, send) }
+func (r *recordingScheduler) RetryAfter() int64                  { return 0 }
+func (r *recordingScheduler) ListStarted(whole bool)             { r.record("whole=%v", whole) }
+func (r *recordingScheduler) ListEnded()                         { r.record(";") }
+func (r *recordingScheduler) ListFailed()                        { r.record("failed") }
+func (r *recordingScheduler) PeerReportedHealthy(p int, e int32) { r.record("good %d %d", p, e) }
+func (r *recordingScheduler) EndpointListed(ep, dest int32, partner, zone int, state delivery.EndpointState, rate float64) {
 	r.record("%d/%d/%d/%d/%d/%v", ep, dest, partner, zone, state, rate)
 }
 
 // newTestDirectory starts a desk with a recorder, and a directory at an address.
-func newTestDirectory(t *testing.T, address string) (*directory, *recordingModule) {
-	r := &recordingModule{}
+func newTestDirectory(t *testing.T, address string) (*directory, *recordingScheduler) {
+	r := &recordingScheduler{}
 	d := newDecisionLoop(clock{start: time.Now()}, r, ms, []int{1})
 	d.endpoints = newTestPool(t, "")
 	d.directory = &directory{address: address, openWatches: make(map[*watch]struct{}),
-		knownDests: make(map[uint32]struct{}), desk: d, endpoints: d.endpoints, useRates: true,
+		knownDests: make(map[uint32]struct{}), decisions: d, endpoints: d.endpoints, useRates: true,
 		partnerNames: []string{"big", "small_one"}, zoneNames: []string{"here", "there"}}
 	d.directory.silenceTimeout.Store(int64(300 * time.Millisecond))
 	go d.run()
@@ -853,7 +853,7 @@
 	return d.directory, r
 }
 
-func TestDirectoryIsFollowedHoweverItsLinesAreCut(t *testing.T) {
+func TestDirectoryWatchWithSplitChunks(t *testing.T) {
 	const first = `{"seq":7,"whole":true,"hosts":[{"host":"a","dial":"127.0.0.1:1","site":"there",` +
 		`"class":"small one","block":3,"health":"Ready","share":2.5},{"host":"b","dial":"127.0.0.1:2","site":"?",` +
 		`"class":"?","block":4,"health":"Terminating","share":1}]}` + "\n"
@@ -896,7 +896,7 @@
 	}
 }
 
-func TestListsMayBeIndentedAndAreTakenOnlyWhole(t *testing.T) {
+func TestListsMayBeIndentedAndMustBeComplete(t *testing.T) {
 	const first = "{\n  \"seq\": 7,\n  \"whole\": true,\n  \"hosts\": [\n    {\n\n" +
 		"      \"host\": \"a\",\n      \"block\": 3,\n" +
 		"      \"health\": \"Ready\"\n    }\n  ]\n}\n"
@@ -922,7 +922,7 @@
 	}
 }
 
-func TestDirectoryCallsThatFail(t *testing.T) {
+func TestDirectoryCallFailures(t *testing.T) {
 	for name, act := range map[string]func(net.Conn, string) bool{
 		"503":      respond(httpResponse("503 Down", "", "")),
 		"reset":    respondAndReset("HTTP/1.1 200"),
@@ -944,7 +944,7 @@
 	})
 }
 
-func TestDirectoryMovesWhileTheOldOneStands(t *testing.T) {
+func TestDirectoryAddressChangeKeepsOldWatchUntilReplaced(t *testing.T) {
 	line := func(seq int, host string) string {
 		return fmt.Sprintf(`{"seq":%d,"whole":false,"hosts":[{"host":"%s","dial":"x","block":1,"health":"Ready"}]}`+
 			"\n", seq, host)
@@ -987,7 +987,7 @@
 	}
 }
 
-func TestNoticesMoveAndDoNotWaitForTheOldAddress(t *testing.T) {
+func TestNoticesUseNewAddressWithoutWaitingForTheOld(t *testing.T) {
 	hangs, heard := newTestEndpoint(t, noResponse), make(chan string, 9)
 	after := newTestEndpoint(t, func(conn net.Conn, body string) bool {
 		heard <- body
@@ -997,7 +997,7 @@
 	defer close(stop)
 	o.setTimeouts(testTimeout, noticeRetryInterval)
 	go o.run(stop)
-	o.enqueue(notice{id: "x", verdict: discarded, onAcknowledged: func() { told <- struct{}{} }})
+	o.enqueue(notice{id: "x", resolution: discarded, onAcknowledged: func() { told <- struct{}{} }})
 	(&testEnv{t: t}).waitFor("it is out", func() bool { calls, _ := hangs.counts(); return calls == 1 })
 	o.setAddress(after.Addr().String())
 	select {
@@ -1008,8 +1008,8 @@
 	<-told
 }
 
-func TestAForgottenEndpointsIndexWaitsForItsCalls(t *testing.T) {
-	d := newDecisionLoop(clock{start: time.Now()}, &recordingModule{}, ms, []int{1})
+func TestForgottenEndpointKeepsIndexUntilItsCallsEnd(t *testing.T) {
+	d := newDecisionLoop(clock{start: time.Now()}, &recordingScheduler{}, ms, []int{1})
 	d.endpoints = newTestPool(t, "127.0.0.1:1")
 	take := func(host string, want int32) {
 		t.Helper()
@@ -1035,7 +1035,7 @@
 	take("d", 2)
 }
 
-func TestPeersTradeNotes(t *testing.T) {
+func TestPeerDatagrams(t *testing.T) {
 	sockets := make([]*net.UDPConn, 3)
 	var addresses []string
 	for i := range sockets {
@@ -1045,7 +1045,7 @@
 	}
 	d, r := newTestDirectory(t, "")
 	sockets[0].Close()
-	p, err := newPeerMessenger(addresses[0], addresses[1], addresses[:2], 0, d.desk, 1)
+	p, err := newPeerMessenger(addresses[0], addresses[1], addresses[:2], 0, d.decisions, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/node/notices.go
+++ b/node/notices.go
@@ -40,7 +40,7 @@
 // notice tells the platform how an event ended that was taken on and not delivered.
 type notice struct {
 	id             string
-	verdict        resolution
+	resolution     verdict
 	retryAfter     int64  // when to come back, 0 for nothing told
 	onAcknowledged func() // is called once the platform has surely read it
 }
@@ -361,7 +361,7 @@
 	for _, one := range part {
 		body = append(body, `{"id":`...)
 		body = strconv.AppendQuote(body, one.id)
-		if one.verdict == discarded {
+		if one.resolution == discarded {
 			body = append(body, `,"status":"undeliverable"}`...)
 		} else {
 			body = append(body, `,"status":"deferred"`...)
--- a/node/peers.go
+++ b/node/peers.go
@@ -17,7 +17,7 @@
 	conn          *net.UDPConn
 	broadcastAddr *net.UDPAddr
 	peerIndex     map[string]int // of each peer, by its address
-	desk          *decisionLoop
+	decisions     *decisionLoop
 
 	processStart uint64 // that this process sends under
 	sequence     atomic.Uint32
@@ -37,7 +37,7 @@
 var lateDatagrams = metrics.New("jaspersill_late_peer_datagrams_total", "Datagrams of peers that came again, or behind a later one.")
 
 func newPeerMessenger(address, all string, list []string, me int, d *decisionLoop, day int64) (*peerMessenger, error) {
-	p := &peerMessenger{peerIndex: make(map[string]int), desk: d, processStart: uint64(day), lastReceived: make(map[int]receivedDatagram)}
+	p := &peerMessenger{peerIndex: make(map[string]int), decisions: d, processStart: uint64(day), lastReceived: make(map[int]receivedDatagram)}
 	if address == "" || all == "" {
 		return p, nil // the deployment has no notes
 	}
@@ -81,8 +81,8 @@
 			lateDatagrams.Add()
 			continue
 		}
-		p.desk.enqueue(func(to delivery.Handler) {
-			if ep, listed := p.desk.endpointIndex.Find(host); listed {
+		p.decisions.enqueue(func(to delivery.Handler) {
+			if ep, listed := p.decisions.endpointIndex.Find(host); listed {
 				to.PeerReportedHealthy(peer, ep)
 			}
 		})
--- a/node/phases.go
+++ b/node/phases.go
@@ -74,10 +74,10 @@
 	begin, drain := time.Now(), n.drainTimes.Load()
 	n.waitUntil(begin.Add(drain.closeIdle), nil)
 	n.clients.listener.closeAllIdle()
-	n.waitUntil(begin.Add(drain.stopDeciding), n.nothingOwed)
+	n.waitUntil(begin.Add(drain.stopDeciding), n.noUnfinishedEvents)
 	n.decisionsClosed.Store(true)
 	n.clients.listener.closeAllIdle()
-	n.waitUntil(begin.Add(drain.stopDeciding), n.nothingOwed) // what was admitted just before
+	n.waitUntil(begin.Add(drain.stopDeciding), n.noUnfinishedEvents) // what was admitted just before
 	n.decisions.close()
 	n.waitUntil(begin.Add(drain.exit-drainNoticeReserve), n.confirmationsSettled)
 	n.endpoints.settleIdle(true)
@@ -97,19 +97,19 @@
 	}
 }
 
-// nothingOwed tells whether nothing is owed, nor about to be, but for ends that wait to be confirmed.
-func (n *Node) nothingOwed() bool {
+// noUnfinishedEvents tells whether nothing is owed, nor about to be, but for ends that wait to be confirmed.
+func (n *Node) noUnfinishedEvents() bool {
 	return n.activeEvents.Load() == 0 && n.journal.pendingCount() <= n.endpoints.unconfirmedCount() && n.journal.allWritten()
 }
 
 // confirmationsSettled tells whether no end waits to be confirmed, and none can come that would have to.
 func (n *Node) confirmationsSettled() bool {
 	n.endpoints.settleIdle(false)
-	return n.endpoints.unconfirmedCount() == 0 && (n.endpoints.activeCalls.Load() == 0 || n.nothingOwed())
+	return n.endpoints.unconfirmedCount() == 0 && (n.endpoints.activeCalls.Load() == 0 || n.noUnfinishedEvents())
 }
 
 // quiesced tells whether nothing is left that ends by itself: no attempt is out, every end that is decided is told and
 // written. What is owed beyond that waits for the next start.
 func (n *Node) quiesced() bool {
-	return n.nothingOwed() || (n.endpoints.activeCalls.Load() == 0 && n.unreportedEnds.Load() == 0 && n.journal.allWritten())
+	return n.noUnfinishedEvents() || (n.endpoints.activeCalls.Load() == 0 && n.unreportedEnds.Load() == 0 && n.journal.allWritten())
 }
--- a/node/recentrequests.go
+++ b/node/recentrequests.go
@@ -30,7 +30,7 @@
 type recentRequest struct {
 	id        string
 	done      chan struct{}
-	answer    clientResponse
+	response  clientResponse
 	expiresAt time.Time
 }
 
@@ -55,7 +55,7 @@
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	request.answer, request.expiresAt = a, now.Add(recentRequestTTL)
+	request.response, request.expiresAt = a, now.Add(recentRequestTTL)
 	close(request.done)
 	r.answeredOrder = append(r.answeredOrder, request)
 	for len(r.answeredOrder) > maxRecentRequests || now.After(r.answeredOrder[0].expiresAt) {
--- a/node/retryconn.go
+++ b/node/retryconn.go
@@ -83,7 +83,7 @@
 	}
 	for pause := minRetryPause; ; pause = min(2*pause, maxRetryPause) {
 		if c.hasUnread() {
-			return written, errEarlyAnswer
+			return written, errEarlyResponse
 		}
 		n, err := c.writeOnce(b[written:])
 		written += n
@@ -97,8 +97,8 @@
 	}
 }
 
-// errEarlyAnswer tells that bytes came before the last byte of what they might be an answer to was written.
-var errEarlyAnswer = errors.New("an answer came before its call was written")
+// errEarlyResponse tells that bytes came before the last byte of what they might be an answer to was written.
+var errEarlyResponse = errors.New("an answer came before its call was written")
 
 // readOnce makes one read that does not wait in vain: the standard library hides that a call was interrupted, and
 // with it how long the bytes may have stood there.
@@ -164,15 +164,15 @@
 	c.received = c.received || n > 0
 }
 
-// expectAnswer begins to watch for an answer.
-func (c *retryConn) expectAnswer() {
+// expectResponse begins to watch for an answer.
+func (c *retryConn) expectResponse() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.received = false
 }
 
-// answerStarted tells whether bytes came since expect, whether or not they were read.
-func (c *retryConn) answerStarted() bool {
+// responseStarted tells whether bytes came since expect, whether or not they were read.
+func (c *retryConn) responseStarted() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.received || c.hasUnread()
--- a/node/wire.go
+++ b/node/wire.go
@@ -92,7 +92,7 @@
 // callResponse is an endpoint's answer, taken apart.
 type callResponse struct {
 	results   []result // of each send
-	identity  lifecycle.Answer
+	identity  lifecycle.Response
 	truncated bool        // only its beginning came, which says that its one event is delivered
 	close     closeReason // why the connection ends with it, empty if it does not
 }
