--- a/store/memfs_test.go
+++ b/store/memfs_test.go
@@ -9,205 +9,204 @@
 	"syscall"
 )
 
-// errCrash is what every call gets from the moment that the process is gone.
-var errCrash = errors.New("the process is gone")
+// errCrashed is returned by every call from the simulated crash on.
+var errCrashed = errors.New("simulated crash")
 
 var errNoSpace = errors.New("no space left")
 
-// how a call goes wrong.
-type fault uint8
+// crashMode is how the chosen call goes wrong.
+type crashMode uint8
 
 const (
-	before fault = iota // the process is gone before the call does anything
-	after               // it is gone after the call did all
-	half                // half of what is written is, then it is gone
-	noRoom              // the call fails, half written, and the process goes on
+	crashBeforeCall crashMode = iota // the process crashes before the call takes effect
+	crashAfterCall                   // the process crashes after the call took full effect
+	crashMidWrite                    // the process crashes after half of the data is written
+	failNoSpace                      // the call fails with half of the data written, and the process continues
 )
 
-// refusal is how calls in a row fail while the process goes on.
-type refusal uint8
+// failureMode is how consecutive calls fail while the process continues.
+type failureMode uint8
 
 const (
-	refused refusal = iota // nothing is done
-	partly                 // half of what is written is
-	wholly                 // all is done, and the call fails all the same
+	failNothingDone failureMode = iota // the call has no effect
+	failPartlyDone                     // half of the data is written
+	failFullyDone                      // the call takes full effect but returns an error
 )
 
-// memory is a folder in memory. At a chosen call that changes something it fails in a chosen way.
-type memory struct {
-	mu      sync.Mutex
-	files   map[string]*blob
-	calls   int
-	at      int // the call that fails, 0 for none
-	how     fault
-	gone    bool
-	locked  bool
-	reading func() // called at each ReadAt, where set
+// memFS is an in-memory FS. A chosen modifying call fails in a chosen way.
+type memFS struct {
+	mu        sync.Mutex
+	files     map[string]*memBlob
+	callCount int
+	faultCall int // number of the call that fails, 0 for none
+	faultMode crashMode
+	crashed   bool
+	locked    bool
+	onReadAt  func() // called on each ReadAt if not nil
 
-	failFrom, failCount int // so many calls in a row fail, from this one on
-	failHow             refusal
-	failOnly            string // the kind of call, or empty for all
+	failFrom, failCount int // failCount calls fail, from call number failFrom on
+	failMode            failureMode
+	failKind            string // the kind of call that fails, or empty for all kinds
 }
 
-// failNext has the next calls fail, of one kind or of all.
-func (m *memory) failNext(count int, only string, how refusal) {
+// failNext makes the next calls fail, of one kind or of all kinds if kind is empty.
+func (m *memFS) failNext(count int, kind string, mode failureMode) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.failFrom, m.failCount, m.failOnly, m.failHow = m.calls+1, count, only, how
+	m.failFrom, m.failCount, m.failKind, m.failMode = m.callCount+1, count, kind, mode
 }
 
-// refuses tells whether a call is one that fails while the process goes on; the lock is held.
-func (m *memory) refuses(kind string) bool {
-	if m.failCount == 0 || m.calls < m.failFrom || (m.failOnly != "" && m.failOnly != kind) {
+// shouldFail reports whether a call is to fail while the process continues. The caller holds mu.
+func (m *memFS) shouldFail(kind string) bool {
+	if m.failCount == 0 || m.callCount < m.failFrom || (m.failKind != "" && m.failKind != kind) {
 		return false
 	}
 	m.failCount--
 	return true
 }
 
-// blob is a file: it keeps its handles when its name changes.
-type blob struct{ text, synced []byte }
+// memBlob is the content of a file. Open handles stay valid when the file is renamed.
+type memBlob struct{ data, syncedData []byte }
 
-func newMemory() *memory { return &memory{files: map[string]*blob{}} }
+func newMemFS() *memFS { return &memFS{files: map[string]*memBlob{}} }
 
-// put has a file hold a text.
-func (m *memory) put(name string, text []byte) { m.files[name] = &blob{text: text} }
+// putFile sets the content of a file.
+func (m *memFS) putFile(name string, data []byte) { m.files[name] = &memBlob{data: data} }
 
-// restarted is the folder as the next process finds it.
-func (m *memory) restarted() *memory {
+// afterRestart returns a copy of the folder as the next process finds it.
+func (m *memFS) afterRestart() *memFS {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	n := newMemory()
+	n := newMemFS()
 	for name, b := range m.files {
-		n.put(name, slices.Clone(b.text))
+		n.putFile(name, slices.Clone(b.data))
 	}
 	return n
 }
 
-// act counts a call that changes something, and fails it when it is its turn. do does all of it, part half of
-// it.
-func (m *memory) act(kind string, do, part func()) error {
+// change counts a modifying call, and fails it if it is the chosen one. do applies all of its effect, part half of it.
+func (m *memFS) change(kind string, do, part func()) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.gone {
-		return errCrash
+	if m.crashed {
+		return errCrashed
 	}
-	m.calls++
-	if m.refuses(kind) {
-		switch m.failHow {
-		case partly:
+	m.callCount++
+	if m.shouldFail(kind) {
+		switch m.failMode {
+		case failPartlyDone:
 			part()
-		case wholly:
+		case failFullyDone:
 			do()
 		}
 		return syscall.EIO
 	}
-	if m.calls != m.at {
+	if m.callCount != m.faultCall {
 		do()
 		return nil
 	}
-	switch m.how {
-	case after:
+	switch m.faultMode {
+	case crashAfterCall:
 		do()
-	case half:
+	case crashMidWrite:
 		part()
-	case noRoom:
+	case failNoSpace:
 		part()
 		return errNoSpace
 	}
-	m.gone = true
-	return errCrash
+	m.crashed = true
+	return errCrashed
 }
 
-func nothing() {}
+func noop() {}
 
-func (m *memory) List() ([]string, error) {
+func (m *memFS) List() ([]string, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.refuses("names") {
+	if m.shouldFail("list") {
 		return nil, syscall.EIO
 	}
 	return slices.Sorted(maps.Keys(m.files)), nil
 }
 
-func (m *memory) Create(name string) (File, error) {
-	b := &blob{}
-	err := m.act("create", func() { m.files[name] = b }, nothing)
-	return &memoryFile{m, b}, err
+func (m *memFS) Create(name string) (File, error) {
+	b := &memBlob{}
+	err := m.change("create", func() { m.files[name] = b }, noop)
+	return &memFile{m, b}, err
 }
 
-func (m *memory) Append(name string) (File, error) { return &memoryFile{m, m.files[name]}, nil }
+func (m *memFS) Append(name string) (File, error) { return &memFile{m, m.files[name]}, nil }
 
-func (m *memory) Read(name string) ([]byte, error) {
+func (m *memFS) Read(name string) ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.refuses("read") {
+	if m.shouldFail("read") {
 		return nil, syscall.EIO
 	}
 	b, ok := m.files[name]
 	if !ok {
 		return nil, fs.ErrNotExist
 	}
-	return slices.Clone(b.text), nil
+	return slices.Clone(b.data), nil
 }
 
-func (m *memory) ReadAt(name string, at int64, to []byte) error {
-	if m.reading != nil {
-		m.reading()
+func (m *memFS) ReadAt(name string, at int64, to []byte) error {
+	if m.onReadAt != nil {
+		m.onReadAt()
 	}
-	text, err := m.Read(name)
-	if err == nil && copy(to, text[min(at, int64(len(text))):]) < len(to) {
-		err = errors.New("short")
+	data, err := m.Read(name)
+	if err == nil && copy(to, data[min(at, int64(len(data))):]) < len(to) {
+		err = errors.New("short read")
 	}
 	return err
 }
 
-func (m *memory) Rename(from, to string) error {
-	return m.act("rename", func() { m.files[to] = m.files[from]; delete(m.files, from) }, nothing)
+func (m *memFS) Rename(from, to string) error {
+	return m.change("rename", func() { m.files[to] = m.files[from]; delete(m.files, from) }, noop)
 }
 
-func (m *memory) Remove(name string) error {
-	return m.act("remove", func() { delete(m.files, name) }, nothing)
+func (m *memFS) Remove(name string) error {
+	return m.change("remove", func() { delete(m.files, name) }, noop)
 }
 
-func (m *memory) Sync() error { return m.act("sync", nothing, nothing) }
+func (m *memFS) Sync() error { return m.change("sync", noop, noop) }
 
-func (m *memory) Lock() (func(), error) {
+func (m *memFS) Lock() (func(), error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.refuses("lock") {
+	if m.shouldFail("lock") {
 		return nil, syscall.EINTR
 	}
 	if m.locked {
-		return nil, errors.New("held by process 1")
+		return nil, errors.New("locked by process 1")
 	}
 	m.locked = true
 	return func() { m.mu.Lock(); m.locked = false; m.mu.Unlock() }, nil
 }
 
-type memoryFile struct {
-	m *memory
-	b *blob
+type memFile struct {
+	m *memFS
+	b *memBlob
 }
 
-// Write fails wholly as a lying call would: all bytes are there and it names none of them.
-func (f *memoryFile) Write(p []byte) (n int, err error) {
+// Write with failFullyDone writes all bytes but reports that it wrote none.
+func (f *memFile) Write(p []byte) (n int, err error) {
 	write := func(p []byte) func() {
-		return func() { f.b.text = append(f.b.text, p...); n = len(p) }
+		return func() { f.b.data = append(f.b.data, p...); n = len(p) }
 	}
-	err = f.m.act("write", write(p), write(p[:len(p)/2]))
-	if err != nil && f.m.failHow == wholly {
+	err = f.m.change("write", write(p), write(p[:len(p)/2]))
+	if err != nil && f.m.failMode == failFullyDone {
 		n = 0
 	}
 	return n, err
 }
 
-func (f *memoryFile) Truncate(size int64) error {
-	return f.m.act("truncate", func() { f.b.text = f.b.text[:size] }, nothing)
+func (f *memFile) Truncate(size int64) error {
+	return f.m.change("truncate", func() { f.b.data = f.b.data[:size] }, noop)
 }
 
-func (f *memoryFile) Sync() error {
-	return f.m.act("sync", func() { f.b.synced = slices.Clone(f.b.text) }, nothing)
+func (f *memFile) Sync() error {
+	return f.m.change("sync", func() { f.b.syncedData = slices.Clone(f.b.data) }, noop)
 }
 
-func (f *memoryFile) Close() error { return nil }
+func (f *memFile) Close() error { return nil }
--- a/store/recovery.go
+++ b/store/recovery.go
@@ -7,71 +7,71 @@
 	"strings"
 )
 
-// Recovery is what a folder holds. Reading it changes nothing.
+// Recovery is the state recovered from a folder. Recovering it does not change the folder.
 type Recovery struct {
-	Events      []*Event         // owed, in the order of their coming, with their bodies
-	Backoffs    map[string]int64 // until when, as time of day
-	Outages     map[string]int64 // since when
-	Completed   map[string]int64 // ids that are over, until when that is known
+	Events      []*Event         // pending events in order of arrival, with their bodies
+	Backoffs    map[string]int64 // time of day at which each ends, in ns
+	Outages     map[string]int64 // time of day at which each began, in ns
+	Completed   map[string]int64 // IDs of completed events, with the time of day until which they are retained
 	Segments    int
 	Size        int64    // bytes of all files of the store
-	Records     int      // that could be read
-	TornBytes   int      // bytes at the end of the log that were cut off
-	RecordsLost bool     // records are missing: what stood before may have gone on
-	Faults      []string // file, offset and reason of what is damaged, missing or foreign
+	Records     int      // number of readable records
+	TornBytes   int      // size of the incomplete record at the end of the log
+	RecordsLost bool     // records are missing, so events recorded before the gap may have progressed further
+	Faults      []string // file, offset and description of anything damaged, missing or foreign
 
-	epoch, seq, number uint64
-	mirror             int              // whole bytes of the mirror
-	sizes              map[string]int64 // of each file
+	epoch, seq, lastSegment uint64
+	mirrorSize              int              // bytes of the mirror up to its last complete record
+	fileSizes               map[string]int64 // by file name
 }
 
-// longAgo is when a send went out of which nothing but that it may have is known: no window of repeats
-// reaches so far.
-const longAgo = 1
+// unknownStart is the start time of an attempt that may have been made but has no record. It is so long ago that no
+// deduplication window reaches back to it.
+const unknownStart = 1
 
-// Recover reads a folder without changing it. The error is for one that cannot be read; damage is told in
+// Recover reads a folder without changing it. It returns an error if the folder cannot be read; damage is reported in
 // Faults.
 //
-// Danger: where records are missing, one of them may have said that a charge went out, or that a destination
-// told to wait. So every event whose state stands before a gap counts as one that may have run, and waits
-// stand in two files.
-func Recover(folder FS) (*Recovery, error) {
-	names, err := folder.List()
+// A missing record may have said that an attempt started, for a charge for example, or that a destination asked for a
+// backoff. Therefore every event whose state precedes a gap is treated as possibly executed, and backoffs are stored in
+// two files.
+func Recover(fsys FS) (*Recovery, error) {
+	names, err := fsys.List()
 	if err != nil {
 		return nil, err
 	}
 	f := &Recovery{Backoffs: map[string]int64{}, Outages: map[string]int64{}, Completed: map[string]int64{},
-		sizes: map[string]int64{}}
-	var segs []read
+		fileSizes: map[string]int64{}}
+	var files []segmentFile
 	for _, name := range names {
 		if !strings.HasPrefix(name, "seg-") && name != mirrorName {
 			continue
 		}
-		text, err := folder.Read(name)
+		data, err := fsys.Read(name)
 		if err != nil {
 			return nil, err
 		}
-		f.Size += int64(len(text))
-		f.sizes[name] = int64(len(text))
-		h, err := readHead(text)
+		f.Size += int64(len(data))
+		f.fileSizes[name] = int64(len(data))
+		h, err := decodeHeader(data)
 		if err != nil {
-			f.fault(name, 0, err.Error())
+			f.addFault(name, 0, err.Error())
 			f.RecordsLost = true
 			if name != mirrorName {
-				segs = append(segs, read{name: name, bad: true})
+				files = append(files, segmentFile{name: name, invalidHeader: true})
 			}
 			continue
 		}
-		segs = append(segs, read{name: name, head: h, text: text})
+		files = append(files, segmentFile{name: name, segmentHeader: h, data: data})
 	}
-	f.epoch = epochOf(segs)
-	var mirror *read
-	segs = slices.DeleteFunc(segs, func(r read) bool {
+	f.epoch = majorityEpoch(files)
+	var mirror *segmentFile
+	files = slices.DeleteFunc(files, func(r segmentFile) bool {
 		switch {
-		case r.bad:
+		case r.invalidHeader:
 			return true
 		case r.epoch != f.epoch:
-			f.fault(r.name, 8, "it is of another store and is passed over")
+			f.addFault(r.name, 8, "file belongs to another store; ignored")
 			return true
 		case r.name == mirrorName:
 			mirror = &r
@@ -79,44 +79,45 @@
 		}
 		return false
 	})
-	slices.SortFunc(segs, func(a, b read) int { return cmp.Compare(a.number, b.number) })
-	f.Segments = len(segs)
-	l := loader{found: f, events: map[string]*loaded{}}
-	for i := range segs {
-		if i+1 < len(segs) {
-			segs[i].endAt(&segs[i+1])
-		}
-		l.segment(&segs[i], i == 0, i == len(segs)-1)
+	slices.SortFunc(files, func(a, b segmentFile) int { return cmp.Compare(a.number, b.number) })
+	f.Segments = len(files)
+	l := loader{recovery: f, events: map[string]*loadedEvent{}}
+	for i := range files {
+		if i+1 < len(files) {
+			files[i].truncateTo(&files[i+1])
+		}
+		l.loadSegment(&files[i], i == 0, i == len(files)-1)
 	}
 	if mirror != nil {
-		l.mirror(mirror)
-	} else if len(segs) > 0 && !f.hasFault(mirrorName) {
-		f.fault(mirrorName, 0, "it is missing")
+		l.loadMirror(mirror)
+	} else if len(files) > 0 && !f.hasFault(mirrorName) {
+		f.addFault(mirrorName, 0, "file is missing")
 	}
 	l.finish()
 	return f, nil
 }
 
-// read is a file of the store as it was read.
-type read struct {
-	head
-	name string
-	text []byte
-	bad  bool
+// segmentFile is a segment, or the mirror, as read from disk.
+type segmentFile struct {
+	segmentHeader
+	name          string
+	data          []byte
+	invalidHeader bool
 }
 
-// endAt cuts off what the next segment says was not written.
-func (r *read) endAt(next *read) {
-	if size := int(next.previousSize); next.number == r.number+1 && size >= headSize && size < len(r.text) {
-		r.text = r.text[:size]
+// truncateTo drops the data after the end that the next segment's header records for this one.
+func (r *segmentFile) truncateTo(next *segmentFile) {
+	if size := int(next.previousSize); next.number == r.number+1 && size >= headerSize && size < len(r.data) {
+		r.data = r.data[:size]
 	}
 }
 
-// epochOf is the epoch that most files are of; of as many, the later's.
-func epochOf(files []read) (epoch uint64) {
+// majorityEpoch returns the epoch of most files. Of epochs with equally many files, the one with the highest segment
+// number wins.
+func majorityEpoch(files []segmentFile) (epoch uint64) {
 	count, last := map[uint64]int{}, map[uint64]uint64{}
 	for _, r := range files {
-		if !r.bad {
+		if !r.invalidHeader {
 			count[r.epoch]++
 			last[r.epoch] = max(last[r.epoch], r.number)
 		}
@@ -130,52 +131,52 @@
 	return epoch
 }
 
-func (f *Recovery) fault(name string, offset int, reason string) {
+func (f *Recovery) addFault(name string, offset int, reason string) {
 	f.Faults = append(f.Faults, fmt.Sprintf("%s: offset %d: %s", name, offset, reason))
 }
 
 func (f *Recovery) hasFault(name string) bool {
-	return slices.ContainsFunc(f.Faults, func(text string) bool { return strings.HasPrefix(text, name+":") })
+	return slices.ContainsFunc(f.Faults, func(fault string) bool { return strings.HasPrefix(fault, name+":") })
 }
 
-// loaded is an event with the sequence number of its state.
-type loaded struct {
+// loadedEvent is an event with the sequence number of its state record.
+type loadedEvent struct {
 	event *Event
 	seq   uint64
 }
 
-// loader puts records together.
+// loader builds a Recovery from records.
 type loader struct {
-	found  *Recovery
-	events map[string]*loaded
-	gap    uint64 // what stands before this may have gone on
+	recovery      *Recovery
+	events        map[string]*loadedEvent
+	doubtedBefore uint64 // sequence number; events whose state precedes it may have progressed further
 }
 
-// segment reads one segment's records.
-func (l *loader) segment(r *read, first, last bool) {
-	f := l.found
-	f.number = max(f.number, r.number)
-	if !first && r.first != f.seq+1 {
-		f.fault(r.name, 24, fmt.Sprintf("records %d to %d are missing before it", f.seq+1, r.first-1))
-		l.lost(r.first)
+// loadSegment applies the records of one segment.
+func (l *loader) loadSegment(r *segmentFile, first, last bool) {
+	f := l.recovery
+	f.lastSegment = max(f.lastSegment, r.number)
+	if !first && r.firstSeq != f.seq+1 {
+		f.addFault(r.name, 24, fmt.Sprintf("records %d to %d are missing before this segment", f.seq+1, r.firstSeq-1))
+		l.markLost(r.firstSeq)
 	}
-	f.seq = max(f.seq, r.first-1)
-	for at := headSize; at < len(r.text); {
-		payload, seq, size, torn, err := next(r.text[at:])
+	f.seq = max(f.seq, r.firstSeq-1)
+	for at := headerSize; at < len(r.data); {
+		payload, seq, size, torn, err := decodeFrame(r.data[at:])
 		if torn {
-			rest := r.text[at:]
+			rest := r.data[at:]
 			switch {
-			case hasRecordBehind(rest, f.seq):
-				f.fault(r.name, at, "a record whose length is wrong")
-				l.lost(f.seq + 1)
-			case last: // half a record that a kill left: nobody was told that it is written
+			case hasIntactRecord(rest, f.seq):
+				f.addFault(r.name, at, "record has a wrong length")
+				l.markLost(f.seq + 1)
+			case last: // incomplete record left by a kill; it was never acknowledged
 				f.TornBytes = len(rest)
 			}
 			return
 		}
 		if err != nil {
-			f.fault(r.name, at, err.Error())
-			l.lost(f.seq + 1)
+			f.addFault(r.name, at, err.Error())
+			l.markLost(f.seq + 1)
 			if size == 0 {
 				return
 			}
@@ -184,13 +185,13 @@
 			continue
 		}
 		if seq != f.seq+1 {
-			f.fault(r.name, at, fmt.Sprintf("record %d where %d is due", seq, f.seq+1))
-			l.lost(seq)
+			f.addFault(r.name, at, fmt.Sprintf("found record %d, expected record %d", seq, f.seq+1))
+			l.markLost(seq)
 		}
 		f.seq = max(f.seq, seq)
 		if !l.apply(payload, seq) {
-			f.fault(r.name, at, "a record that makes no sense")
-			l.lost(seq)
+			f.addFault(r.name, at, "record cannot be decoded")
+			l.markLost(seq)
 		} else {
 			f.Records++
 		}
@@ -198,98 +199,98 @@
 	}
 }
 
-// hasRecordBehind tells whether bytes that end within a record, going by its length, hold records that were whole:
-// its own, under another length, or later ones. Then the length is damaged.
-func hasRecordBehind(rest []byte, seq uint64) bool {
+// hasIntactRecord reports whether rest, which according to its length field ends within a record, contains a complete
+// record: that record itself with a different length, or a later one. If so, the length field is damaged.
+func hasIntactRecord(rest []byte, seq uint64) bool {
 	for at := range rest {
-		if len(rest)-at <= frameSize {
+		if len(rest)-at <= frameHeaderSize {
 			return false
 		}
 		number := le.Uint64(rest[at+8:])
 		if number <= seq || number-seq > uint64(len(rest)) {
 			continue
 		}
-		if payload := rest[at+frameSize:]; checksum(rest[at:], payload) == le.Uint32(rest[at+4:]) {
+		if payload := rest[at+frameHeaderSize:]; checksum(rest[at:], payload) == le.Uint32(rest[at+4:]) {
 			return true
 		}
-		if payload, _, _, torn, err := next(rest[at:]); err == nil && !torn && len(payload) > 0 {
+		if payload, _, _, torn, err := decodeFrame(rest[at:]); err == nil && !torn && len(payload) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-func (l *loader) lost(before uint64) {
-	l.found.RecordsLost = true
-	l.gap = max(l.gap, before)
+func (l *loader) markLost(before uint64) {
+	l.recovery.RecordsLost = true
+	l.doubtedBefore = max(l.doubtedBefore, before)
 }
 
-// apply takes one record in; false for one that makes no sense.
+// apply applies one record. It returns false if the record cannot be decoded.
 func (l *loader) apply(payload []byte, seq uint64) bool {
-	f := Decoder{rest: payload}
-	k := kind(f.byte())
+	d := Decoder{rest: payload}
+	k := kind(d.readByte())
 	if k == recState {
-		e := readState(&f)
-		if e == nil || len(f.rest) > 0 {
+		e := decodeState(&d)
+		if e == nil || len(d.rest) > 0 {
 			return false
 		}
-		l.events[e.ID] = &loaded{e, seq}
-		delete(l.found.Completed, e.ID)
+		l.events[e.ID] = &loadedEvent{e, seq}
+		delete(l.recovery.Completed, e.ID)
 		return true
 	}
-	name := f.text()
-	o := l.events[name]
+	name := d.readText()
+	entry := l.events[name]
 	switch k {
-	case recBegan:
-		number, s := int(f.byte()), Attempt{StartedAt: f.number(), Zone: f.text()}
-		if f.bad {
+	case recAttemptStarted:
+		number, s := int(d.readByte()), Attempt{StartedAt: d.readVarint(), Zone: d.readText()}
+		if d.invalid {
 			return false
 		}
-		if o != nil {
-			o.event.BeginAttempt(number, s)
+		if entry != nil {
+			entry.event.BeginAttempt(number, s)
 		}
-	case recEnded:
-		number, how := int(f.byte()), outcome(f.byte())
-		if f.bad {
+	case recAttemptEnded:
+		number, result := int(d.readByte()), outcome(d.readByte())
+		if d.invalid {
 			return false
 		}
-		if o != nil && number < len(o.event.Attempts) {
-			o.event.Attempts[number].Ended, o.event.Attempts[number].Outcome = true, how
+		if entry != nil && number < len(entry.event.Attempts) {
+			entry.event.Attempts[number].Ended, entry.event.Attempts[number].Outcome = true, result
 		}
-	case recDecide:
-		v, comeBack := Verdict(f.byte()), f.number()
-		if f.bad || v > Discarded {
+	case recVerdict:
+		verdict, retryAfter := Verdict(d.readByte()), d.readVarint()
+		if d.invalid || verdict > Discarded {
 			return false
 		}
-		if o != nil {
-			o.event.Verdict, o.event.RetryAfter = v, comeBack
+		if entry != nil {
+			entry.event.Verdict, entry.event.RetryAfter = verdict, retryAfter
 		}
-	case recOver:
-		until := f.number()
-		if f.bad {
+	case recCompleted:
+		until := d.readVarint()
+		if d.invalid {
 			return false
 		}
 		delete(l.events, name)
 		if until > 0 {
-			l.found.Completed[name] = max(l.found.Completed[name], until)
+			l.recovery.Completed[name] = max(l.recovery.Completed[name], until)
 		}
-	case recWait, recOutage:
-		value := f.number()
-		if f.bad {
+	case recBackoff, recOutage:
+		value := d.readVarint()
+		if d.invalid {
 			return false
 		}
-		l.mark(k, name, value)
+		l.applyMark(k, name, value)
 	default:
 		return false
 	}
-	return !f.bad && len(f.rest) == 0
+	return !d.invalid && len(d.rest) == 0
 }
 
-// mark takes in a wait, which is never made shorter, or an outage.
-func (l *loader) mark(k kind, name string, value int64) {
-	f := l.found
+// applyMark applies a backoff, which is never shortened, or an outage.
+func (l *loader) applyMark(k kind, name string, value int64) {
+	f := l.recovery
 	switch {
-	case k == recWait:
+	case k == recBackoff:
 		f.Backoffs[name] = max(f.Backoffs[name], value)
 	case value == 0:
 		delete(f.Outages, name)
@@ -298,36 +299,36 @@
 	}
 }
 
-// mirror takes in the second copy of waits and outages: it makes up for what the log lost, and has no say
-// where the log is whole.
-func (l *loader) mirror(r *read) {
-	f := l.found
+// loadMirror applies the second copy of backoffs and outages. Its backoffs are always merged, since that never shortens
+// one. Its outages are used only if the log lost records.
+func (l *loader) loadMirror(r *segmentFile) {
+	f := l.recovery
 	outages := map[string]int64{}
-	at := headSize
-	for at < len(r.text) {
-		payload, _, size, torn, err := next(r.text[at:])
+	at := headerSize
+	for at < len(r.data) {
+		payload, _, size, torn, err := decodeFrame(r.data[at:])
 		if torn || (err != nil && size == 0) {
 			break
 		}
 		if err != nil {
-			f.fault(r.name, at, err.Error())
+			f.addFault(r.name, at, err.Error())
 			at += size
 			continue
 		}
 		d := Decoder{rest: payload}
-		k, name, value := kind(d.byte()), d.text(), d.number()
-		if d.bad || (k != recWait && k != recOutage) {
-			f.fault(r.name, at, "a record that makes no sense")
-		} else if k == recWait {
-			l.mark(k, name, value)
+		k, name, value := kind(d.readByte()), d.readText(), d.readVarint()
+		if d.invalid || (k != recBackoff && k != recOutage) {
+			f.addFault(r.name, at, "record cannot be decoded")
+		} else if k == recBackoff {
+			l.applyMark(k, name, value)
 		} else {
 			outages[name] = value
 		}
 		at += size
 	}
-	f.mirror = at
-	if at < len(r.text) {
-		f.fault(r.name, at, "it is cut off from here on")
+	f.mirrorSize = at
+	if at < len(r.data) {
+		f.addFault(r.name, at, "file is truncated from this offset on")
 	}
 	for name, since := range outages {
 		if _, known := f.Outages[name]; f.RecordsLost && since != 0 && !known {
@@ -336,114 +337,115 @@
 	}
 }
 
-// finish puts the events in order, and doubts those before a gap.
+// finish sorts the events by arrival and treats undecided ones from before a gap as possibly executed.
 func (l *loader) finish() {
-	for _, o := range l.events {
-		if e := o.event; o.seq < l.gap && e.Verdict == Undecided && !e.MayHaveRun() &&
-			len(e.Attempts) < mostSends {
-			e.Attempts = append(e.Attempts, Attempt{StartedAt: longAgo})
+	for _, entry := range l.events {
+		if e := entry.event; entry.seq < l.doubtedBefore && e.Verdict == Undecided && !e.MayHaveRun() &&
+			len(e.Attempts) < maxRecordedAttempts {
+			e.Attempts = append(e.Attempts, Attempt{StartedAt: unknownStart})
 		}
-		l.found.Events = append(l.found.Events, o.event)
+		l.recovery.Events = append(l.recovery.Events, entry.event)
 	}
-	slices.SortFunc(l.found.Events, func(a, b *Event) int { return cmp.Compare(a.ArrivalSeq, b.ArrivalSeq) })
+	slices.SortFunc(l.recovery.Events, func(a, b *Event) int { return cmp.Compare(a.ArrivalSeq, b.ArrivalSeq) })
 }
 
-// Open opens a folder's store, or begins one, and returns what it holds. most is how many bytes its files may
-// take, 0 for 256 MiB; sends how many an event may have; clock tells the time of day in ns. Only one process
-// may have it open. Calls that fail for a moment are tried again.
-func Open(folder FS, most int64, sends int, sync SyncPolicy, clock func() int64) (*Store, *Recovery, error) {
-	var release func()
-	err := again(func() (err error) {
-		release, err = folder.Lock()
+// Open opens the store in a folder, or creates one, and returns the recovered state. The files of the store take
+// maxBytes at most, or 256 MiB if maxBytes is 0. maxAttempts is the most attempts that an event can have, and clock
+// returns the time of day in ns. Only one process can have the store open. File operations that fail with a transient
+// error are retried.
+func Open(fsys FS, maxBytes int64, maxAttempts int, sync SyncPolicy, clock func() int64) (*Store, *Recovery, error) {
+	var unlock func()
+	err := retryAtStart(func() (err error) {
+		unlock, err = fsys.Lock()
 		return err
 	})
 	if err != nil {
 		return nil, nil, err
 	}
-	var found *Recovery
-	err = again(func() (err error) {
-		found, err = Recover(folder)
+	var recovery *Recovery
+	err = retryAtStart(func() (err error) {
+		recovery, err = Recover(fsys)
 		return err
 	})
 	if err != nil {
-		release()
+		unlock()
 		return nil, nil, err
 	}
-	s := newStore(folder, most, sends, sync, clock, found)
-	s.release = release
-	if err := s.begin(found); err != nil {
+	s := newStore(fsys, maxBytes, maxAttempts, sync, clock, recovery)
+	s.unlock = unlock
+	if err := s.rewriteRecovered(recovery); err != nil {
 		if s.file != nil {
 			s.file.Close()
 		}
-		release()
+		unlock()
 		return nil, nil, err
 	}
 	go s.runWriter()
-	return s, found, nil
+	return s, recovery, nil
 }
 
-func newStore(folder FS, most int64, sends int, sync SyncPolicy, clock func() int64, found *Recovery) *Store {
-	if most <= 0 {
-		most = noLimit
+func newStore(fsys FS, maxBytes int64, maxAttempts int, sync SyncPolicy, clock func() int64, recovery *Recovery) *Store {
+	if maxBytes <= 0 {
+		maxBytes = defaultMaxBytes
 	}
-	most -= slackSize
-	s := &Store{folder: folder, most: most, sync: sync, sends: sends, clock: clock,
-		segSize: min(max(most/segments, leastSeg), mostSeg),
-		from:    most / compactFrom, epoch: found.epoch, seq: found.seq, closing: make(chan struct{}),
+	maxBytes -= overheadSize
+	s := &Store{fs: fsys, maxBytes: maxBytes, sync: sync, maxAttempts: maxAttempts, clock: clock,
+		segmentSize:         min(max(maxBytes/segmentsPerStore, minSegmentSize), maxSegmentSize),
+		compactionThreshold: maxBytes / compactionDivisor, epoch: recovery.epoch, seq: recovery.seq, closing: make(chan struct{}),
 		writerDone: make(chan struct{}),
-		events:     map[string]*item{}, past: map[string]*item{}, waits: map[string]*item{},
-		outages: map[string]*item{}}
-	s.work.L = &s.mu
+		events:     map[string]*indexItem{}, completed: map[string]*indexItem{}, backoffs: map[string]*indexItem{},
+		outages: map[string]*indexItem{}}
+	s.workAvailable.L = &s.mu
 	if s.epoch == 0 {
 		s.epoch = newEpoch()
 	}
 	return s
 }
 
-// begin writes all that is kept anew into new segments, and removes the old ones. A crash on the way leaves
+// rewriteRecovered writes the recovered state to new segments and then removes the old ones. A crash in between leaves
 // both.
 //
-// All is written anew since what is appended behind a torn record would be lost with it, and a doubt that is not
-// written down would be forgotten by the next start.
-func (s *Store) begin(found *Recovery) error {
+// Everything is rewritten, because records appended after an incomplete one would be lost with it, and the next start
+// would otherwise not know which events may have been executed according to this recovery.
+func (s *Store) rewriteRecovered(recovery *Recovery) error {
 	var names []string
-	err := again(func() (err error) {
-		names, err = s.folder.List()
+	err := retryAtStart(func() (err error) {
+		names, err = s.fs.List()
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	s.segs = []*segment{{number: found.number}} // to count from
-	if err := again(s.roll); err != nil {
+	s.segments = []*segment{{number: recovery.lastSegment}} // numbering continues from here
+	if err := retryAtStart(s.rollSegment); err != nil {
 		return err
 	}
-	s.segs = s.segs[1:]
-	if err := s.rewriteEvents(found.Events); err != nil {
+	s.segments = s.segments[1:]
+	if err := s.rewriteEvents(recovery.Events); err != nil {
 		return err
 	}
-	s.queueMarks(found)
-	if err := s.flushQueue(); err != nil {
+	s.queueMarks(recovery)
+	if err := s.flushInitialQueue(); err != nil {
 		return err
 	}
-	if err := again(s.rewriteMirror); err != nil {
+	if err := retryAtStart(s.rewriteMirror); err != nil {
 		return err
 	}
-	s.removeFormer(names, found)
+	s.removeRecoveredSegments(names, recovery)
 	return nil
 }
 
 func (s *Store) rewriteEvents(events []*Event) error {
 	for _, e := range events {
-		s.came = max(s.came, e.ArrivalSeq)
-		kept := *e
-		kept.Body = nil
-		kept.Attempts = slices.Clone(e.Attempts)
-		it := &item{event: &kept, kind: recState, need: int32(s.need(e))}
-		s.keep(it)
-		s.put(it, recState, len(e.Body), e.state)
-		if s.pending > s.segSize {
-			if err := s.flushQueue(); err != nil {
+		s.lastArrival = max(s.lastArrival, e.ArrivalSeq)
+		indexed := *e
+		indexed.Body = nil
+		indexed.Attempts = slices.Clone(e.Attempts)
+		item := &indexItem{event: &indexed, kind: recState, reservedBytes: int32(s.reservationFor(e))}
+		s.insert(item)
+		s.enqueueOnce(item, recState, len(e.Body), e.appendState)
+		if s.queuedBytes > s.segmentSize {
+			if err := s.flushInitialQueue(); err != nil {
 				return err
 			}
 		}
@@ -451,65 +453,65 @@
 	return nil
 }
 
-// queueMarks queues the waits, the outages and the ids that are over, as far as they are still in force.
-func (s *Store) queueMarks(found *Recovery) {
+// queueMarks queues the outages, and the backoffs and IDs of completed events that have not expired.
+func (s *Store) queueMarks(recovery *Recovery) {
 	now := s.clock()
 	for _, table := range []struct {
 		kind kind
 		of   map[string]int64
-	}{{recOver, found.Completed}, {recWait, found.Backoffs}, {recOutage, found.Outages}} {
+	}{{recCompleted, recovery.Completed}, {recBackoff, recovery.Backoffs}, {recOutage, recovery.Outages}} {
 		for name, value := range table.of {
 			if table.kind != recOutage && value <= now {
 				continue
 			}
-			it := &item{
-				name:  name,
-				until: value,
-				kind:  table.kind,
-				need:  int32(2 * (frameSize + 24 + len(name))),
+			item := &indexItem{
+				name:          name,
+				value:         value,
+				kind:          table.kind,
+				reservedBytes: int32(2 * (frameHeaderSize + 24 + len(name))),
 			}
-			s.keep(it)
-			s.put(it, table.kind, 0, func(to []byte) []byte { return append(putText(to, name), varint(value)...) })
+			s.insert(item)
+			s.enqueueOnce(item, table.kind, 0, func(to []byte) []byte { return append(appendText(to, name), encodeVarint(value)...) })
 		}
 	}
 }
 
-// flushQueue writes what is queued, before there is a writer.
-func (s *Store) flushQueue() error {
-	batch := s.entries
-	s.entries = nil
-	return again(func() error {
+// flushInitialQueue writes the queued records, before the writer goroutine is started.
+func (s *Store) flushInitialQueue() error {
+	batch := s.writeQueue
+	s.writeQueue = nil
+	return retryAtStart(func() error {
 		written, err := s.appendBatch(batch)
 		batch = batch[written:]
 		return err
 	})
 }
 
-// removeFormer removes the segments of former processes, oldest first. Where one cannot be removed, it and those
-// behind it are left to Compact.
-func (s *Store) removeFormer(names []string, found *Recovery) {
+// removeRecoveredSegments removes the segments of earlier processes, oldest first. If one cannot be removed, it and the
+// later ones are left to Compact.
+func (s *Store) removeRecoveredSegments(names []string, recovery *Recovery) {
 	own := map[string]bool{}
-	for _, g := range s.segs {
-		own[g.name()] = true
+	for _, seg := range s.segments {
+		own[seg.fileName()] = true
 	}
-	var former []*segment
+	var remaining []*segment
 	slices.Sort(names)
 	for _, name := range names {
-		foreign := found.hasFault(name) && found.foreign(name)
+		foreign := recovery.hasFault(name) && recovery.isForeign(name)
 		if !strings.HasPrefix(name, "seg-") || own[name] || foreign {
 			continue
 		}
-		if len(former) == 0 && s.folder.Remove(name) == nil {
+		if len(remaining) == 0 && s.fs.Remove(name) == nil {
 			continue
 		}
-		former = append(former, &segment{former: name, stale: true, size: found.sizes[name]})
+		remaining = append(remaining, &segment{recoveredName: name, stale: true, size: recovery.fileSizes[name]})
 	}
-	s.segs = append(former, s.segs...)
+	s.segments = append(remaining, s.segments...)
 }
 
-// foreign tells whether a file was passed over as another store's: it is left where it is.
-func (f *Recovery) foreign(name string) bool {
-	return slices.ContainsFunc(f.Faults, func(text string) bool {
-		return strings.HasPrefix(text, name+":") && strings.Contains(text, "another store")
+// isForeign reports whether a file was ignored because it belongs to another store. Such files are not removed.
+func (f *Recovery) isForeign(name string) bool {
+	return slices.ContainsFunc(f.Faults, func(fault string) bool {
+		return strings.HasPrefix(fault, name+":") && strings.Contains(fault, "another store")
 	})
 }
--- a/store/writer.go
+++ b/store/writer.go
@@ -9,55 +9,57 @@
 )
 
 const (
-	writeAgain    = 10 * time.Millisecond  // between tries to write what is kept
-	settleAgain   = 5 * time.Millisecond   // between tries to take a failed write back
-	settleWithin  = 250 * time.Millisecond // a refusal is held so long for it: clients wait 400 ms for their answer
-	closeWithin   = 300 * time.Millisecond // for the last records at the end of the process
-	startWithin   = 10 * time.Second       // for calls that fail at the start
-	startAgain    = 20 * time.Millisecond
-	batchCapacity = 64 // entries, to begin with
+	writeRetryInterval = 10 * time.Millisecond  // between attempts to write records that must be retried
+	undoRetryInterval  = 5 * time.Millisecond   // between attempts to undo a failed write
+	undoTimeout        = 250 * time.Millisecond // how long undoing may delay an error; clients wait 400 ms for their response
+	closeTimeout       = 300 * time.Millisecond // for writing the last records on Close
+	startRetryTimeout  = 10 * time.Second       // for file operations that fail during Open
+	startRetryInterval = 20 * time.Millisecond
+	batchCapacity      = 64 // initial buffer capacity, in records
 )
 
-// ErrDeferred tells that a record could not be written yet. The store keeps it and tries again.
-var ErrDeferred = errors.New("store: the record is written later")
+// ErrDeferred means that a record could not be written yet. The store retries it until it is written.
+var ErrDeferred = errors.New("store: record not written yet, will be retried")
 
-// entry is a record on its way to the log.
-type entry struct {
-	payload []byte
-	item    *item // whose state it is, nil for a record that is no state
-	body    int   // bytes of the body at its end
-	tried   chan error
-	written chan struct{} // nil for a record that is refused when its first write fails
+// queuedRecord is a record that is to be written to the log.
+type queuedRecord struct {
+	payload  []byte
+	item     *indexItem // whose state the record holds; nil for other records
+	body     int        // bytes of the event body at the end of the payload
+	firstTry chan error
+	written  chan struct{} // nil for a record that is dropped if its first write fails
 }
 
-func (e *entry) size() int64 { return int64(frameSize + len(e.payload)) }
+func (e *queuedRecord) size() int64 { return int64(frameHeaderSize + len(e.payload)) }
 
-// keeps tells whether the record stays queued until it is written.
-func (e *entry) keeps() bool { return e.written != nil }
+// retriesUntilWritten reports whether the record stays queued until it is written.
+func (e *queuedRecord) retriesUntilWritten() bool { return e.written != nil }
 
-// PendingWrite follows a record that the store keeps until it is written.
+// PendingWrite tracks a record that the store retries until it is written.
 type PendingWrite struct {
-	tried   chan error
-	written chan struct{}
-	err     error
+	firstTry chan error
+	written  chan struct{}
+	err      error
 }
 
-// Written is closed once the record stands in the log, or no record is needed. It never is in a store that is closed.
+// Written returns a channel that is closed once the record is in the log, or if no record is needed. It is never closed
+// if the store is closed first.
 func (r *PendingWrite) Written() <-chan struct{} { return r.written }
 
-// Wait waits for the first try to write the record. The error wraps ErrDeferred where it is tried again later.
+// Wait waits for the first attempt to write the record. The error wraps ErrDeferred if the store will retry.
 func (r *PendingWrite) Wait() error {
-	if r.tried == nil {
+	if r.firstTry == nil {
 		return r.err
 	}
-	if err := <-r.tried; err != nil {
+	if err := <-r.firstTry; err != nil {
 		return fmt.Errorf("%w: %w", ErrDeferred, err)
 	}
 	return nil
 }
 
-// noRecord is the receipt of a call that leads to no record. With ErrOver none is needed.
-func noRecord(err error) *PendingWrite {
+// noPendingWrite returns the PendingWrite of a call that writes no record. With ErrNotPending, none is needed, so it
+// counts as written.
+func noPendingWrite(err error) *PendingWrite {
 	r := &PendingWrite{err: err, written: make(chan struct{})}
 	if errors.Is(err, ErrNotPending) {
 		close(r.written)
@@ -65,121 +67,122 @@
 	return r
 }
 
-// queue hands an entry to the writer; the lock is held.
-func (s *Store) queue(e *entry) {
-	s.pending += e.size()
-	s.entries = append(s.entries, e)
-	s.work.Signal()
+// enqueue hands a record to the writer goroutine. The caller holds mu.
+func (s *Store) enqueue(e *queuedRecord) {
+	s.queuedBytes += e.size()
+	s.writeQueue = append(s.writeQueue, e)
+	s.workAvailable.Signal()
 }
 
-// put queues a record that is refused when its first write fails; the lock is held.
-func (s *Store) put(it *item, k kind, body int, fill func([]byte) []byte) *entry {
-	e := &entry{payload: fill([]byte{byte(k)}), item: it, body: body, tried: make(chan error, 1)}
-	s.queue(e)
+// enqueueOnce queues a record that is dropped if its first write fails. The caller holds mu.
+func (s *Store) enqueueOnce(item *indexItem, k kind, body int, fill func([]byte) []byte) *queuedRecord {
+	e := &queuedRecord{payload: fill([]byte{byte(k)}), item: item, body: body, firstTry: make(chan error, 1)}
+	s.enqueue(e)
 	return e
 }
 
-// putKept queues a record that is tried until it is written; the lock is held.
-func (s *Store) putKept(it *item, k kind, fill func([]byte) []byte) *PendingWrite {
-	e := &entry{payload: fill([]byte{byte(k)}), item: it, tried: make(chan error, 1), written: make(chan struct{})}
-	s.kept++
-	s.queue(e)
-	return &PendingWrite{tried: e.tried, written: e.written}
+// enqueueUntilWritten queues a record that is retried until it is written. The caller holds mu.
+func (s *Store) enqueueUntilWritten(item *indexItem, k kind, fill func([]byte) []byte) *PendingWrite {
+	e := &queuedRecord{payload: fill([]byte{byte(k)}), item: item, firstTry: make(chan error, 1), written: make(chan struct{})}
+	s.unwritten++
+	s.enqueue(e)
+	return &PendingWrite{firstTry: e.firstTry, written: e.written}
 }
 
-// runWriter is the only goroutine that writes to the log. It takes what is queued in order, many records to a write.
-// What it may not refuse it keeps at the head of the queue until it is written.
+// runWriter is the only goroutine that writes to the log. It writes queued records in order, in batches. Records that
+// must be retried stay at the front of the queue until they are written.
 func (s *Store) runWriter() {
 	defer close(s.writerDone)
-	var shutSince time.Time
+	var closedSince time.Time
 	for {
-		batch, shut := s.nextBatch()
+		batch, closed := s.nextBatch()
 		if batch == nil {
 			return
 		}
-		kept, err := s.writeBatch(batch)
+		mustRetry, err := s.writeBatch(batch)
 		if err == nil {
 			continue
 		}
-		if shut && shutSince.IsZero() {
-			shutSince = time.Now()
+		if closed && closedSince.IsZero() {
+			closedSince = time.Now()
 		}
-		if shut && (errclass.File(err) != errclass.Transient || time.Since(shutSince) > closeWithin) {
+		if closed && (errclass.File(err) != errclass.Transient || time.Since(closedSince) > closeTimeout) {
 			s.mu.Lock()
-			s.closeError = err
+			s.closeErr = err
 			s.mu.Unlock()
 			return
 		}
-		if kept {
-			s.restBeforeNextTry(shut)
+		if mustRetry {
+			s.waitBeforeRetry(closed)
 		}
 	}
 }
 
-// restBeforeNextTry waits for a moment, which the closing of the store cuts short once.
-func (s *Store) restBeforeNextTry(shut bool) {
-	if shut {
-		time.Sleep(writeAgain)
+// waitBeforeRetry waits for the retry interval. Close cuts one such wait short.
+func (s *Store) waitBeforeRetry(closed bool) {
+	if closed {
+		time.Sleep(writeRetryInterval)
 		return
 	}
 	select {
 	case <-s.closing:
-	case <-time.After(writeAgain):
+	case <-time.After(writeRetryInterval):
 	}
 }
 
-// nextBatch waits for records and takes all that are queued; nil once the store is closed and all is written.
-func (s *Store) nextBatch() (batch []*entry, shut bool) {
+// nextBatch waits for records and takes all that are queued. It returns nil once the store is closed and the queue is
+// empty.
+func (s *Store) nextBatch() (batch []*queuedRecord, closed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for len(s.entries) == 0 && !s.shut {
-		s.work.Wait()
+	for len(s.writeQueue) == 0 && !s.closed {
+		s.workAvailable.Wait()
 	}
-	batch, s.entries = s.entries, nil
-	return batch, s.shut
+	batch, s.writeQueue = s.writeQueue, nil
+	return batch, s.closed
 }
 
-// writeBatch writes records in order. Those that it could not write go back to the head of the queue if they are
-// kept, and are refused if not. It tells whether there are any of the former.
-func (s *Store) writeBatch(batch []*entry) (keeps bool, err error) {
+// writeBatch writes records in order. Those that could not be written go back to the front of the queue if they must be
+// retried, and are dropped otherwise. It reports whether any must be retried.
+func (s *Store) writeBatch(batch []*queuedRecord) (mustRetry bool, err error) {
 	written, err := s.appendBatch(batch)
 	if err == nil {
 		return false, nil
 	}
 	rest := batch[written:]
-	var kept []*entry
+	var retried []*queuedRecord
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, e := range rest {
 		select {
-		case e.tried <- err:
-		default: // it was tried before
+		case e.firstTry <- err:
+		default: // the result of the first attempt was already reported
 		}
-		if e.keeps() {
-			kept = append(kept, e)
+		if e.retriesUntilWritten() {
+			retried = append(retried, e)
 		} else {
-			s.pending -= e.size()
+			s.queuedBytes -= e.size()
 		}
 	}
-	s.entries = append(kept, s.entries...)
-	return len(kept) > 0, err
+	s.writeQueue = append(retried, s.writeQueue...)
+	return len(retried) > 0, err
 }
 
-// appendBatch appends records to the last segment. It tells how many of them stand there, which are all if there is
-// no error. What was written of the others is taken back.
-func (s *Store) appendBatch(batch []*entry) (written int, err error) {
+// appendBatch appends records to the active segment. It returns how many of them are in the log, which is all of them
+// if there is no error. Whatever was written of the others is undone.
+func (s *Store) appendBatch(batch []*queuedRecord) (written int, err error) {
 	if err := s.prepareSegment(); err != nil {
 		return 0, err
 	}
-	text := make([]byte, 0, batchCapacity*frameSize)
+	data := make([]byte, 0, batchCapacity*frameHeaderSize)
 	ends := make([]int, len(batch))
 	for i, e := range batch {
-		text = frame(text, s.seq+uint64(i)+1, e.payload)
-		ends[i] = len(text)
+		data = appendFrame(data, s.seq+uint64(i)+1, e.payload)
+		ends[i] = len(data)
 	}
-	size, err := s.file.Write(text)
+	size, err := s.file.Write(data)
 	if err == nil && s.sync == SyncAlways {
-		if err = s.file.Sync(); err != nil { // what the system has of it is unknown, now and after a later sync
+		if err = s.file.Sync(); err != nil { // which data reached the disk is unknown, even after a later sync succeeds
 			size, s.sealed = 0, true
 		}
 	}
@@ -188,88 +191,90 @@
 	}
 	s.commit(batch[:written])
 	if err != nil {
-		s.settle()
+		s.undoFailedWrite()
 	}
 	return written, err
 }
 
-// commit notes that records stand in the last segment.
-func (s *Store) commit(batch []*entry) {
+// commit notes that records were written to the active segment.
+func (s *Store) commit(batch []*queuedRecord) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	segment := s.segs[len(s.segs)-1]
+	seg := s.segments[len(s.segments)-1]
 	for _, e := range batch {
 		s.seq++
-		segment.size += e.size()
-		s.pending -= e.size()
-		if e.item != nil && s.isKept(e.item) {
+		seg.size += e.size()
+		s.queuedBytes -= e.size()
+		if e.item != nil && s.isCurrent(e.item) {
 			s.unlink(e.item)
-			s.link(e.item, segment, segment.size-int64(e.body), int32(e.body))
+			s.link(e.item, seg, seg.size-int64(e.body), int32(e.body))
 		}
 		select {
-		case e.tried <- nil:
+		case e.firstTry <- nil:
 		default:
 		}
-		if e.keeps() {
-			s.kept--
+		if e.retriesUntilWritten() {
+			s.unwritten--
 			close(e.written)
 		}
 	}
 }
 
-// settle takes back what a failed write left behind the last whole record: the file is cut there, or a new segment
-// says that nothing behind it counts. A refusal must not be told before, for a restart would find what was refused.
-func (s *Store) settle() {
-	for began := time.Now(); ; time.Sleep(settleAgain) {
-		segment := s.last()
-		err := s.file.Truncate(segment.size)
+// undoFailedWrite discards what a failed write left after the last complete record: it truncates the file there, or
+// starts a new segment whose header says where this one ends. The write's error must not be reported before that, or a
+// restart would recover an event that was refused.
+func (s *Store) undoFailedWrite() {
+	for began := time.Now(); ; time.Sleep(undoRetryInterval) {
+		seg := s.activeSegment()
+		err := s.file.Truncate(seg.size)
 		if err == nil {
 			return
 		}
 		s.sealed = true
-		if s.roll() == nil {
+		if s.rollSegment() == nil {
 			return
 		}
-		if errclass.File(err) != errclass.Transient || time.Since(began) > settleWithin {
+		if errclass.File(err) != errclass.Transient || time.Since(began) > undoTimeout {
 			return
 		}
 	}
 }
 
-// prepareSegment makes sure that the last segment takes records.
+// prepareSegment starts a new segment if the active one is full or sealed.
 func (s *Store) prepareSegment() error {
-	if last := s.last(); !s.sealed && last.size < s.segSize {
+	if last := s.activeSegment(); !s.sealed && last.size < s.segmentSize {
 		return nil
 	}
-	return s.roll()
+	return s.rollSegment()
 }
 
-// last is the segment that is written to.
-func (s *Store) last() *segment {
+// activeSegment returns the segment that records are appended to.
+func (s *Store) activeSegment() *segment {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.segs[len(s.segs)-1]
+	return s.segments[len(s.segments)-1]
 }
 
-// roll begins a new segment. Its head says where the one before ends, whatever a failed write left behind that. Once
-// it was tried, nothing more is appended to the one before: the new head may stand on the disk although it failed.
-func (s *Store) roll() error {
+// rollSegment starts a new segment. Its header records where the previous one ends, regardless of what a failed write
+// left after that. Once rollSegment was attempted, nothing more is appended to the previous segment: the new header may
+// be on disk even though writing it failed.
+func (s *Store) rollSegment() error {
 	s.sealed = true
-	last := s.last()
-	next := &segment{number: last.number + 1, size: headSize}
-	file, err := s.folder.Create(next.name())
+	last := s.activeSegment()
+	next := &segment{number: last.number + 1, size: headerSize}
+	file, err := s.fs.Create(next.fileName())
 	if err != nil {
 		return err
 	}
-	text := head{epoch: s.epoch, number: next.number, first: s.seq + 1, previousSize: uint32(last.size)}.bytes()
-	if _, err = file.Write(text); err == nil && s.sync == SyncAlways {
+	data := segmentHeader{epoch: s.epoch, number: next.number, firstSeq: s.seq + 1, previousSize: uint32(last.size)}.encode()
+	if _, err = file.Write(data); err == nil && s.sync == SyncAlways {
 		if err = file.Sync(); err == nil {
-			err = s.folder.Sync()
+			err = s.fs.Sync()
 		}
 	}
 	if err != nil {
 		file.Close()
-		s.folder.Remove(next.name()) // a file that stays is begun anew by the next try
+		s.fs.Remove(next.fileName()) // if this fails, the next attempt truncates the file
 		return err
 	}
 	if s.file != nil {
@@ -277,11 +282,11 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.file, s.sealed, s.segs = file, false, append(s.segs, next)
+	s.file, s.sealed, s.segments = file, false, append(s.segments, next)
 	return nil
 }
 
-// again repeats a call of the start for as long as it fails for a moment.
-func again(call func() error) error {
-	return errclass.Retry(errclass.File, startWithin, startAgain, call)
+// retryAtStart retries a step of Open while it fails with a transient error, for up to startRetryTimeout.
+func retryAtStart(call func() error) error {
+	return errclass.Retry(errclass.File, startRetryTimeout, startRetryInterval, call)
 }
