--- a/node/iofaults_test.go
+++ b/node/iofaults_test.go
@@ -103,7 +103,7 @@
 		}
 		env.waitFor("the platform has a notice", func() bool { return len(env.receivedNotices()) > 0 })
 		heard := time.Since(sent)
-		if e := recoverAfterKill(t, env.folder)["x"]; recovers && e != nil && e.Verdict == store.Undecided {
+		if e := recoverAfterKill(t, env.folder)["x"]; recovers && e != nil && e.Resolution == store.Unresolved {
 			t.Error("notice sent before its record was on disk")
 		}
 		if recovers && heard > left {
--- a/node/journal.go
+++ b/node/journal.go
@@ -70,12 +70,12 @@
 		if !ok { // even an event of a stream type that is no longer configured must be brought to an end
 			logs.Event("journal", stored.ID).WithField("kind", stored.Kind).
 				Error("discarding pending event of an unknown stream type")
-			stored.Verdict = store.Discarded
+			stored.Resolution = store.Discarded
 		}
 		events = append(
 			events,
 			&event{id: stored.ID, arrivalSeq: stored.ArrivalSeq, idempotencyKey: stored.IdempotencyKey, typ: typ, customer: customer, dest: stored.Dest,
-				wallDeadline: stored.Deadline, body: stored.Body, pastAttempts: stored.Attempts, attemptCount: len(stored.Attempts), verdict: verdict(stored.Verdict),
+				wallDeadline: stored.Deadline, body: stored.Body, pastAttempts: stored.Attempts, attemptCount: len(stored.Attempts), resolution: resolution(stored.Resolution),
 				retryAfter: stored.RetryAfter, updates: make(chan eventUpdate, updateBuffer)},
 		)
 	}
@@ -154,14 +154,14 @@
 	return j.store.RecordOutcome(e.id, e.arrivalSeq, number, outcome)
 }
 
-// recordVerdict records how an event ends, before its notice has been delivered.
-func (j *journal) recordVerdict(e *event) *store.PendingWrite {
-	return j.store.RecordVerdict(e.id, e.arrivalSeq, store.Verdict(e.verdict), e.retryAfter)
+// recordResolution records how an event ends, before its notice has been delivered.
+func (j *journal) recordResolution(e *event) *store.PendingWrite {
+	return j.store.RecordResolution(e.id, e.arrivalSeq, store.Resolution(e.resolution), e.retryAfter)
 }
 
-// recordVerdictAndTrim is recordVerdict for an event that may at most need its notice delivered.
-func (j *journal) recordVerdictAndTrim(e *event, v verdict) *store.PendingWrite {
-	return j.store.RecordVerdictAndTrim(e.id, e.arrivalSeq, store.Verdict(v))
+// recordResolutionAndTrim is recordResolution for an event that may at most need its notice delivered.
+func (j *journal) recordResolutionAndTrim(e *event, v resolution) *store.PendingWrite {
+	return j.store.RecordResolutionAndTrim(e.id, e.arrivalSeq, store.Resolution(v))
 }
 
 // complete records that an event needs nothing more.
--- a/node/journal_test.go
+++ b/node/journal_test.go
@@ -52,7 +52,7 @@
 	return size
 }
 
-// fillJournal writes four events in different states: completed, with attempts, with a verdict, and with a long body.
+// fillJournal writes four events in different states: completed, with attempts, with a resolution, and with a long body.
 func fillJournal(t *testing.T, j *journal) {
 	t.Helper()
 	for i, body := range []string{"over", "a\r\n\x00b", "", strings.Repeat("long", 16<<10)} {
@@ -72,8 +72,8 @@
 			j.recordOutcome(e, 0, delivery.Refused)
 			j.recordOutcome(e, 1, delivery.Reset)
 		case 2:
-			e.verdict, e.retryAfter = declined, 500
-			j.recordVerdict(e)
+			e.resolution, e.retryAfter = declined, 500
+			j.recordResolution(e)
 		}
 	}
 }
@@ -95,8 +95,8 @@
 				t.Errorf("e1: attempts %+v, body %q", e.pastAttempts, e.body)
 			}
 		case "e2":
-			if e.verdict != declined || e.retryAfter != 500 {
-				t.Errorf("e2: verdict %d, retry after %d", e.verdict, e.retryAfter)
+			if e.resolution != declined || e.retryAfter != 500 {
+				t.Errorf("e2: resolution %d, retry after %d", e.resolution, e.retryAfter)
 			}
 		case "e3":
 			if len(e.body) != 64<<10 {
@@ -276,7 +276,7 @@
 			"m",
 			"",
 		),
-		legacyRecord(legacyVerdict, "e2", byte(declined), 500),
+		legacyRecord(legacyResolution, "e2", byte(declined), 500),
 		legacyRecord(legacyAcceptedLongBody, "e3", "alert", "acme", 7, 1<<60, "m", 1, len(long)),
 		legacyRecord(legacyAccepted, "e4", "alert", "acme", 7, 1<<60, "m", "cut off")[:20],
 	)
--- a/node/journalreport.go
+++ b/node/journalreport.go
@@ -16,7 +16,7 @@
 	Deadline                        time.Time
 	Attempts                        int
 	MayHaveRun                      bool   // an attempt is open, or ended without a known result
-	Verdict                         string // open, declined or discarded
+	Resolution                      string // open, declined or discarded
 	BodyBytes                       int
 }
 
@@ -30,7 +30,7 @@
 	Faults         []string // file, offset and reason of each damaged, missing or foreign part
 }
 
-func (v verdict) String() string { return [...]string{"open", "declined", "discarded"}[v] }
+func (v resolution) String() string { return [...]string{"open", "declined", "discarded"}[v] }
 
 // ReadJournal reads the journal of a state folder, in the current or the previous format. It changes nothing, and the
 // node may be running. Damage is part of the report; an error means that the folder cannot be read or has no journal.
@@ -65,7 +65,7 @@
 	}
 	for _, e := range list {
 		r.Pending = append(r.Pending, PendingEvent{ID: e.ID, Kind: e.Kind, Owner: e.Owner,
-			IdempotencyKey: e.IdempotencyKey, Dest: e.Dest, Deadline: time.Unix(0, e.Deadline), Attempts: len(e.Attempts), Verdict: verdict(e.Verdict).String(),
+			IdempotencyKey: e.IdempotencyKey, Dest: e.Dest, Deadline: time.Unix(0, e.Deadline), Attempts: len(e.Attempts), Resolution: resolution(e.Resolution).String(),
 			BodyBytes: len(e.Body), MayHaveRun: e.MayHaveRun()})
 	}
 	return r, nil
--- a/node/legacy_journal.go
+++ b/node/legacy_journal.go
@@ -35,7 +35,7 @@
 	legacyAccepted = 1 + iota
 	legacyAttemptStarted
 	legacyAttemptEnded
-	legacyVerdict
+	legacyResolution
 	legacyCompleted
 	legacyAcceptedLongBody // like legacyAccepted, with the number of the body file in place of the body
 )
@@ -84,7 +84,7 @@
 			var err error
 			if entry.Body, err = errclass.ReadFile(os.ReadFile, j.bodyPath(entry.bodyFile)); err != nil {
 				reportDamage(0, "discarding pending event "+entry.ID+", its body cannot be read: "+err.Error())
-				entry.Verdict = store.Discarded
+				entry.Resolution = store.Discarded
 			}
 		}
 		events = append(events, entry.Event)
@@ -183,13 +183,13 @@
 		if entry != nil && number < len(entry.Attempts) {
 			entry.Attempts[number].Ended, entry.Attempts[number].Outcome = true, outcome
 		}
-	case legacyVerdict:
-		verdict, retryAfter := store.Verdict(d.Byte()), d.Varint()
-		if d.Invalid() || verdict > store.Discarded {
+	case legacyResolution:
+		resolution, retryAfter := store.Resolution(d.Byte()), d.Varint()
+		if d.Invalid() || resolution > store.Discarded {
 			return false
 		}
 		if entry != nil {
-			entry.Verdict, entry.RetryAfter = verdict, retryAfter
+			entry.Resolution, entry.RetryAfter = resolution, retryAfter
 		}
 	case legacyCompleted:
 		if entry != nil {
--- a/store/record.go
+++ b/store/record.go
@@ -16,7 +16,7 @@
 	recState          kind = 1 + iota // complete state of an event
 	recAttemptStarted                 // an attempt starts
 	recAttemptEnded                   // an attempt ended
-	recVerdict                        // the event's verdict is decided; its notice is still to be delivered
+	recResolution                     // the event's resolution is decided; its notice is still to be delivered
 	recCompleted                      // the event needs nothing more; its ID may be retained for a time
 	recBackoff                        // a destination asked for no calls until a given time
 	recOutage                         // a destination is unavailable since a given time, or available again if 0
@@ -183,12 +183,12 @@
 // MayHaveRun reports whether the attempt may have taken effect, as far as is known.
 func (s *Attempt) MayHaveRun() bool { return !s.Ended || s.Outcome.MayHaveRun() }
 
-// Verdict is the final state of an event that is not delivered.
-type Verdict uint8
+// Resolution is the final state of an event that is not delivered.
+type Resolution uint8
 
-// The verdicts. Undecided means that there is none yet.
+// The resolutions. Unresolved means that there is none yet.
 const (
-	Undecided Verdict = iota
+	Unresolved Resolution = iota
 	Declined
 	Discarded
 )
@@ -200,7 +200,7 @@
 	Deadline                        int64 // time of day in ns
 	Body                            []byte
 	Attempts                        []Attempt
-	Verdict                         Verdict
+	Resolution                      Resolution
 	RetryAfter                      int64  // ns; set with Declined
 	ArrivalSeq                      uint64 // position in order of arrival, from 1; assigned by the store
 }
@@ -241,7 +241,7 @@
 	to = appendText(appendText(appendText(appendText(to, e.ID), e.Kind), e.Owner), e.IdempotencyKey)
 	to = binary.AppendVarint(binary.AppendVarint(to, int64(e.Dest)), e.Deadline)
 	to = binary.AppendUvarint(to, e.ArrivalSeq)
-	to = binary.AppendVarint(append(to, byte(e.Verdict)), e.RetryAfter)
+	to = binary.AppendVarint(append(to, byte(e.Resolution)), e.RetryAfter)
 	to = binary.AppendVarint(to, int64(len(e.Attempts)))
 	for i := range e.Attempts {
 		s := &e.Attempts[i]
@@ -260,9 +260,9 @@
 	e := &Event{ID: d.readText(), Kind: d.readText(), Owner: d.readText(), IdempotencyKey: d.readText()}
 	e.Dest, e.Deadline = uint32(d.readVarint()), d.readVarint()
 	e.ArrivalSeq = d.readUvarint()
-	e.Verdict, e.RetryAfter = Verdict(d.readByte()), d.readVarint()
+	e.Resolution, e.RetryAfter = Resolution(d.readByte()), d.readVarint()
 	n := d.readVarint()
-	if d.invalid || n < 0 || n > maxRecordedAttempts || e.Verdict > Discarded || e.ID == "" {
+	if d.invalid || n < 0 || n > maxRecordedAttempts || e.Resolution > Discarded || e.ID == "" {
 		d.invalid = true
 		return nil
 	}
--- a/store/recovery.go
+++ b/store/recovery.go
@@ -257,13 +257,13 @@
 		if entry != nil && number < len(entry.event.Attempts) {
 			entry.event.Attempts[number].Ended, entry.event.Attempts[number].Outcome = true, result
 		}
-	case recVerdict:
-		verdict, retryAfter := Verdict(d.readByte()), d.readVarint()
-		if d.invalid || verdict > Discarded {
+	case recResolution:
+		resolution, retryAfter := Resolution(d.readByte()), d.readVarint()
+		if d.invalid || resolution > Discarded {
 			return false
 		}
 		if entry != nil {
-			entry.event.Verdict, entry.event.RetryAfter = verdict, retryAfter
+			entry.event.Resolution, entry.event.RetryAfter = resolution, retryAfter
 		}
 	case recCompleted:
 		until := d.readVarint()
@@ -337,10 +337,10 @@
 	}
 }
 
-// finish sorts the events by arrival and treats undecided ones from before a gap as possibly executed.
+// finish sorts the events by arrival and treats unresolved ones from before a gap as possibly executed.
 func (l *loader) finish() {
 	for _, entry := range l.events {
-		if e := entry.event; entry.seq < l.doubtedBefore && e.Verdict == Undecided && !e.MayHaveRun() &&
+		if e := entry.event; entry.seq < l.doubtedBefore && e.Resolution == Unresolved && !e.MayHaveRun() &&
 			len(e.Attempts) < maxRecordedAttempts {
 			e.Attempts = append(e.Attempts, Attempt{StartedAt: unknownStart})
 		}
--- a/store/store.go
+++ b/store/store.go
@@ -305,15 +305,15 @@
 	}, func(to []byte) []byte { return append(to, byte(number), byte(result)) })
 }
 
-// RecordVerdict records how an event ends, before its notice has been delivered.
-func (s *Store) RecordVerdict(id string, arrivalSeq uint64, verdict Verdict, retryAfter int64) *PendingWrite {
-	return s.updateEvent(id, arrivalSeq, recVerdict, func(e *Event) { e.Verdict, e.RetryAfter = verdict, retryAfter },
-		func(to []byte) []byte { return binary.AppendVarint(append(to, byte(verdict)), retryAfter) })
+// RecordResolution records how an event ends, before its notice has been delivered.
+func (s *Store) RecordResolution(id string, arrivalSeq uint64, resolution Resolution, retryAfter int64) *PendingWrite {
+	return s.updateEvent(id, arrivalSeq, recResolution, func(e *Event) { e.Resolution, e.RetryAfter = resolution, retryAfter },
+		func(to []byte) []byte { return binary.AppendVarint(append(to, byte(resolution)), retryAfter) })
 }
 
-// RecordVerdictAndTrim records how an event ends that may at most need its notice delivered. Its body and attempts are
+// RecordResolutionAndTrim records how an event ends that may at most need its notice delivered. Its body and attempts are
 // dropped, so that it occupies little space while it is kept.
-func (s *Store) RecordVerdictAndTrim(id string, arrivalSeq uint64, verdict Verdict) *PendingWrite {
+func (s *Store) RecordResolutionAndTrim(id string, arrivalSeq uint64, resolution Resolution) *PendingWrite {
 	s.makeRoom(attemptRecordsSize)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -322,7 +322,7 @@
 		return noPendingWrite(missingRecordError(item))
 	}
 	trimmed := *item.event
-	trimmed.IdempotencyKey, trimmed.Attempts, trimmed.Body, trimmed.Verdict = "", nil, nil, verdict
+	trimmed.IdempotencyKey, trimmed.Attempts, trimmed.Body, trimmed.Resolution = "", nil, nil, resolution
 	size := frameHeaderSize + len(trimmed.appendState([]byte{byte(recState)})) + frameHeaderSize + trimmedCompletionSize + len(id)
 	next := &indexItem{event: &trimmed, kind: recState, reservedBytes: int32(size)}
 	s.insert(next)
--- a/store/store_test.go
+++ b/store/store_test.go
@@ -90,7 +90,7 @@
 			m.attempted[id] = true
 		}
 	case 3:
-		err = s.RecordVerdict(id, 0, Discarded, 0).Wait()
+		err = s.RecordResolution(id, 0, Discarded, 0).Wait()
 	case 4:
 		delete(m.accepted, id) // from this call on the event may be completed
 		until := int64(0)      // every second ID may be used again at once
@@ -126,7 +126,7 @@
 		if m.completed[e.ID] && nothingLost {
 			t.Errorf("%s: %s is recovered as pending but is completed", what, e.ID)
 		}
-		if m.attempted[e.ID] && !e.MayHaveRun() && e.Verdict == Undecided && !m.completed[e.ID] {
+		if m.attempted[e.ID] && !e.MayHaveRun() && e.Resolution == Unresolved && !m.completed[e.ID] {
 			t.Errorf("%s: %s would be sent again although it may have been executed: %+v", what, e.ID, e.Attempts)
 		}
 	}
--- a/store/write_failure_test.go
+++ b/store/write_failure_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// Guards against completions, verdicts and outcomes that are lost when their first write fails.
+// Guards against completions, resolutions and outcomes that are lost when their first write fails.
 func TestFailedRecordIsRetried(t *testing.T) {
 	for _, failures := range []int{1, 2, 4} {
 		fsys := newMemFS()
@@ -75,11 +75,11 @@
 		}
 		fsys.failNext(failures, "", failNothingDone)
 		s.RecordOutcome("e0", 0, 0, delivery.Refused).Wait()
-		s.RecordVerdict("e1", 0, Discarded, 0).Wait()
+		s.RecordResolution("e1", 0, Discarded, 0).Wait()
 		s.Complete("e2", 0, 0).Wait()
 		waitUntil(t, "all records are written", func() bool {
 			recovered := recoverAfterKill(t, fsys)
-			return len(recovered.Events) == 3 && recovered.Events[0].Attempts[0].Ended && recovered.Events[1].Verdict == Discarded &&
+			return len(recovered.Events) == 3 && recovered.Events[0].Attempts[0].Ended && recovered.Events[1].Resolution == Discarded &&
 				recovered.Events[2].ID == "e3"
 		})
 		s.Close()
