--- a/node/clientconn.go
+++ b/node/clientconn.go
@@ -57,7 +57,7 @@
 	clientCloseNotWritten clientCloseReason = "not_written" // the response could not be written
 )
 
-var clientConnectionsClosed = metrics.NewFamily("jaspersill_client_connections_closed_total",
+var clientConnectionsClosed = metrics.NewCounterVec("jaspersill_client_connections_closed_total",
 	"Clients' connections that ended, by reason.", "reason", string(clientCloseRequested), string(clientCloseIdle),
 	string(clientCloseByClient), string(clientCloseUnreadable), string(clientCloseByHeader), string(clientCloseDraining),
 	string(clientCloseNotWritten))
@@ -71,8 +71,8 @@
 
 // recordClose counts the closed connection and logs it at debug level.
 func (c *clientConn) recordClose() {
-	clientConnectionsClosed.With(string(c.closeReason)).Add()
-	if logs.Debugging() {
+	clientConnectionsClosed.With(string(c.closeReason)).Inc()
+	if logs.DebugEnabled() {
 		logs.Part("clients").WithFields(logrus.Fields{"connection": c.id, "requests": c.requests,
 			"reason": string(c.closeReason)}).Debug("client connection closed")
 	}
--- a/node/directory.go
+++ b/node/directory.go
@@ -23,7 +23,7 @@
 	"jaspersill/delivery"
 	"jaspersill/logs"
 	"jaspersill/metrics"
-	"jaspersill/start"
+	"jaspersill/settings"
 )
 
 const (
@@ -67,7 +67,7 @@
 
 // zoneIndex maps the name of a zone to its index. Unknown zones share the index after the last.
 func (d *directory) zoneIndex(name string) int {
-	if i := slices.Index(d.zoneNames, start.Name(name)); i >= 0 {
+	if i := slices.Index(d.zoneNames, settings.NormalizeName(name)); i >= 0 {
 		return i
 	}
 	return len(d.zoneNames)
@@ -250,7 +250,7 @@
 	for _, h := range hosts.GetArray() {
 		e := entry{host: string(h.GetStringBytes("host")), dial: string(h.GetStringBytes("dial")),
 			dest: uint32(h.GetUint64("block")), site: string(h.GetStringBytes("site")),
-			partner: slices.Index(d.partnerNames, start.Name(string(h.GetStringBytes("class"))))}
+			partner: slices.Index(d.partnerNames, settings.NormalizeName(string(h.GetStringBytes("class"))))}
 		if e.host == "" || !h.Exists("block") { // skipping one bad entry keeps the others usable
 			logs.Part("directory").WithField("entry", fmt.Sprintf("%.200s", h)).
 				Warn("skipped a list entry without a host or a block")
@@ -299,7 +299,7 @@
 			if e.state == delivery.Gone { // another endpoint may answer at this address from now on
 				d.endpoints.updateEndpoint(ep, e.host, e.site, "")
 			}
-			dest, _ := d.decisions.destIndex.Take(e.dest)
+			dest, _ := d.decisions.destIndex.Acquire(e.dest)
 			to.EndpointListed(ep, dest, e.partner, d.zoneIndex(e.site), e.state, e.rate)
 		}
 		to.ListEnded()
@@ -322,7 +322,7 @@
 
 var (
 	errOlderList = errors.New("new watch starts with an older version of the list")
-	olderLists   = metrics.New("jaspersill_older_lists_total",
+	olderLists   = metrics.NewCounter("jaspersill_older_lists_total",
 		"Lists from discovery that were passed over, as a later one had come.")
 )
 
@@ -341,10 +341,10 @@
 		if d.olderStarts++; d.olderStarts >= olderStartsToAccept {
 			return applyListed
 		}
-		olderLists.Add()
+		olderLists.Inc()
 		return rejectUnconfirmed
 	}
-	olderLists.Add()
+	olderLists.Inc()
 	return ignoreOlder
 }
 
--- a/node/listener.go
+++ b/node/listener.go
@@ -62,7 +62,7 @@
 			return nil, err
 		}
 		l.acceptErrors.record(err)
-		transientFailures.With("accept").Add()
+		transientFailures.With("accept").Inc()
 		if errclass.DescriptorsExhausted(err) {
 			l.mu.Lock()
 			l.evictOne(time.Now())
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -20,9 +20,9 @@
 	"github.com/valyala/fasthttp"
 
 	"jaspersill/delivery"
-	"jaspersill/note"
+	"jaspersill/peermsg"
 	"jaspersill/scheduler"
-	"jaspersill/start"
+	"jaspersill/settings"
 	"jaspersill/store"
 )
 
@@ -89,12 +89,12 @@
 		env.notices = append(env.notices, strings.Fields(body)...)
 		return respond("HTTP/1.1 204 No Content\r\n\r\n")(conn, body)
 	})
-	s, err := start.JSON([]byte(fmt.Sprintf(testSettings, env.maxEvents)))
+	s, err := settings.ParseJSON([]byte(fmt.Sprintf(testSettings, env.maxEvents)))
 	if err != nil {
 		env.t.Fatal(err)
 	}
 	s.Directory.RequiresWatch = true
-	decider := scheduler.New(1, s.Types, s.Partners, s.Room, s.Recovery, s.Directory, s.Fleet, s.OrderPause)
+	decider := scheduler.New(1, s.StreamTypes, s.DestinationKinds, s.Limits, s.Recovery, s.Directory, s.Cluster, s.OrderPause)
 	env.Node, err = Open(Config{Listen: "127.0.0.1:0", Directory: directory.Addr().String(), StateFolder: env.folder,
 		KnownEndpoints: []byte(list), disk: env.disk, timeSource: env.timeSource},
 		Limits{DiskMB: env.diskMB}, ClientTimeouts{}, s, decider)
@@ -391,7 +391,7 @@
 	d := newDecisionLoop(clock{start: time.Now()}, nil, ms, []int{3})
 	d.partnerOf = []int{0}
 	for i, size := range []int{40 << 10, 20 << 10, 20 << 10, 10, 10} {
-		d.eventIndex.Take(&event{id: fmt.Sprint(i), body: make([]byte, size)})
+		d.eventIndex.Acquire(&event{id: fmt.Sprint(i), body: make([]byte, size)})
 		d.activeAttempts = append(d.activeAttempts, nil)
 		d.Send(int32(i), 0, ms)
 	}
@@ -1065,13 +1065,13 @@
 	to, _ := net.ResolveUDPAddr("udp", addresses[0])
 	sockets[2].WriteToUDP(buf[:n], to) // not from a peer
 	sockets[1].WriteToUDP([]byte("nonsense"), to)
-	sockets[1].WriteToUDP(note.GoodHost("unlisted", note.Order{Process: 1}), to)
+	sockets[1].WriteToUDP(peermsg.EncodeHealthyHost("unlisted", peermsg.Sequence{Incarnation: 1}), to)
 	sockets[1].WriteToUDP(buf[:n], to)
 	(&testEnv{t: t}).waitFor("the datagram is received", func() bool { return strings.HasSuffix(r.joined(), "; good 1 1") })
 	// Duplicates, and datagrams older than the latest one or from an earlier process, are ignored.
-	for _, o := range []note.Order{{Process: 5, Number: 2}, {Process: 5, Number: 2}, {Process: 5, Number: 1},
-		{Process: 4, Number: 9}, {Process: 5, Number: 3}} {
-		sockets[1].WriteToUDP(note.GoodHost("a", o), to)
+	for _, o := range []peermsg.Sequence{{Incarnation: 5, Number: 2}, {Incarnation: 5, Number: 2}, {Incarnation: 5, Number: 1},
+		{Incarnation: 4, Number: 9}, {Incarnation: 5, Number: 3}} {
+		sockets[1].WriteToUDP(peermsg.EncodeHealthyHost("a", o), to)
 	}
 	(&testEnv{t: t}).waitFor("the last datagram is received", func() bool { return strings.Count(r.joined(), "good 1 0") >= 2 })
 	time.Sleep(20 * time.Millisecond)
@@ -1079,7 +1079,7 @@
 		t.Errorf("%d of 5 datagrams were used, want 2", got)
 	}
 	later := time.Now().Add(maxDatagramDelay)
-	if !p.isNewer(1, note.Order{Process: 4, Number: 1}, later) {
+	if !p.isNewer(1, peermsg.Sequence{Incarnation: 4, Number: 1}, later) {
 		t.Error("a peer whose clock was set back is ignored for good")
 	}
 }
--- a/node/peers.go
+++ b/node/peers.go
@@ -9,7 +9,7 @@
 	"jaspersill/errclass"
 	"jaspersill/logs"
 	"jaspersill/metrics"
-	"jaspersill/note"
+	"jaspersill/peermsg"
 )
 
 // peerMessenger exchanges messages about healthy endpoints with the other delivery nodes. The messages are UDP datagrams,
@@ -27,7 +27,7 @@
 
 // receivedDatagram is the position of a peer's latest datagram and the time it was received.
 type receivedDatagram struct {
-	order      note.Order
+	order      peermsg.Sequence
 	receivedAt time.Time
 }
 
@@ -35,7 +35,7 @@
 // than before after a longer silence, its clock was set back.
 const maxDatagramDelay = 10 * time.Second
 
-var lateDatagrams = metrics.New("jaspersill_late_peer_datagrams_total",
+var lateDatagrams = metrics.NewCounter("jaspersill_late_peer_datagrams_total",
 	"Datagrams of peers that came again, or behind a later one.")
 
 func newPeerMessenger(address, broadcast string, list []string, me int, d *decisionLoop,
@@ -66,7 +66,7 @@
 	if p.conn == nil {
 		return
 	}
-	var buf [note.Longest + 1]byte
+	var buf [peermsg.MaxSize + 1]byte
 	for {
 		size, from, err := p.conn.ReadFromUDPAddrPort(buf[:])
 		if err != nil {
@@ -77,16 +77,16 @@
 			continue
 		}
 		peer, known := p.peerIndex[from.String()]
-		host, order, ok := note.ReadGoodHost(buf[:size])
+		host, order, ok := peermsg.DecodeHealthyHost(buf[:size])
 		if !known || !ok { // a stray datagram must not mark an endpoint as healthy
 			continue
 		}
 		if !p.isNewer(peer, order, time.Now()) { // nor must one that was sent before the endpoint's last outage
-			lateDatagrams.Add()
+			lateDatagrams.Inc()
 			continue
 		}
 		p.decisions.enqueue(func(to delivery.Handler) {
-			if ep, listed := p.decisions.endpointIndex.Find(host); listed {
+			if ep, listed := p.decisions.endpointIndex.Lookup(host); listed {
 				to.PeerReportedHealthy(peer, ep)
 			}
 		})
@@ -94,10 +94,10 @@
 }
 
 // isNewer reports whether a datagram is later than all others received from its peer, and records it if so.
-func (p *peerMessenger) isNewer(peer int, order note.Order, now time.Time) bool {
+func (p *peerMessenger) isNewer(peer int, order peermsg.Sequence, now time.Time) bool {
 	newest, known := p.lastReceived[peer]
 	if known && !order.After(newest.order) &&
-		(order.Process == newest.order.Process || now.Sub(newest.receivedAt) < maxDatagramDelay) {
+		(order.Incarnation == newest.order.Incarnation || now.Sub(newest.receivedAt) < maxDatagramDelay) {
 		return false
 	}
 	p.lastReceived[peer] = receivedDatagram{order, now}
@@ -106,8 +106,8 @@
 
 // sendGood tells all peers that an endpoint answers calls.
 func (p *peerMessenger) sendGood(host string) {
-	data := note.GoodHost(host, note.Order{Process: p.processStart, Number: p.sequence.Add(1)})
-	if p.conn == nil || len(data) > note.Longest {
+	data := peermsg.EncodeHealthyHost(host, peermsg.Sequence{Incarnation: p.processStart, Number: p.sequence.Add(1)})
+	if p.conn == nil || len(data) > peermsg.MaxSize {
 		return
 	}
 	if _, err := p.conn.WriteToUDP(data, p.broadcastAddr); err != nil {
