--- a/lab/loopback/clients.go
+++ b/lab/loopback/clients.go
@@ -102,7 +102,7 @@
 	id := s.id()
 	e := &held{node: int32(node), work: a.Work, refs: 1}
 	e.again = func(comeBack int64) { c.again(a, tries, comeBack) }
-	e.number, _ = s.numbers.Take(id)
+	e.number, _ = s.numbers.Acquire(id)
 	s.events[id] = e
 	s.ledger.Take(now, e.number, uint64(e.number), e.node, int(a.Type), a.Dest, 0, a.At, a.Deadline)
 	s.mu.Unlock()
--- a/lab/loopback/node_bench_test.go
+++ b/lab/loopback/node_bench_test.go
@@ -10,7 +10,7 @@
 	"jaspersill/lab/scenarios"
 	"jaspersill/node"
 	"jaspersill/scheduler"
-	"jaspersill/start"
+	"jaspersill/settings"
 )
 
 // BenchmarkNodeUnderLoad has a node in this process, so that its profiles show where its time and its memory
@@ -31,7 +31,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	told, err := start.JSON(text)
+	told, err := settings.ParseJSON(text)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -42,12 +42,12 @@
 	}
 	module := scheduler.New(
 		1,
-		told.Types,
-		told.Partners,
-		told.Room,
+		told.StreamTypes,
+		told.DestinationKinds,
+		told.Limits,
 		told.Recovery,
 		told.Directory,
-		told.Fleet,
+		told.Cluster,
 		0,
 	)
 	n, err := node.Open(node.Config{Listen: listen, Directory: s.Directory(0), StateFolder: b.TempDir()},
--- a/lab/loopback/stage.go
+++ b/lab/loopback/stage.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"jaspersill/delivery"
-	"jaspersill/door"
+	"jaspersill/idmap"
 	"jaspersill/lab/ledger"
 	"jaspersill/lab/partner"
 	"jaspersill/lab/scenario"
@@ -49,7 +49,7 @@
 	partners *partner.Model
 	ledger   *ledger.Ledger
 	events   map[string]*held
-	numbers  door.Table[string]
+	numbers  idmap.Table[string]
 	chance   *rand.Rand
 	doors    []*gate // by endpoint
 	changes  []change
@@ -91,7 +91,7 @@
 			map[string]*held,
 		), chance: rand.New(rand.NewPCG(seed, 0x57a6+luck)), bell: make(chan struct{}),
 		conns: make(map[net.Conn]struct{}), sights: make(map[sight]int64), tell: tell}
-	s.numbers.Take("") // 0 stands for none
+	s.numbers.Acquire("") // 0 stands for none
 	for ep := range s.partners.Endpoints {
 		if err := s.openGate(int32(ep)); err != nil {
 			s.Close()
--- a/lab/world/seat.go
+++ b/lab/world/seat.go
@@ -2,7 +2,7 @@
 
 import (
 	"jaspersill/delivery"
-	"jaspersill/door"
+	"jaspersill/idmap"
 	"jaspersill/lab/ledger"
 )
 
@@ -36,7 +36,7 @@
 	free  []int32
 	gone  []int32 // whose index is free after this round
 	held  int
-	eps   door.Table[int32]
+	eps   idmap.Table[int32]
 	idle  [][]link // idle connections by its own endpoint index, the one used last at the end
 	seen  []int64  // by lane: the beginning of the last outage that it saw
 	open  []int32  // calls opened in this round
@@ -127,7 +127,7 @@
 		case newListFailed:
 			to.ListFailed()
 		case newPeerGood:
-			if ep, listed := s.eps.Find(p.ep); listed {
+			if ep, listed := s.eps.Lookup(p.ep); listed {
 				to.PeerReportedHealthy(int(p.peer), ep)
 			}
 		}
@@ -137,7 +137,7 @@
 // list tells the module of one endpoint as the directory has it.
 func (s *seat) list(to delivery.Handler, ep int32, state delivery.EndpointState) {
 	e := &s.world.partners.Endpoints[ep]
-	own, _ := s.eps.Take(ep)
+	own, _ := s.eps.Acquire(ep)
 	for int(own) >= len(s.idle) {
 		s.idle = append(s.idle, nil)
 	}
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -12,7 +12,7 @@
 	"strconv"
 
 	"jaspersill/delivery"
-	"jaspersill/door"
+	"jaspersill/idmap"
 	"jaspersill/lab/arrival"
 	"jaspersill/lab/ledger"
 	"jaspersill/lab/partner"
@@ -185,7 +185,7 @@
 
 // EndpointOf maps the truth's number of an endpoint to a node's own, -1 where the node does not know it.
 func (w *World) EndpointOf(node int, ep int32) int32 {
-	if own, ok := w.seats[node].eps.Find(ep); ok {
+	if own, ok := w.seats[node].eps.Lookup(ep); ok {
 		return own
 	}
 	return -1
@@ -193,7 +193,7 @@
 
 // Linked tells whether a node has an idle connection to an endpoint, by the truth's number.
 func (w *World) Linked(node int, ep int32) bool {
-	own, ok := w.seats[node].eps.Find(ep)
+	own, ok := w.seats[node].eps.Lookup(ep)
 	return ok && len(w.seats[node].idle[own]) > 0
 }
 
@@ -335,7 +335,7 @@
 	s.life, s.phase, s.frozen = w.nextRun, serving, 0
 	s.module = w.launch(w, int(s.me), w.draws.Uint64())
 	s.evts, s.free, s.news, s.planned, s.wakeAt = s.evts[:0], s.free[:0], s.news[:0], 0, 0
-	s.eps, s.idle, s.seen, s.watching, s.asking = door.Table[int32]{}, nil, nil, false, false
+	s.eps, s.idle, s.seen, s.watching, s.asking = idmap.Table[int32]{}, nil, nil, false, false
 	s.last = w.now - int64(w.day.Fleet.Tick)
 	w.front[s.me] = true
 	w.ledger.Back(w.now, s.me)
