--- a/cmd/jaspersill/check.go
+++ b/cmd/jaspersill/check.go
@@ -14,19 +14,19 @@
 	"jaspersill/node"
 )
 
-// check tells all that is wrong with each file, by its ending: .json is the platform's, .toml the
+// checkFiles tells all that is wrong with each file, by its ending: .json is the platform's, .toml the
 // installation's.
-func check(c *cobra.Command, names []string) error {
+func checkFiles(c *cobra.Command, names []string) error {
 	var bad error
 	for _, name := range names {
 		var err error
 		switch {
 		case strings.HasSuffix(name, ".json"):
-			var t told
+			var t platformConfig
 			if t, _, err = readPlatform(name); err == nil {
 				var b *config.Config
 				if b, err = config.Parse("", nil, nil); err == nil {
-					_, err = b.WithPlatform(name, t.byKey(""))
+					_, err = b.WithPlatform(name, t.localKeys(""))
 				}
 			}
 		case strings.HasSuffix(name, ".toml"):
@@ -46,15 +46,15 @@
 }
 
 func configCommand(file *string) *cobra.Command {
-	return group(
+	return commandGroup(
 		"config",
 		"What is in force, and what may be told",
 		&cobra.Command{Use: "show", Short: "Print every value in force, its type and who told it",
-			Args: noneOf("argument"),
+			Args: noArgs("argument"),
 			RunE: func(c *cobra.Command, _ []string) error {
-				b, err := readOwn(*file)
-				if platform := os.Getenv(platformFile); err == nil && platform != "" {
-					_, _, b, err = read(platform, *file)
+				b, err := readLocal(*file)
+				if platform := os.Getenv(platformFileEnv); err == nil && platform != "" {
+					_, _, b, err = readConfig(platform, *file)
 				}
 				if err != nil {
 					return err
@@ -64,17 +64,17 @@
 		&cobra.Command{
 			Use:   "reference",
 			Short: "Print the table of all keys as Markdown",
-			Args:  noneOf("argument"),
+			Args:  noArgs("argument"),
 			RunE:  func(c *cobra.Command, _ []string) error { return config.WriteReference(c.OutOrStdout()) },
 		},
 	)
 }
 
 func journalCommand() *cobra.Command {
-	return group(
+	return commandGroup(
 		"journal",
 		"Look into a node's folder; nothing is changed, and the node may run",
-		&cobra.Command{Use: "ls DIR", Short: "List the events that are owed an end", Args: one("DIR"),
+		&cobra.Command{Use: "ls DIR", Short: "List the events that are owed an end", Args: exactlyOneArg("DIR"),
 			RunE: func(c *cobra.Command, args []string) error {
 				r, err := node.ReadJournal(args[0])
 				if err != nil {
@@ -91,7 +91,7 @@
 		&cobra.Command{
 			Use:   "verify DIR",
 			Short: "Tell what is damaged; the exit code is 1 where something is",
-			Args:  one("DIR"),
+			Args:  exactlyOneArg("DIR"),
 			RunE: func(c *cobra.Command, args []string) error {
 				r, err := node.ReadJournal(args[0])
 				if err != nil {
--- a/cmd/jaspersill/commands_test.go
+++ b/cmd/jaspersill/commands_test.go
@@ -24,35 +24,35 @@
 		"bad.toml",
 		"[log]\nlevle = 1\n[drian]\nx = 1\n",
 	)
-	t.Setenv(platformFile, "")
+	t.Setenv(platformFileEnv, "")
 	for _, c := range []struct {
 		args []string
 		code int
 		want string
 	}{
 		{nil, exitUsage, "a command is needed"},
-		{[]string{"--help"}, exitGood, "Exit codes"},
+		{[]string{"--help"}, exitOK, "Exit codes"},
 		{[]string{"srve"}, exitUsage, "did you mean serve?"},
 		{[]string{"config", "sohw"}, exitUsage, "did you mean show?"},
 		{[]string{"config"}, exitUsage, "a command is needed"},
 		{[]string{"--flie", "x"}, exitUsage, "unknown flag"},
 		{[]string{"check"}, exitUsage, "FILE is missing"},
-		{[]string{"check", good}, exitGood, "good.toml: good"},
+		{[]string{"check", good}, exitOK, "good.toml: good"},
 		{[]string{"check", good, bad}, exitFailed, "bad.toml:4: drian.x"},
 		{[]string{"check", bad}, exitFailed, "bad.toml:2: log.levle: want log.level"},
 		{[]string{"check", "../../example/config.json", "../../deploy/jaspersill.toml"},
-			exitGood, "config.json: good"},
+			exitOK, "config.json: good"},
 		{[]string{"check", file("c.json", `{"settings":{"me":-1,"tick_ms":"x"}}`)},
 			exitFailed, "settings: me: want"},
 		{[]string{"check", "no such.toml"}, exitFailed, "no such.toml"},
 		{[]string{"check", "../../go.mod"}, exitFailed, "ends in .json or .toml"},
-		{[]string{"config", "show", "--file", good}, exitGood, "good.toml:2"},
+		{[]string{"config", "show", "--file", good}, exitOK, "good.toml:2"},
 		{[]string{"config", "show", "--file", bad}, exitFailed, "log.levle"},
-		{[]string{"config", "reference"}, exitGood, "| `drain.end` |"},
+		{[]string{"config", "reference"}, exitOK, "| `drain.end` |"},
 		{[]string{"journal", "ls"}, exitUsage, "want one DIR"},
 		{[]string{"journal", "ls", folder}, exitFailed, "file does not exist"},
 		{[]string{"serve", "--file", "none.toml"}, exitFailed, "none.toml"},
-		{[]string{"version"}, exitGood, "jaspersill"},
+		{[]string{"version"}, exitOK, "jaspersill"},
 	} {
 		var out bytes.Buffer
 		if code := execute(c.args, &out, &out, nil); code != c.code ||
--- a/cmd/jaspersill/main.go
+++ b/cmd/jaspersill/main.go
@@ -21,7 +21,7 @@
 
 // Exit codes.
 const (
-	exitGood = iota
+	exitOK = iota
 	exitFailed
 	exitUsage
 )
@@ -45,7 +45,7 @@
 func execute(args []string, out, problems io.Writer, replaced <-chan os.Signal) int {
 	gate := logs.New()
 	logrus.SetFormatter(gate)
-	root := commands(gate, replaced)
+	root := newRootCommand(gate, replaced)
 	root.SetArgs(args)
 	root.SetOut(out)
 	root.SetErr(problems)
@@ -53,7 +53,7 @@
 	var wrong usageError
 	switch {
 	case err == nil:
-		return exitGood
+		return exitOK
 	case errors.As(err, &wrong):
 		fmt.Fprintln(problems, "jaspersill:", err)
 		return exitUsage
@@ -64,7 +64,7 @@
 	return exitFailed
 }
 
-func commands(gate *logs.Formatter, replaced <-chan os.Signal) *cobra.Command {
+func newRootCommand(gate *logs.Formatter, replaced <-chan os.Signal) *cobra.Command {
 	var file string
 	root := &cobra.Command{
 		Use:   "jaspersill",
@@ -73,9 +73,9 @@
 			"Without a command it serves where RELAY_CONFIG is set, as `serve` does.\n" +
 			"Exit codes: 0 good, 1 failed, 2 wrong usage.",
 		SilenceUsage: true, SilenceErrors: true,
-		Args: noneOf("command"),
+		Args: noArgs("command"),
 		RunE: func(c *cobra.Command, args []string) error {
-			if os.Getenv(platformFile) == "" {
+			if os.Getenv(platformFileEnv) == "" {
 				c.Help()
 				return usageError{errors.New("a command is needed, or RELAY_CONFIG to serve")}
 			}
@@ -84,21 +84,21 @@
 	}
 	root.SuggestionsMinimumDistance = 2
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
-	root.PersistentFlags().StringVar(&file, "file", os.Getenv(ownFile),
-		"the installation's own TOML file; "+ownFile+" names it too")
+	root.PersistentFlags().StringVar(&file, "file", os.Getenv(localFileEnv),
+		"the installation's own TOML file; "+localFileEnv+" names it too")
 	root.AddCommand(
-		&cobra.Command{Use: "serve", Short: "Run the delivery node until SIGTERM", Args: noneOf("argument"),
+		&cobra.Command{Use: "serve", Short: "Run the delivery node until SIGTERM", Args: noArgs("argument"),
 			RunE: func(*cobra.Command, []string) error { return serve(gate, file, replaced) }},
 		&cobra.Command{Use: "check FILE...", Short: "Tell all that is wrong with files of either format",
-			Args: some(
+			Args: oneOrMoreArgs(
 				"FILE",
-			), RunE: func(c *cobra.Command, names []string) error { return check(c, names) }},
+			), RunE: func(c *cobra.Command, names []string) error { return checkFiles(c, names) }},
 		configCommand(&file),
 		journalCommand(),
 		&cobra.Command{
 			Use:   "version",
 			Short: "Print what this program was built from",
-			Args:  noneOf("argument"),
+			Args:  noArgs("argument"),
 			RunE: func(c *cobra.Command, _ []string) error {
 				_, err := fmt.Fprintln(c.OutOrStdout(), version())
 				return err
@@ -108,8 +108,8 @@
 	return root
 }
 
-// noneOf refuses all arguments, and tells the nearest command where there are commands.
-func noneOf(what string) cobra.PositionalArgs {
+// noArgs refuses all arguments, and tells the nearest command where there are commands.
+func noArgs(what string) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if len(args) == 0 {
 			return nil
@@ -122,8 +122,8 @@
 	}
 }
 
-// some wants one argument or more; one wants exactly one.
-func some(what string) cobra.PositionalArgs {
+// oneOrMoreArgs wants one argument or more; one wants exactly one.
+func oneOrMoreArgs(what string) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if len(args) == 0 {
 			return usageError{fmt.Errorf("%s: %s is missing", c.CommandPath(), what)}
@@ -132,7 +132,7 @@
 	}
 }
 
-func one(what string) cobra.PositionalArgs {
+func exactlyOneArg(what string) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if len(args) != 1 {
 			return usageError{fmt.Errorf("%s: want one %s, got %d", c.CommandPath(), what, len(args))}
@@ -141,9 +141,9 @@
 	}
 }
 
-// group is a command that only holds others.
-func group(use, short string, inner ...*cobra.Command) *cobra.Command {
-	c := &cobra.Command{Use: use, Short: short, SuggestionsMinimumDistance: 2, Args: noneOf("command"),
+// commandGroup is a command that only holds others.
+func commandGroup(use, short string, inner ...*cobra.Command) *cobra.Command {
+	c := &cobra.Command{Use: use, Short: short, SuggestionsMinimumDistance: 2, Args: noArgs("command"),
 		RunE: func(c *cobra.Command, _ []string) error {
 			c.Help()
 			return usageError{fmt.Errorf("%s: a command is needed", c.CommandPath())}
--- a/cmd/jaspersill/main_test.go
+++ b/cmd/jaspersill/main_test.go
@@ -19,18 +19,18 @@
 	"jaspersill/logs"
 )
 
-const child = "JASPERSILL_TEST_CHILD"
+const childEnv = "JASPERSILL_TEST_CHILD"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(child) != "" {
+	if os.Getenv(childEnv) != "" {
 		main()
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// wait gives what must happen far longer than it takes anywhere.
-func wait[T any](t *testing.T, what string, from <-chan T) (got T) {
+// receive gives what must happen far longer than it takes anywhere.
+func receive[T any](t *testing.T, what string, from <-chan T) (got T) {
 	t.Helper()
 	select {
 	case got = <-from:
@@ -74,7 +74,7 @@
 	first, second := open(), open()
 	write(first, "")
 	c := exec.Command(os.Args[0])
-	c.Env = append(os.Environ(), child+"=1", "RELAY_CONFIG="+name, "RELAY_STATE="+t.TempDir())
+	c.Env = append(os.Environ(), childEnv+"=1", "RELAY_CONFIG="+name, "RELAY_STATE="+t.TempDir())
 	c.Stderr = io.Discard
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
@@ -82,17 +82,17 @@
 	ended := make(chan error, 1)
 	go func() { ended <- c.Wait() }()
 	defer c.Process.Kill()
-	wait(t, "it watches the first", asked)
+	receive(t, "it watches the first", asked)
 	write(second, "}") // no JSON: nothing changes, and the process lives
 	c.Process.Signal(syscall.SIGHUP)
 	time.Sleep(100 * time.Millisecond)
 	write(second, "")
 	c.Process.Signal(syscall.SIGHUP)
-	if got := wait(t, "it watches the second", asked); !strings.HasSuffix(got, "?watch=1&from=7") {
+	if got := receive(t, "it watches the second", asked); !strings.HasSuffix(got, "?watch=1&from=7") {
 		t.Errorf("asked the second for %q", got)
 	}
 	c.Process.Signal(syscall.SIGTERM)
-	if err := wait(t, "it ends", ended); err != nil {
+	if err := receive(t, "it ends", ended); err != nil {
 		t.Error(err)
 	}
 }
@@ -107,7 +107,7 @@
 		t.Fatal(err)
 	}
 	c := exec.Command(os.Args[0])
-	c.Env = append(os.Environ(), child+"=1", "RELAY_CONFIG="+name, "RELAY_STATE="+t.TempDir())
+	c.Env = append(os.Environ(), childEnv+"=1", "RELAY_CONFIG="+name, "RELAY_STATE="+t.TempDir())
 	c.Stderr = io.Discard
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
@@ -124,7 +124,7 @@
 	file.Close()
 	ended := make(chan error, 1)
 	go func() { ended <- c.Wait() }()
-	if err := wait(t, "it ends", ended); err != nil {
+	if err := receive(t, "it ends", ended); err != nil {
 		t.Errorf("it did not end in order: %v", err)
 	}
 }
@@ -192,7 +192,7 @@
 		t.Fatal(err)
 	}
 	c := exec.Command(os.Args[0])
-	c.Env = append(os.Environ(), child+"=1", "RELAY_CONFIG="+name, "RELAY_STATE="+t.TempDir())
+	c.Env = append(os.Environ(), childEnv+"=1", "RELAY_CONFIG="+name, "RELAY_STATE="+t.TempDir())
 	c.Stderr = end
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
@@ -208,7 +208,7 @@
 		c.Process.Signal(syscall.SIGHUP) // each is worth a line
 	}
 	c.Process.Signal(syscall.SIGTERM)
-	if err := wait(t, "it ends", ended); err != nil {
+	if err := receive(t, "it ends", ended); err != nil {
 		t.Errorf("it did not end in order: %v", err)
 	}
 }
--- a/cmd/jaspersill/platform.go
+++ b/cmd/jaspersill/platform.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	platformFile = "RELAY_CONFIG"
-	stateFolder  = "RELAY_STATE"
-	ownFile      = "JASPERSILL_FILE"
+	platformFileEnv = "RELAY_CONFIG"
+	stateFolderEnv  = "RELAY_STATE"
+	localFileEnv    = "JASPERSILL_FILE"
 )
 
-// told is what the platform's file says.
-type told struct {
+// platformConfig is what the platform's file says.
+type platformConfig struct {
 	Name, Listen, Discovery, Seed string
 	Limits                        struct {
 		Cores    float64
@@ -38,13 +38,13 @@
 var readFile = os.ReadFile
 
 // readPlatform reads the platform's file and checks what it says of the node's terms.
-func readPlatform(name string) (t told, s settings.Settings, err error) {
+func readPlatform(name string) (t platformConfig, s settings.Settings, err error) {
 	text, err := errclass.ReadFile(readFile, name)
 	if err == nil {
 		err = json.Unmarshal(text, &t)
 	}
 	if err != nil {
-		return t, s, fmt.Errorf("%s: %w", platformFile, err)
+		return t, s, fmt.Errorf("%s: %w", platformFileEnv, err)
 	}
 	if l := t.Limits; l.Cores < 0 || l.MemoryMB < 0 || l.Sockets < 0 || l.DiskMB < 0 {
 		err = errors.New("limits: none may be under 0")
@@ -54,8 +54,8 @@
 	return t, s, errors.Join(err, bad)
 }
 
-// byKey is what the platform tells, by the keys of the installation's own file.
-func (t *told) byKey(folder string) map[string]string {
+// localKeys is what the platform tells, by the keys of the installation's own file.
+func (t *platformConfig) localKeys(folder string) map[string]string {
 	size := func(megabytes, of float64) string {
 		if megabytes == 0 {
 			return ""
@@ -74,8 +74,8 @@
 	return keys
 }
 
-// readOwn reads the installation's own file, if one is named, and the environment.
-func readOwn(name string) (*config.Config, error) {
+// readLocal reads the installation's own file, if one is named, and the environment.
+func readLocal(name string) (*config.Config, error) {
 	var text []byte
 	if name != "" {
 		var err error
@@ -86,18 +86,18 @@
 	return config.Parse(name, text, os.Environ())
 }
 
-// read reads both files and checks them as a whole. Danger: of a bad one nothing may be used.
-func read(platform, own string) (t told, s settings.Settings, b *config.Config, err error) {
+// readConfig reads both files and checks them as a whole. Danger: of a bad one nothing may be used.
+func readConfig(platform, own string) (t platformConfig, s settings.Settings, b *config.Config, err error) {
 	t, s, err = readPlatform(platform)
-	book, bad := readOwn(own)
+	book, bad := readLocal(own)
 	if err = errors.Join(err, bad); err != nil {
 		return t, s, nil, err
 	}
-	if b, err = book.WithPlatform(platform, t.byKey(os.Getenv(stateFolder))); err != nil {
+	if b, err = book.WithPlatform(platform, t.localKeys(os.Getenv(stateFolderEnv))); err != nil {
 		return t, s, nil, err
 	}
 	for _, needed := range [][2]string{{"node.listen", "listen"}, {"node.directory", "discovery"},
-		{"node.state", stateFolder}, {"node.seed", "seed"}} {
+		{"node.state", stateFolderEnv}, {"node.seed", "seed"}} {
 		if b.Text(needed[0]) == "" {
 			err = errors.Join(err, fmt.Errorf("%s: nobody told it: %s or %s is needed",
 				needed[0], needed[1], config.EnvVar(needed[0])))
--- a/cmd/jaspersill/serve.go
+++ b/cmd/jaspersill/serve.go
@@ -24,12 +24,12 @@
 	// Danger: caught only once all is open, a request to stop would end the process in the middle of its start.
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	platform := os.Getenv(platformFile)
-	t, s, b, err := read(platform, own)
+	platform := os.Getenv(platformFileEnv)
+	t, s, b, err := readConfig(platform, own)
 	if err != nil {
 		return err
 	}
-	write(gate, b)
+	configureLogs(gate, b)
 	stopTelling := make(chan struct{})
 	defer close(stopTelling)
 	go gate.Run(logrus.StandardLogger(), stopTelling)
@@ -64,13 +64,13 @@
 	if err != nil {
 		return err
 	}
-	apply(gate, n, b)
-	go follow(replaced, gate, n, platform, own, b)
+	applyReloadable(gate, n, b)
+	go reloadOnSignal(replaced, gate, n, platform, own, b)
 	return n.Run(ctx)
 }
 
-// write puts in force how lines are written.
-func write(gate *logs.Formatter, b *config.Config) {
+// configureLogs puts in force how lines are written.
+func configureLogs(gate *logs.Formatter, b *config.Config) {
 	parts := make(map[string]string)
 	for _, part := range config.LogParts {
 		if level := b.Text(config.PartLevelPrefix + part); level != "" {
@@ -81,9 +81,9 @@
 	logrus.SetLevel(gate.MaxLevel())
 }
 
-// apply puts every live key in force. Danger: a key marked live that is missing here would be said to be.
-func apply(gate *logs.Formatter, n *node.Node, b *config.Config) {
-	write(gate, b)
+// applyReloadable puts every live key in force. Danger: a key marked live that is missing here would be said to be.
+func applyReloadable(gate *logs.Formatter, n *node.Node, b *config.Config) {
+	configureLogs(gate, b)
 	if memory := b.Bytes("limits.memory"); memory > 0 {
 		debug.SetMemoryLimit(int64(float64(memory) * b.Float("limits.heap_part")))
 	}
@@ -93,11 +93,11 @@
 	n.SetDirectoryAddress(b.Text("node.directory"))
 }
 
-// follow reads both files again each time they were replaced, for as long as the process lasts. A bad file
+// reloadOnSignal reads both files again each time they were replaced, for as long as the process lasts. A bad file
 // changes nothing.
-func follow(replaced <-chan os.Signal, gate *logs.Formatter, n *node.Node, platform, own string, now *config.Config) {
+func reloadOnSignal(replaced <-chan os.Signal, gate *logs.Formatter, n *node.Node, platform, own string, now *config.Config) {
 	for range replaced {
-		_, _, next, err := read(platform, own)
+		_, _, next, err := readConfig(platform, own)
 		if err != nil {
 			logs.Part("settings").
 				WithError(err).
@@ -105,7 +105,7 @@
 			continue
 		}
 		live, restart := now.Diff(next)
-		apply(gate, n, next)
+		applyReloadable(gate, n, next)
 		line := logs.Part("settings").WithField("changed", strings.Join(live, " "))
 		if len(restart) > 0 {
 			line.WithField("restart", strings.Join(restart, " ")).
--- a/config/config.go
+++ b/config/config.go
@@ -52,7 +52,7 @@
 type value struct {
 	text   string
 	number float64
-	from   string // default, file:line, environment, platform
+	source string // default, file:line, environment, platform
 }
 
 // Config holds what is in force for each key. It does not change once it was handed out.
@@ -68,12 +68,12 @@
 	for _, k := range Keys {
 		if k.Default != "" || k.Kind == Text || k.Kind == Address || k.Kind == Enum {
 			v, _ := k.parse(k.Default)
-			v.from = "default"
+			v.source = "default"
 			b.values[k.Name] = v
 		}
 	}
 	if file != "" {
-		faults = b.readFile(file, text)
+		faults = b.parseFile(file, text)
 	}
 	for _, k := range Keys {
 		name := EnvVar(k.Name) + "="
@@ -84,7 +84,7 @@
 		}
 	}
 	if len(faults) == 0 {
-		faults = b.agree(file)
+		faults = b.checkConsistency(file)
 	}
 	if len(faults) > 0 {
 		return nil, faults
@@ -92,8 +92,8 @@
 	return b, nil
 }
 
-// agree checks what must fit together.
-func (b *Config) agree(file string) (faults Errors) {
+// checkConsistency checks what must fit together.
+func (b *Config) checkConsistency(file string) (faults Errors) {
 	for _, pair := range [][2]string{{"drain.door", "drain.choose"}, {"drain.choose", "drain.end"}} {
 		if b.Duration(pair[0]) > b.Duration(pair[1]) {
 			faults = append(faults, Error{File: file, Key: pair[1],
@@ -104,7 +104,7 @@
 	return faults
 }
 
-func (b *Config) readFile(file string, text []byte) (faults Errors) {
+func (b *Config) parseFile(file string, text []byte) (faults Errors) {
 	var all map[string]any
 	if err := toml.Unmarshal(text, &all); err != nil {
 		f := Error{File: file, Want: "TOML", Got: err.Error()}
@@ -122,23 +122,23 @@
 		e := p.Expression()
 		switch e.Kind {
 		case unstable.Table, unstable.ArrayTable:
-			table, _ = path(&p, nil, e)
+			table, _ = keyPath(&p, nil, e)
 			if e.Kind == unstable.ArrayTable {
-				name, line := path(&p, nil, e)
+				name, line := keyPath(&p, nil, e)
 				faults = append(
 					faults,
 					Error{file, line, strings.Join(name, "."), "a table", "a list of tables"},
 				)
 			}
 		case unstable.KeyValue:
-			faults = b.pair(&p, file, table, e, faults)
+			faults = b.parsePair(&p, file, table, e, faults)
 		}
 	}
 	return faults
 }
 
-// path is the whole name of an expression and its line.
-func path(p *unstable.Parser, table []string, e *unstable.Node) (name []string, line int) {
+// keyPath is the whole name of an expression and its line.
+func keyPath(p *unstable.Parser, table []string, e *unstable.Node) (name []string, line int) {
 	name = slices.Clone(table)
 	for it := e.Key(); it.Next(); {
 		n := it.Node()
@@ -148,19 +148,19 @@
 	return name, line
 }
 
-func (b *Config) pair(p *unstable.Parser, file string, table []string, e *unstable.Node, faults Errors) Errors {
-	parts, line := path(p, table, e)
+func (b *Config) parsePair(p *unstable.Parser, file string, table []string, e *unstable.Node, faults Errors) Errors {
+	parts, line := keyPath(p, table, e)
 	v, name := e.Value(), strings.Join(parts, ".")
 	if v.Kind == unstable.InlineTable {
 		for it := v.Children(); it.Next(); {
-			faults = b.pair(p, file, parts, it.Node(), faults)
+			faults = b.parsePair(p, file, parts, it.Node(), faults)
 		}
 		return faults
 	}
-	k := keyOf(name)
+	k := findKey(name)
 	if k == nil {
 		want := "a key of `jaspersill config reference`"
-		if near := nearest(name); near != "" {
+		if near := closestKey(name); near != "" {
 			want = near + ", or another key of `jaspersill config reference`"
 		}
 		return append(faults, Error{file, line, name, want, "no such key"})
@@ -172,7 +172,7 @@
 		if quoted {
 			got = strconv.Quote(got)
 		}
-		return append(faults, Error{file, line, name, k.Kind.form(), got})
+		return append(faults, Error{file, line, name, k.Kind.syntax(), got})
 	}
 	return b.set(file, line, *k, got, file+":"+strconv.Itoa(line), faults)
 }
@@ -185,7 +185,7 @@
 		}
 		return append(faults, Error{file, line, k.Name, want, strconv.Quote(got)})
 	}
-	v.from = from
+	v.source = from
 	b.values[k.Name] = v
 	return faults
 }
@@ -215,14 +215,14 @@
 			}
 		}
 	default:
-		v.number, err = number(k.Kind, strings.ReplaceAll(text, "_", ""))
+		v.number, err = parseNumber(k.Kind, strings.ReplaceAll(text, "_", ""))
 	}
 	if err != nil {
-		return v, k.Kind.form()
+		return v, k.Kind.syntax()
 	}
 	if k.Min != "" {
-		least, _ := number(k.Kind, k.Min)
-		most, _ := number(k.Kind, k.Max)
+		least, _ := parseNumber(k.Kind, k.Min)
+		most, _ := parseNumber(k.Kind, k.Max)
 		if v.number < least || v.number > most {
 			return v, k.Min + " to " + k.Max
 		}
@@ -230,16 +230,16 @@
 	return v, ""
 }
 
-var errUnit = errors.New("a unit is missing")
+var errMissingUnit = errors.New("a unit is missing")
 
-func number(kind Kind, text string) (float64, error) {
+func parseNumber(kind Kind, text string) (float64, error) {
 	switch kind {
 	case Duration:
 		d, err := time.ParseDuration(text)
 		return float64(d), err
 	case Size:
 		if text == "" || text[len(text)-1] <= '9' {
-			return 0, errUnit
+			return 0, errMissingUnit
 		}
 		n, err := units.ParseStrictBytes(text)
 		return float64(n), err
@@ -289,7 +289,7 @@
 func (b *Config) Text(name string) string { return b.values[name].text }
 
 // Source tells who said what is in force: default, environment, platform, or a file and line.
-func (b *Config) Source(name string) string { return b.values[name].from }
+func (b *Config) Source(name string) string { return b.values[name].source }
 
 // Diff tells the keys in which two books differ, those that may change under way and those that may not.
 func (b *Config) Diff(next *Config) (live, restart []string) {
--- a/config/keys.go
+++ b/config/keys.go
@@ -26,8 +26,8 @@
 	return [...]string{"text", "word", "whole number", "number", "time", "size", "address"}[k]
 }
 
-// form tells how a value of a kind is written in the file.
-func (k Kind) form() string {
+// syntax tells how a value of a kind is written in the file.
+func (k Kind) syntax() string {
 	return [...]string{`a text in quotes`, `a word in quotes`, `a whole number`, `a number`,
 		`a time with its unit in quotes, as "250ms"`, `a size with its unit in quotes, as "64KiB"`,
 		`"HOST:PORT"`}[k]
@@ -48,7 +48,7 @@
 // PartLevelPrefix begins the names of the keys that give one part's lines a level of their own.
 const PartLevelPrefix = "log.parts."
 
-var levels = []string{"error", "warning", "info", "debug"}
+var logLevels = []string{"error", "warning", "info", "debug"}
 
 // Keys is the table of all keys, in the order of the reference.
 var Keys = func() []Key {
@@ -98,7 +98,7 @@
 
 		{Name: "log.format", Kind: Enum, Allowed: []string{"text", "json"}, Default: "text", Reloadable: true,
 			Description: "How lines are written."},
-		{Name: "log.level", Kind: Enum, Allowed: levels, Default: "info", Reloadable: true,
+		{Name: "log.level", Kind: Enum, Allowed: logLevels, Default: "info", Reloadable: true,
 			Description: "Lines of less weight are not written."},
 		{Name: "log.burst", Kind: Int, Default: "20", Min: "1", Max: "1000000", Reloadable: true,
 			Description: "Lines of one message that are written in each log.window. The rest is counted and told."},
@@ -106,7 +106,7 @@
 			Description: "Time in which log.burst lines of one message are written."},
 	}
 	for _, part := range LogParts {
-		keys = append(keys, Key{Name: PartLevelPrefix + part, Kind: Enum, Allowed: levels, Reloadable: true,
+		keys = append(keys, Key{Name: PartLevelPrefix + part, Kind: Enum, Allowed: logLevels, Reloadable: true,
 			Description: "Level of the lines of the part " + part + "; log.level where it is not told."})
 	}
 	return keys
@@ -115,7 +115,7 @@
 // LogParts are the parts of the node whose lines may have a level of their own.
 var LogParts = []string{"node", "clients", "endpoints", "directory", "notices", "peers", "journal", "settings"}
 
-func keyOf(name string) *Key {
+func findKey(name string) *Key {
 	for i := range Keys {
 		if Keys[i].Name == name {
 			return &Keys[i]
@@ -129,19 +129,19 @@
 	return "JASPERSILL_" + strings.ToUpper(strings.ReplaceAll(name, ".", "_"))
 }
 
-// nearest tells the key that a wrong name comes closest to, or nothing where none is near.
-func nearest(name string) string {
+// closestKey tells the key that a wrong name comes closest to, or nothing where none is near.
+func closestKey(name string) string {
 	best, least := "", len(name)/2+1
 	for _, k := range Keys {
-		if d := distance(name, k.Name); d < least {
+		if d := editDistance(name, k.Name); d < least {
 			best, least = k.Name, d
 		}
 	}
 	return best
 }
 
-// distance is the fewest letters to change, add or leave out that make one text of the other.
-func distance(a, b string) int {
+// editDistance is the fewest letters to change, add or leave out that make one text of the other.
+func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
--- a/idmap/idmap.go
+++ b/idmap/idmap.go
@@ -3,24 +3,24 @@
 
 // Table maps the ids of one kind. The zero value is empty and ready.
 type Table[K comparable] struct {
-	of   map[K]int32
-	ids  []K
-	free []int32
+	index map[K]int32
+	ids   []K
+	free  []int32
 }
 
 // Lookup returns the index of an id that was taken.
 func (t *Table[K]) Lookup(id K) (int32, bool) {
-	i, ok := t.of[id]
+	i, ok := t.index[id]
 	return i, ok
 }
 
 // Acquire returns the index of an id and whether it was given out by this call.
 func (t *Table[K]) Acquire(id K) (i int32, fresh bool) {
-	if i, ok := t.of[id]; ok {
+	if i, ok := t.index[id]; ok {
 		return i, false
 	}
-	if t.of == nil {
-		t.of = make(map[K]int32)
+	if t.index == nil {
+		t.index = make(map[K]int32)
 	}
 	if last := len(t.free) - 1; last >= 0 {
 		i, t.free = t.free[last], t.free[:last]
@@ -29,7 +29,7 @@
 		i = int32(len(t.ids))
 		t.ids = append(t.ids, id)
 	}
-	t.of[id] = i
+	t.index[id] = i
 	return i, true
 }
 
@@ -41,8 +41,8 @@
 
 // Release frees an index; one that is free already stays so.
 func (t *Table[K]) Release(i int32) {
-	if at, ok := t.of[t.ids[i]]; ok && at == i {
-		delete(t.of, t.ids[i])
+	if at, ok := t.index[t.ids[i]]; ok && at == i {
+		delete(t.index, t.ids[i])
 		var none K
 		t.ids[i] = none
 		t.free = append(t.free, i)
--- a/logs/logs.go
+++ b/logs/logs.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	partField  = "part"
-	eventField = "event"
-	heldField  = "held_back"
-	manyKinds  = 256 // messages told apart; beyond, the others share one count: memory stays bounded
-	otherKinds = "other messages"
+	partField       = "part"
+	eventField      = "event"
+	suppressedField = "held_back"
+	maxMessages     = 256 // messages told apart; beyond, the others share one count: memory stays bounded
+	otherMessages   = "other messages"
 
 	// timestampFormat has milliseconds: answers and the calls that they are told apart from come within a few.
 	timestampFormat = "2006-01-02T15:04:05.000Z07:00"
@@ -22,27 +22,27 @@
 
 // Formatter decides which lines are written, and formats them. The zero value is not ready: use New.
 type Formatter struct {
-	mu     sync.Mutex
-	inner  logrus.Formatter
-	level  logrus.Level
-	parts  map[string]logrus.Level
-	burst  int
-	window time.Duration
-	now    func() time.Time
-	kinds  map[string]*kind
+	mu       sync.Mutex
+	inner    logrus.Formatter
+	level    logrus.Level
+	parts    map[string]logrus.Level
+	burst    int
+	window   time.Duration
+	now      func() time.Time
+	messages map[string]*messageStats
 }
 
-// kind is one message: when its window began, and the lines written and held back in it.
-type kind struct {
-	began         time.Time
-	written, held int
-	part          string
-	level         logrus.Level
+// messageStats is one message: when its window began, and the lines written and held back in it.
+type messageStats struct {
+	windowStart         time.Time
+	written, suppressed int
+	part                string
+	level               logrus.Level
 }
 
 // New returns a gate that writes text, at level info.
 func New() *Formatter {
-	g := &Formatter{now: time.Now, kinds: make(map[string]*kind)}
+	g := &Formatter{now: time.Now, messages: make(map[string]*messageStats)}
 	g.Configure("text", "info", nil, 20, 10*time.Second)
 	return g
 }
@@ -55,9 +55,9 @@
 	if format == "json" {
 		g.inner = &logrus.JSONFormatter{TimestampFormat: timestampFormat}
 	}
-	g.level, g.parts, g.burst, g.window = weight(level), make(map[string]logrus.Level), burst, window
+	g.level, g.parts, g.burst, g.window = parseLevel(level), make(map[string]logrus.Level), burst, window
 	for part, level := range parts {
-		g.parts[part] = weight(level)
+		g.parts[part] = parseLevel(level)
 	}
 }
 
@@ -72,7 +72,7 @@
 	return least
 }
 
-func weight(level string) logrus.Level {
+func parseLevel(level string) logrus.Level {
 	if l, err := logrus.ParseLevel(level); err == nil {
 		return l
 	}
@@ -91,33 +91,33 @@
 	if e.Level > most {
 		return nil, nil
 	}
-	if held, ok := g.pass(part, e.Message, e.Level); !ok {
+	if held, ok := g.allow(part, e.Message, e.Level); !ok {
 		return nil, nil
 	} else if held > 0 {
-		e.Data[heldField] = held
+		e.Data[suppressedField] = held
 	}
 	return g.inner.Format(e)
 }
 
-// pass tells whether a line may be written, and how many of its message were held back before it.
+// allow tells whether a line may be written, and how many of its message were held back before it.
 // Danger: a line for each event, while a partner or a disk fails, takes the CPU that the node was given.
-func (g *Formatter) pass(part, message string, level logrus.Level) (held int, ok bool) {
-	k := g.kinds[message]
+func (g *Formatter) allow(part, message string, level logrus.Level) (held int, ok bool) {
+	k := g.messages[message]
 	if k == nil {
-		if len(g.kinds) >= manyKinds {
-			message = otherKinds
+		if len(g.messages) >= maxMessages {
+			message = otherMessages
 		}
-		if k = g.kinds[message]; k == nil {
-			k = &kind{began: g.now(), part: part}
-			g.kinds[message] = k
+		if k = g.messages[message]; k == nil {
+			k = &messageStats{windowStart: g.now(), part: part}
+			g.messages[message] = k
 		}
 	}
 	k.level = level
-	if now := g.now(); now.Sub(k.began) >= g.window {
-		held, k.began, k.written, k.held = k.held, now, 0, 0
+	if now := g.now(); now.Sub(k.windowStart) >= g.window {
+		held, k.windowStart, k.written, k.suppressed = k.suppressed, now, 0, 0
 	}
 	if k.written >= g.burst {
-		k.held++
+		k.suppressed++
 		return 0, false
 	}
 	k.written++
@@ -129,21 +129,21 @@
 func (g *Formatter) ReportSuppressed(to *logrus.Logger) {
 	type line struct {
 		message string
-		kind    kind
+		kind    messageStats
 	}
 	var lines []line
 	g.mu.Lock()
-	for message, k := range g.kinds {
-		if g.now().Sub(k.began) >= g.window {
-			if k.held > 0 {
+	for message, k := range g.messages {
+		if g.now().Sub(k.windowStart) >= g.window {
+			if k.suppressed > 0 {
 				lines = append(lines, line{message, *k})
 			}
-			delete(g.kinds, message)
+			delete(g.messages, message)
 		}
 	}
 	g.mu.Unlock()
 	for _, l := range lines {
-		to.WithFields(logrus.Fields{partField: l.kind.part, heldField: l.kind.held}).
+		to.WithFields(logrus.Fields{partField: l.kind.part, suppressedField: l.kind.suppressed}).
 			Log(l.kind.level, l.message+" (lines held back)")
 	}
 }
--- a/logs/logs_test.go
+++ b/logs/logs_test.go
@@ -54,11 +54,11 @@
 	var out bytes.Buffer
 	g := New()
 	l := &logrus.Logger{Out: &out, Formatter: g, Hooks: logrus.LevelHooks{}, Level: g.MaxLevel()}
-	for i := range 20 * manyKinds {
+	for i := range 20 * maxMessages {
 		l.Info(fmt.Sprint("message ", i))
 	}
-	if lines := strings.Count(out.String(), "\n"); len(g.kinds) > manyKinds+1 || lines > 2*manyKinds {
-		t.Errorf("%d messages known, %d lines", len(g.kinds), lines)
+	if lines := strings.Count(out.String(), "\n"); len(g.messages) > maxMessages+1 || lines > 2*maxMessages {
+		t.Errorf("%d messages known, %d lines", len(g.messages), lines)
 	}
 }
 
@@ -67,7 +67,7 @@
 	reader, writer := io.Pipe() // nobody reads
 	lines := NewAsyncWriter(writer)
 	began := time.Now()
-	for range 3 * waitingLines {
+	for range 3 * queueCapacity {
 		lines.Write([]byte("a line\n"))
 	}
 	if took := time.Since(began); took > time.Second {
@@ -78,7 +78,7 @@
 		all, _ := io.ReadAll(reader)
 		text <- string(all)
 	}()
-	for deadline := time.Now().Add(10 * time.Second); len(lines.waiting) > 0 && time.Now().Before(deadline); {
+	for deadline := time.Now().Add(10 * time.Second); len(lines.queue) > 0 && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
 	lines.Flush()
@@ -94,7 +94,7 @@
 			accounted += dropped
 		}
 	}
-	if accounted != 3*waitingLines || !strings.Contains(got, "lines were dropped") {
-		t.Errorf("%d lines are written or counted as dropped, of %d", accounted, 3*waitingLines)
+	if accounted != 3*queueCapacity || !strings.Contains(got, "lines were dropped") {
+		t.Errorf("%d lines are written or counted as dropped, of %d", accounted, 3*queueCapacity)
 	}
 }
--- a/peermsg/peermsg.go
+++ b/peermsg/peermsg.go
@@ -5,11 +5,11 @@
 import "encoding/binary"
 
 const (
-	kindGood     = 1
-	kindGoodHost = 3 // 2 had no order
+	kindHealthy     = 1
+	kindHealthyHost = 3 // 2 had no order
 )
 
-const orderSize = 8 + 4 // bytes
+const sequenceSize = 8 + 4 // bytes
 
 // Sequence places a datagram among those of its sender, over all its processes. Datagrams may come late, twice and in
 // another order than they were sent.
@@ -31,12 +31,12 @@
 
 // EncodeHealthy encodes that an endpoint answers well.
 func EncodeHealthy(endpoint uint32) []byte {
-	return binary.LittleEndian.AppendUint32([]byte{kindGood}, endpoint)
+	return binary.LittleEndian.AppendUint32([]byte{kindHealthy}, endpoint)
 }
 
 // DecodeHealthy decodes a note made by Good; ok is false for any other text.
 func DecodeHealthy(data []byte) (endpoint uint32, ok bool) {
-	if len(data) != 5 || data[0] != kindGood {
+	if len(data) != 5 || data[0] != kindHealthy {
 		return 0, false
 	}
 	return binary.LittleEndian.Uint32(data[1:]), true
@@ -44,15 +44,15 @@
 
 // EncodeHealthyHost is Good where endpoints have names.
 func EncodeHealthyHost(host string, o Sequence) []byte {
-	data := binary.LittleEndian.AppendUint64([]byte{kindGoodHost}, o.Incarnation)
+	data := binary.LittleEndian.AppendUint64([]byte{kindHealthyHost}, o.Incarnation)
 	return append(binary.LittleEndian.AppendUint32(data, o.Number), host...)
 }
 
 // DecodeHealthyHost decodes a note made by GoodHost; ok is false for any other text.
 func DecodeHealthyHost(data []byte) (host string, o Sequence, ok bool) {
-	if len(data) < 1+orderSize+1 || len(data) > MaxSize || data[0] != kindGoodHost {
+	if len(data) < 1+sequenceSize+1 || len(data) > MaxSize || data[0] != kindHealthyHost {
 		return "", Sequence{}, false
 	}
 	o = Sequence{Incarnation: binary.LittleEndian.Uint64(data[1:]), Number: binary.LittleEndian.Uint32(data[9:])}
-	return string(data[1+orderSize:]), o, true
+	return string(data[1+sequenceSize:]), o, true
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -36,31 +36,31 @@
 	ConnIdleTimeout, ConnectTimeout                                 int64    // connections: longest idle; to come up
 }
 
-// maxListed bounds a count claimed by the env text.
-const maxListed = 4096
+// maxListLength bounds a count claimed by the env text.
+const maxListLength = 4096
 
-type reader struct {
-	values map[string]string
-	known  map[string]bool // names that were asked for
-	err    error
+type parser struct {
+	values    map[string]string
+	requested map[string]bool // names that were asked for
+	err       error
 }
 
 // get returns what a name was told, and whether it was.
-func (e *reader) get(name string) (string, bool) {
-	e.known[name] = true
+func (e *parser) get(name string) (string, bool) {
+	e.requested[name] = true
 	v, ok := e.values[name]
 	return v, ok
 }
 
-func (e *reader) word(name string) string {
+func (e *parser) rawValue(name string) string {
 	v, _ := e.get(name)
 	return v
 }
 
-// unknown lists the names that were told and that nothing asked for, in order.
-func (e *reader) unknown() (names []string) {
+// unrequested lists the names that were told and that nothing asked for, in order.
+func (e *parser) unrequested() (names []string) {
 	for name := range e.values {
-		if !e.known[name] {
+		if !e.requested[name] {
 			names = append(names, name)
 		}
 	}
@@ -68,14 +68,14 @@
 	return names
 }
 
-func (e *reader) fail(name, value, want string) {
+func (e *parser) addError(name, value, want string) {
 	e.err = errors.Join(e.err, fmt.Errorf("settings: %s: want %s, got %q", name, want, value))
 }
 
-func (e *reader) text(name string, words ...string) string {
+func (e *parser) required(name string, words ...string) string {
 	v, ok := e.get(name)
 	if !ok {
-		e.fail(name, "", "a value")
+		e.addError(name, "", "a value")
 		return ""
 	}
 	for _, w := range words {
@@ -84,58 +84,58 @@
 		}
 	}
 	if len(words) > 0 {
-		e.fail(name, v, "one of "+strings.Join(words, " "))
+		e.addError(name, v, "one of "+strings.Join(words, " "))
 	}
 	return v
 }
 
-func (e *reader) number(name string, needed bool) float64 {
+func (e *parser) number(name string, needed bool) float64 {
 	v, ok := e.get(name)
 	if !ok && !needed {
 		return 0
 	}
 	f, err := strconv.ParseFloat(v, 64)
 	if err != nil || math.IsNaN(f) || f < 0 || f > 1e12 {
-		e.fail(name, v, "a number from 0 to 1e12")
+		e.addError(name, v, "a number from 0 to 1e12")
 		return 0
 	}
 	return f
 }
 
-func (e *reader) count(name string, needed bool) int {
+func (e *parser) count(name string, needed bool) int {
 	f := e.number(name, needed)
 	if f != math.Trunc(f) || f > 1e9 {
-		e.fail(name, e.word(name), "a whole number")
+		e.addError(name, e.rawValue(name), "a whole number")
 		return 0
 	}
 	return int(f)
 }
 
-// atLeast is a whole number under which nothing could be done.
-func (e *reader) atLeast(least int, name string) int {
+// countAtLeast is a whole number under which nothing could be done.
+func (e *parser) countAtLeast(least int, name string) int {
 	n := e.count(name, true)
 	if _, told := e.get(name); told && n < least && e.err == nil {
-		e.fail(name, e.word(name), fmt.Sprintf("%d or more", least))
+		e.addError(name, e.rawValue(name), fmt.Sprintf("%d or more", least))
 	}
 	return n
 }
 
-func (e *reader) time(name string, needed bool) int64 {
+func (e *parser) duration(name string, needed bool) int64 {
 	return int64(math.Round(e.number(name, needed) * 1e6))
 }
 
-func (e *reader) flag(name string) bool {
+func (e *parser) boolean(name string) bool {
 	v, ok := e.get(name)
 	if ok && v != "true" && v != "false" {
-		e.fail(name, v, "true or false")
+		e.addError(name, v, "true or false")
 	}
 	return v == "true"
 }
 
-func (e *reader) listed(name string) int {
+func (e *parser) listLength(name string) int {
 	n := e.count(name, false)
-	if n > maxListed {
-		e.fail(name, e.word(name), "at most 4096")
+	if n > maxListLength {
+		e.addError(name, e.rawValue(name), "at most 4096")
 		return 0
 	}
 	return n
@@ -149,7 +149,7 @@
 			values[name] = value
 		}
 	}
-	return read(values)
+	return parse(values)
 }
 
 // ParseJSON reads the same names from a nested object: a list of objects has its length under .count and its items
@@ -163,13 +163,13 @@
 	}
 	values := make(map[string]string)
 	flatten(values, "", nested)
-	return read(values)
+	return parse(values)
 }
 
 // NormalizeName is how a name looks among the values read at start.
-func NormalizeName(text string) string { return spaced.Replace(text) }
+func NormalizeName(text string) string { return separators.Replace(text) }
 
-var spaced = strings.NewReplacer(" ", "_", ",", "_")
+var separators = strings.NewReplacer(" ", "_", ",", "_")
 
 func flatten(values map[string]string, name string, value any) {
 	switch v := value.(type) {
@@ -185,7 +185,7 @@
 				flatten(values, name+"."+strconv.Itoa(objects), m)
 				objects++
 			} else {
-				plain = append(plain, spaced.Replace(fmt.Sprint(inner)))
+				plain = append(plain, separators.Replace(fmt.Sprint(inner)))
 			}
 		}
 		if objects > 0 {
@@ -195,110 +195,110 @@
 		}
 	case nil:
 	default:
-		values[name] = spaced.Replace(fmt.Sprint(v))
+		values[name] = separators.Replace(fmt.Sprint(v))
 	}
 }
 
-func read(values map[string]string) (Settings, error) {
-	e := &reader{values: values, known: make(map[string]bool)}
+func parse(values map[string]string) (Settings, error) {
+	e := &parser{values: values, requested: make(map[string]bool)}
 	var s Settings
 	halving := false
 	if _, ok := e.get("family_info.late"); ok {
-		halving = e.text("family_info.late", "even", "by_half") == "by_half"
+		halving = e.required("family_info.late", "even", "by_half") == "by_half"
 	}
 	safeties := map[string]delivery.Safety{
 		"repeatable": delivery.Idempotent, "by_key": delivery.Deduplicated, "once": delivery.NonIdempotent}
-	types := e.listed("services.count")
+	types := e.listLength("services.count")
 	if types == 0 && e.err == nil {
-		e.fail("services.count", e.word("services.count"), "1 or more")
+		e.addError("services.count", e.rawValue("services.count"), "1 or more")
 	}
 	for i := range types {
 		at := "services." + strconv.Itoa(i) + "."
 		t := delivery.StreamType{
-			Safety:           safeties[e.text(at+"semantics", "repeatable", "by_key", "once")],
-			SLO:              e.time(at+"aim_ms", true),
+			Safety:           safeties[e.required(at+"semantics", "repeatable", "by_key", "once")],
+			SLO:              e.duration(at+"aim_ms", true),
 			SLOPerWork:       e.number(at+"aim_stretch", false),
-			MaxAge:           e.time(at+"deadline_ms", true),
+			MaxAge:           e.duration(at+"deadline_ms", true),
 			Utility:          e.number(at+"value", true),
 			LateUtility:      e.number(at+"late_value", false),
-			Ordered:          e.flag(at + "sequential"),
+			Ordered:          e.boolean(at + "sequential"),
 			ExponentialDecay: halving,
 		}
 		if t.MaxAge == 0 && e.err == nil {
-			e.fail(at+"deadline_ms", e.word(at+"deadline_ms"), "over 0")
+			e.addError(at+"deadline_ms", e.rawValue(at+"deadline_ms"), "over 0")
 		}
 		if t.Safety == delivery.Deduplicated {
-			t.DedupWindow = e.time(at+"memory_span_ms", true)
-			t.DedupPerZone = e.text(at+"group", "all", "zone", "cell") == "zone"
+			t.DedupWindow = e.duration(at+"memory_span_ms", true)
+			t.DedupPerZone = e.required(at+"group", "all", "zone", "cell") == "zone"
 		}
 		s.StreamTypes = append(s.StreamTypes, t)
-		s.StreamTypeNames = append(s.StreamTypeNames, e.word(at+"name"))
+		s.StreamTypeNames = append(s.StreamTypeNames, e.rawValue(at+"name"))
 	}
-	for i := range e.listed("projects.count") {
+	for i := range e.listLength("projects.count") {
 		s.Customers = append(s.Customers,
 			delivery.Customer{Rate: e.number("projects."+strconv.Itoa(i)+".quota_rps", true)})
-		s.CustomerNames = append(s.CustomerNames, e.word("projects."+strconv.Itoa(i)+".name"))
+		s.CustomerNames = append(s.CustomerNames, e.rawValue("projects."+strconv.Itoa(i)+".name"))
 	}
 	s.OverShareUtility = 1
 	if _, ok := e.get("over_share_worth"); ok {
 		s.OverShareUtility = e.number("over_share_worth", true)
 	}
-	perCall := split(e.word("family_info.per_call"))
-	routes := split(e.word("family_info.own_limits"))
-	s.DestinationKindNames, s.ZoneNames = split(e.text("models")), split(e.word("areas"))
+	perCall := splitList(e.rawValue("family_info.per_call"))
+	routes := splitList(e.rawValue("family_info.own_limits"))
+	s.DestinationKindNames, s.ZoneNames = splitList(e.required("models")), splitList(e.rawValue("areas"))
 	for i := range s.DestinationKindNames {
 		p := delivery.DestinationKind{MaxEventsPerCall: 1}
 		if i < len(perCall) {
 			n, err := strconv.Atoi(perCall[i])
 			if err != nil || n < 1 {
-				e.fail("family_info.per_call", perCall[i], "whole numbers from 1")
+				e.addError("family_info.per_call", perCall[i], "whole numbers from 1")
 			}
 			p.MaxEventsPerCall = n
 		}
 		if i < len(routes) {
 			if routes[i] != "true" && routes[i] != "false" {
-				e.fail("family_info.own_limits", routes[i], "true or false")
+				e.addError("family_info.own_limits", routes[i], "true or false")
 			}
 			p.LimitPerEndpoint = routes[i] == "true"
 		}
 		s.DestinationKinds = append(s.DestinationKinds, p)
 	}
 	s.Limits = delivery.Limits{
-		MaxConcurrentCalls: e.atLeast(1, "family_info.slots"),
-		MaxEvents:          e.atLeast(1, "ceilings.max_open"),
-		MaxAttempts:        e.atLeast(1, "ceilings.max_attempts"),
-		CanCancel:          e.flag("ceilings.cancel"),
+		MaxConcurrentCalls: e.countAtLeast(1, "family_info.slots"),
+		MaxEvents:          e.countAtLeast(1, "ceilings.max_open"),
+		MaxAttempts:        e.countAtLeast(1, "ceilings.max_attempts"),
+		CanCancel:          e.boolean("ceilings.cancel"),
 	}
-	if e.flag("ceilings.retry_after") {
-		s.Limits.MaxRetryAfter = e.time("ceilings.max_retry_after_ms", false)
+	if e.boolean("ceilings.retry_after") {
+		s.Limits.MaxRetryAfter = e.duration("ceilings.max_retry_after_ms", false)
 	}
 	s.Recovery = delivery.Recovery{
 		ColdShare:      e.number("rules.cold_share", true),
-		WarmupTime:     e.time("rules.ramp_time_ms", true),
+		WarmupTime:     e.duration("rules.ramp_time_ms", true),
 		OverloadFactor: e.number("rules.fall_multiple", true),
-		OverloadAfter:  e.time("rules.tip_after_ms", true),
+		OverloadAfter:  e.duration("rules.tip_after_ms", true),
 	}
 	s.Directory = delivery.Directory{
-		RequiresWatch: e.text("discovery", "automatic", "subscribe") == "subscribe",
-		DrainGrace:    e.time("rules.drain_grace_ms", true),
+		RequiresWatch: e.required("discovery", "automatic", "subscribe") == "subscribe",
+		DrainGrace:    e.duration("rules.drain_grace_ms", true),
 	}
 	s.Cluster = delivery.Cluster{
 		Self:         e.count("me", true),
-		Nodes:        e.atLeast(1, "replicas_of_me"),
-		PeerMessages: e.flag("ceilings.peer_messages"),
-		Probes:       e.flag("ceilings.probes"),
+		Nodes:        e.countAtLeast(1, "replicas_of_me"),
+		PeerMessages: e.boolean("ceilings.peer_messages"),
+		Probes:       e.boolean("ceilings.probes"),
 	}
-	s.HasRates = e.word("weight_kind") == "nominal" || e.word("weight_kind") == "rough"
-	names := split(e.word("feedback.names"))
+	s.HasRates = e.rawValue("weight_kind") == "nominal" || e.rawValue("weight_kind") == "rough"
+	names := splitList(e.rawValue("feedback.names"))
 	s.FreeShareIndex, s.LimitIndex = slices.Index(names, "x0"), slices.Index(names, "x1")
-	s.OrderPause = e.time("rules.order_pause_ms", false)
-	s.MinRoundInterval, s.ConnIdleTimeout = e.time("tick_ms", false), e.time("ceilings.conn_idle_ms", false)
-	s.ConnectTimeout = e.time("ceilings.connect_timeout_ms", false)
-	s.UnknownKeys = e.unknown()
+	s.OrderPause = e.duration("rules.order_pause_ms", false)
+	s.MinRoundInterval, s.ConnIdleTimeout = e.duration("tick_ms", false), e.duration("ceilings.conn_idle_ms", false)
+	s.ConnectTimeout = e.duration("ceilings.connect_timeout_ms", false)
+	s.UnknownKeys = e.unrequested()
 	return s, e.err
 }
 
-func split(list string) []string {
+func splitList(list string) []string {
 	if list == "" {
 		return nil
 	}
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-const lines = `models=big,small_one
+const linesText = `models=big,small_one
 areas=here
 discovery=subscribe
 ceilings.max_open=50
@@ -41,7 +41,7 @@
 projects.1.quota_rps=4
 unknown.key=skipped`
 
-const nested = `{"models":["big","small one"],"areas":["here"],"discovery":"subscribe",
+const jsonText = `{"models":["big","small one"],"areas":["here"],"discovery":"subscribe",
  "ceilings":{"max_open":50,"max_attempts":4,"retry_after":true,"max_retry_after_ms":1500.5,
   "conn_idle_ms":15000,"connect_timeout_ms":1500},
  "family_info":{"slots":5,"per_call":[3,1]},"feedback":{"names":["x1","x0"]},"me":1,
@@ -52,11 +52,11 @@
  "projects":[{"name":"acme","quota_rps":3},{"name":"a,b c","quota_rps":4}],"unknown":{"key":null}}`
 
 func TestLinesAndJSONParseAlike(t *testing.T) {
-	a, err := ParseLines(lines)
+	a, err := ParseLines(linesText)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := ParseJSON([]byte(nested))
+	b, err := ParseJSON([]byte(jsonText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,10 +85,10 @@
 		{`"max_attempts":4`, `"max_attempts":0`, `ceilings.max_attempts: want 1 or more, got "0"`},
 		{`"replicas_of_me":2`, `"replicas_of_me":0`, `replicas_of_me: want 1 or more, got "0"`},
 		{`"deadline_ms":9000`, `"deadline_ms":0`, `services.0.deadline_ms: want over 0, got "0"`},
-		{nested, "", "settings: "},
-		{nested, "[]", "settings: "},
+		{jsonText, "", "settings: "},
+		{jsonText, "[]", "settings: "},
 	} {
-		_, err := ParseJSON([]byte(strings.Replace(nested, c.old, c.new, 1)))
+		_, err := ParseJSON([]byte(strings.Replace(jsonText, c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: got %v, want %q", c.new, err, c.want)
 		}
--- a/simwire/simwire_test.go
+++ b/simwire/simwire_test.go
@@ -13,7 +13,7 @@
 	"jaspersill/settings"
 )
 
-var launchEnv = strings.ReplaceAll(`models=big,small discovery=subscribe ceilings.max_open=50 ceilings.max_attempts=4 `+
+var launchSettings = strings.ReplaceAll(`models=big,small discovery=subscribe ceilings.max_open=50 ceilings.max_attempts=4 `+
 	`ceilings.retry_after=true ceilings.max_retry_after_ms=1500 family_info.slots=5 `+
 	`family_info.per_call=3,1 family_info.own_limits=false,true feedback.names=tps,x1,x0 `+
 	`weight_kind=nominal me=0 replicas_of_me=2 rules.cold_share=0.2 rules.ramp_time_ms=9000 `+
@@ -59,62 +59,64 @@
 		e = le.AppendUint32(e, math.Float32bits(4.5))
 		f.tail = append(f.tail, append(e, make([]byte, 8)...)...)
 	}
-	return f.put(evCatalog, table, at, uint32(len(eps)))
+	return f.put(eventCatalog, table, at, uint32(len(eps)))
 }
 
-// script is a Decider that says what comes in and does what the test tells.
-type script struct {
-	said []string
-	act  func(delivery.Executor)
+// scriptedScheduler is a Decider that says what comes in and does what the test tells.
+type scriptedScheduler struct {
+	calls []string
+	act   func(delivery.Executor)
 }
 
-func (s *script) Round(now int64, feed delivery.Feed, out delivery.Executor) {
-	s.say("round", now)
+func (s *scriptedScheduler) Round(now int64, feed delivery.Feed, out delivery.Executor) {
+	s.record("round", now)
 	feed.Deliver(s)
 	s.act(out)
 }
 
-func (s *script) say(a ...any) { s.said = append(s.said, strings.Trim(fmt.Sprintln(a...), "\n")) }
-func (s *script) Event(e int32, typ, customer int, key uint64, left, work int64, dest int32) {
-	s.say("event", e, typ, customer, key, left, work, dest)
-}
-func (s *script) ProcessingStarted(e int32, send int) { s.say("begun", e, send) }
-func (s *script) Resumed(e int32, sends int, mayRun bool, ago int64, zone int) {
-	s.say("resumed", e, sends, mayRun, ago, zone)
-}
-func (s *script) Outcome(e int32, send int, ep int32, how delivery.Outcome, wait, took int64, ended bool, left, limit float64) {
-	s.say("outcome", e, send, ep, uint8(how), wait, took, ended, left, limit)
-}
-func (s *script) Withdrawn(e int32)             { s.say("withdrawn", e) }
-func (s *script) Unconfirmed(e int32, send int) { s.say("unconfirmed", e, send) }
-func (s *script) Confirmed(e int32, send int)   { s.say("confirmed", e, send) }
-func (s *script) ListStarted(whole bool)        { s.say("list", whole) }
-func (s *script) EndpointListed(ep, dest int32, partner, zone int, state delivery.EndpointState, rate float64) {
-	s.say("listed", ep, dest, partner, zone, state, rate)
-}
-func (s *script) ListEnded()  { s.say("list ends") }
-func (s *script) ListFailed() { s.say("list failed") }
-func (s *script) Probed(ep int32, how delivery.Outcome, took int64, left, limit float64) {
-	s.say("probed", ep, how)
-}
-func (s *script) PeerReportedHealthy(peer int, ep int32) { s.say("good", peer, ep) }
-func (s *script) Woken()                                 { s.say("woken") }
-func (s *script) RetryAfter() int64                      { return 0 }
+func (s *scriptedScheduler) record(a ...any) {
+	s.calls = append(s.calls, strings.Trim(fmt.Sprintln(a...), "\n"))
+}
+func (s *scriptedScheduler) Event(e int32, typ, customer int, key uint64, left, work int64, dest int32) {
+	s.record("event", e, typ, customer, key, left, work, dest)
+}
+func (s *scriptedScheduler) ProcessingStarted(e int32, send int) { s.record("begun", e, send) }
+func (s *scriptedScheduler) Resumed(e int32, sends int, mayRun bool, ago int64, zone int) {
+	s.record("resumed", e, sends, mayRun, ago, zone)
+}
+func (s *scriptedScheduler) Outcome(e int32, send int, ep int32, how delivery.Outcome, wait, took int64, ended bool, left, limit float64) {
+	s.record("outcome", e, send, ep, uint8(how), wait, took, ended, left, limit)
+}
+func (s *scriptedScheduler) Withdrawn(e int32)             { s.record("withdrawn", e) }
+func (s *scriptedScheduler) Unconfirmed(e int32, send int) { s.record("unconfirmed", e, send) }
+func (s *scriptedScheduler) Confirmed(e int32, send int)   { s.record("confirmed", e, send) }
+func (s *scriptedScheduler) ListStarted(whole bool)        { s.record("list", whole) }
+func (s *scriptedScheduler) EndpointListed(ep, dest int32, partner, zone int, state delivery.EndpointState, rate float64) {
+	s.record("listed", ep, dest, partner, zone, state, rate)
+}
+func (s *scriptedScheduler) ListEnded()  { s.record("list ends") }
+func (s *scriptedScheduler) ListFailed() { s.record("list failed") }
+func (s *scriptedScheduler) Probed(ep int32, how delivery.Outcome, took int64, left, limit float64) {
+	s.record("probed", ep, how)
+}
+func (s *scriptedScheduler) PeerReportedHealthy(peer int, ep int32) { s.record("good", peer, ep) }
+func (s *scriptedScheduler) Woken()                                 { s.record("woken") }
+func (s *scriptedScheduler) RetryAfter() int64                      { return 0 }
 
 func TestFramesRoundTrip(t *testing.T) {
 	var in, out bytes.Buffer
-	f := new(frame).put(evTo, uint16(3)).put(evLaunch, uint64(99), launchEnv).catalog(2, 70, 80).
-		put(evTopology, byte(topoCached), uint64(1), uint16(2)).catalog(2, 90)
-	f.put(evTopology, byte(topoChanges), uint64(2), uint16(2))
-	f.put(evKnock, uint64(501), uint16(0), uint16(1), uint64(6), 2500.5, 0.0, float32(7), byte(2))
+	f := new(frame).put(eventTo, uint16(3)).put(eventLaunch, uint64(99), launchSettings).catalog(2, 70, 80).
+		put(eventTopology, byte(topologyCached), uint64(1), uint16(2)).catalog(2, 90)
+	f.put(eventTopology, byte(topologyChanges), uint64(2), uint16(2))
+	f.put(eventKnock, uint64(501), uint16(0), uint16(1), uint64(6), 2500.5, 0.0, float32(7), byte(2))
 	in.Write(f.bytes(1, 1000))
-	f = new(frame).put(evTo, uint16(3))
-	f.put(evFinished, uint64(501), uint32(250), uint16(429), 12.5, uint16(0), byte(0), uint32(80),
+	f = new(frame).put(eventTo, uint16(3))
+	f.put(eventFinished, uint64(501), uint32(250), uint16(429), 12.5, uint16(0), byte(0), uint32(80),
 		byte(3), float32(1), float32(8), float32(0.5))
-	f.put(evMemo, uint16(1), string([]byte{1, 90, 0, 0, 0})).put(evReminder, uint64(0)).put(evAbandoned, uint64(777))
+	f.put(eventMemo, uint16(1), string([]byte{1, 90, 0, 0, 0})).put(eventReminder, uint64(0)).put(eventAbandoned, uint64(777))
 	in.Write(f.bytes(2, 1005.25))
 	in.Write(new(frame).bytes(3, 1010))
-	s := &script{}
+	s := &scriptedScheduler{}
 	rounds := 0
 	s.act = func(w delivery.Executor) {
 		if rounds++; rounds == 1 {
@@ -128,14 +130,14 @@
 		}
 	}
 	var got settings.Settings
-	if err := Serve(&in, &out, func(seed uint64, st settings.Settings) delivery.Scheduler { got = st; s.say("seed", seed); return s }); err != nil {
+	if err := Serve(&in, &out, func(seed uint64, st settings.Settings) delivery.Scheduler { got = st; s.record("seed", seed); return s }); err != nil {
 		t.Fatal(err)
 	}
 	want := []string{"seed 99", "round 1000000000", "list true", "listed 0 0 1 1 2 4.5", "listed 1 0 1 1 2 4.5",
 		"list ends", "list false", "listed 2 0 1 1 2 4.5", "list ends", "event 0 0 1 6 2500500000 0 0",
 		"round 1005250000", "outcome 0 0 1 2 250000000 12500000 false 0.5 8", "good 1 2", "woken"}
-	if !slices.Equal(s.said, want) {
-		t.Errorf("got\n%s\nwant\n%s", strings.Join(s.said, "\n"), strings.Join(want, "\n"))
+	if !slices.Equal(s.calls, want) {
+		t.Errorf("got\n%s\nwant\n%s", strings.Join(s.calls, "\n"), strings.Join(want, "\n"))
 	}
 	typ := delivery.StreamType{Safety: delivery.Deduplicated, DedupPerZone: true, DedupWindow: 5e9, SLO: 1e9, MaxAge: 9e9, Utility: 2}
 	if got.StreamTypes[0] != typ || got.DestinationKinds[0] != (delivery.DestinationKind{MaxEventsPerCall: 3}) || got.DestinationKinds[1] != (delivery.DestinationKind{LimitPerEndpoint: true, MaxEventsPerCall: 1}) ||
@@ -152,20 +154,20 @@
 	reply := func(seq, count, size uint32) string {
 		return string(le.AppendUint32(le.AppendUint32(le.AppendUint32(nil, seq), count), size))
 	}
-	bytesWanted := reply(1, 5, 5*actionSize+5) + record(acOnBehalf, uint16(3)) +
-		record(acIssue, uint64(501), uint32(80), 1.5) + record(acRemind, 5.0, uint64(0)) + record(acKeepInformed, byte(1)) +
-		record(acMemoTo, uint16(allPeers), uint32(0), uint32(5)) + "\x01\x5a\x00\x00\x00" +
-		reply(2, 3, 3*actionSize+13) + record(acOnBehalf, uint16(3)) + record(acBounce, uint64(501), 700.0) +
-		record(acWriteLog, uint32(0), uint32(13)) + "two words: 80" + reply(3, 0, 0)
+	bytesWanted := reply(1, 5, 5*actionSize+5) + record(actionOnBehalf, uint16(3)) +
+		record(actionIssue, uint64(501), uint32(80), 1.5) + record(actionRemind, 5.0, uint64(0)) + record(actionKeepInformed, byte(1)) +
+		record(actionMemoTo, uint16(allPeers), uint32(0), uint32(5)) + "\x01\x5a\x00\x00\x00" +
+		reply(2, 3, 3*actionSize+13) + record(actionOnBehalf, uint16(3)) + record(actionBounce, uint64(501), 700.0) +
+		record(actionWriteLog, uint32(0), uint32(13)) + "two words: 80" + reply(3, 0, 0)
 	if out.String() != bytesWanted {
 		t.Errorf("replies\n%x\nwant\n%x", out.String(), bytesWanted)
 	}
 }
 
 func TestInvalidInputIsReported(t *testing.T) {
-	begin := func() *frame { return new(frame).put(evTo, uint16(3)).put(evLaunch, uint64(9), launchEnv) }
+	begin := func() *frame { return new(frame).put(eventTo, uint16(3)).put(eventLaunch, uint64(9), launchSettings) }
 	withEnv := func(from, to string) []byte {
-		return new(frame).put(evTo, uint16(3)).put(evLaunch, uint64(9), strings.Replace(launchEnv, from, to, 1)).bytes(1, 0)
+		return new(frame).put(eventTo, uint16(3)).put(eventLaunch, uint64(9), strings.Replace(launchSettings, from, to, 1)).bytes(1, 0)
 	}
 	whole := begin().bytes(1, 0)
 	for _, c := range []struct {
@@ -175,20 +177,22 @@
 		{whole[:7], "batch header: input ends inside it"},
 		{whole[:40], "input ends after 20 of"},
 		{begin().put(99).bytes(1, 0), "record 2: unknown event code 99"},
-		{new(frame).put(evReminder, uint64(1)).bytes(1, 0), "event code 7 before any To"},
-		{begin().put(evTopology, byte(3), uint64(1), uint16(4)).bytes(1, 0), "Catalog 4 was never defined"},
-		{begin().put(evCatalog, uint16(16)).bytes(1, 0), "Catalog number 16"},
-		{begin().put(evCatalog, uint16(1), uint32(0), uint32(1<<31)).bytes(1, 0), "pass the tail's"},
-		{begin().put(evMemo, uint16(1), uint32(1<<30), uint32(9)).bytes(1, 0), "Memo: offset 1073741824"},
-		{begin().put(evFinished, uint64(1), uint32(0), uint16(299), 1.0).bytes(1, 0), "code 299"},
-		{begin().put(evKnock, uint64(1), uint16(0), uint16(0), uint64(0), math.NaN()).bytes(1, 0), "left_ms NaN"},
+		{new(frame).put(eventReminder, uint64(1)).bytes(1, 0), "event code 7 before any To"},
+		{begin().put(eventTopology, byte(3), uint64(1), uint16(4)).bytes(1, 0), "Catalog 4 was never defined"},
+		{begin().put(eventCatalog, uint16(16)).bytes(1, 0), "Catalog number 16"},
+		{begin().put(eventCatalog, uint16(1), uint32(0), uint32(1<<31)).bytes(1, 0), "pass the tail's"},
+		{begin().put(eventMemo, uint16(1), uint32(1<<30), uint32(9)).bytes(1, 0), "Memo: offset 1073741824"},
+		{begin().put(eventFinished, uint64(1), uint32(0), uint16(299), 1.0).bytes(1, 0), "code 299"},
+		{begin().put(eventKnock, uint64(1), uint16(0), uint16(0), uint64(0), math.NaN()).bytes(1, 0), "left_ms NaN"},
 		{begin().bytes(1, math.Inf(1)), "clock +Inf"},
 		{withEnv("me=0", "me=x"), `settings: me: want a number from 0 to 1e12, got "x"`},
 		{withEnv("rules.cold_share=0.2\n", ""), `settings: rules.cold_share: want a number`},
 		{withEnv("by_key", "sometimes"), `services.0.semantics: want one of repeatable by_key once, got "sometimes"`},
 		{withEnv("services.count=1", "services.count=900000000"), `settings: services.count: want at most 4096`},
 	} {
-		err := Serve(bytes.NewReader(c.in), &bytes.Buffer{}, func(uint64, settings.Settings) delivery.Scheduler { return &script{act: func(delivery.Executor) {}} })
+		err := Serve(bytes.NewReader(c.in), &bytes.Buffer{}, func(uint64, settings.Settings) delivery.Scheduler {
+			return &scriptedScheduler{act: func(delivery.Executor) {}}
+		})
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("want %q, got %v", c.want, err)
 		}
@@ -197,22 +201,22 @@
 
 func TestPanicBecomesBailOut(t *testing.T) {
 	var out bytes.Buffer
-	s := &script{act: func(w delivery.Executor) { w.Watch(true); panic("lost count") }}
-	in := new(frame).put(evTo, uint16(3)).put(evLaunch, uint64(9), launchEnv).bytes(1, 0)
+	s := &scriptedScheduler{act: func(w delivery.Executor) { w.Watch(true); panic("lost count") }}
+	in := new(frame).put(eventTo, uint16(3)).put(eventLaunch, uint64(9), launchSettings).bytes(1, 0)
 	if err := Serve(bytes.NewReader(in), &out, func(uint64, settings.Settings) delivery.Scheduler { return s }); err != nil {
 		t.Fatal(err)
 	}
-	if b := out.Bytes(); len(b) < 60 || b[4] != 2 || b[12+actionSize] != acBailOut || !bytes.HasSuffix(b, []byte("lost count")) {
+	if b := out.Bytes(); len(b) < 60 || b[4] != 2 || b[12+actionSize] != actionBailOut || !bytes.HasSuffix(b, []byte("lost count")) {
 		t.Errorf("reply %x", b)
 	}
 }
 
 func FuzzServe(f *testing.F) {
-	b := new(frame).put(evTo, uint16(3)).put(evLaunch, uint64(9), launchEnv).catalog(0, 5)
-	b.put(evTopology, byte(3), uint64(1), uint16(0)).put(evKnock, uint64(1), uint16(0), uint16(0), uint64(0), 90.0)
+	b := new(frame).put(eventTo, uint16(3)).put(eventLaunch, uint64(9), launchSettings).catalog(0, 5)
+	b.put(eventTopology, byte(3), uint64(1), uint16(0)).put(eventKnock, uint64(1), uint16(0), uint16(0), uint64(0), 90.0)
 	f.Add(b.bytes(1, 0))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		s := &script{act: func(delivery.Executor) {}}
+		s := &scriptedScheduler{act: func(delivery.Executor) {}}
 		_ = Serve(bytes.NewReader(in), &bytes.Buffer{}, func(uint64, settings.Settings) delivery.Scheduler { return s })
 	})
 }
