--- a/idmap/idmap.go
+++ b/idmap/idmap.go
@@ -1,20 +1,20 @@
-// Package door maps ids from outside to small dense indices, which are given out again once released.
+// Package idmap maps external ids to small dense indices. A released index is reused for a later id.
 package idmap
 
-// Table maps the ids of one kind. The zero value is empty and ready.
+// Table maps the ids of one kind. The zero value is empty and ready to use.
 type Table[K comparable] struct {
 	index map[K]int32
 	ids   []K
 	free  []int32
 }
 
-// Lookup returns the index of an id that was taken.
+// Lookup returns the index assigned to id and whether there is one.
 func (t *Table[K]) Lookup(id K) (int32, bool) {
 	i, ok := t.index[id]
 	return i, ok
 }
 
-// Acquire returns the index of an id and whether it was given out by this call.
+// Acquire returns the index of id, assigning one if needed. fresh reports whether this call assigned it.
 func (t *Table[K]) Acquire(id K) (i int32, fresh bool) {
 	if i, ok := t.index[id]; ok {
 		return i, false
@@ -33,18 +33,18 @@
 	return i, true
 }
 
-// ID returns the id that an index is given out for.
+// ID returns the id that index i is assigned to, or the zero value if i has been released.
 func (t *Table[K]) ID(i int32) K { return t.ids[i] }
 
-// Len returns how many indices there are, released ones too.
+// Len returns the number of indices ever assigned, including released ones.
 func (t *Table[K]) Len() int { return len(t.ids) }
 
-// Release frees an index; one that is free already stays so.
+// Release frees index i for reuse. Releasing a free index has no effect.
 func (t *Table[K]) Release(i int32) {
-	if at, ok := t.index[t.ids[i]]; ok && at == i {
+	if current, ok := t.index[t.ids[i]]; ok && current == i {
 		delete(t.index, t.ids[i])
-		var none K
-		t.ids[i] = none
+		var zero K
+		t.ids[i] = zero
 		t.free = append(t.free, i)
 	}
 }
--- a/logs/asyncwriter.go
+++ b/logs/asyncwriter.go
@@ -8,64 +8,65 @@
 )
 
 const (
-	queueCapacity = 1024                   // lines that wait for a slow reader; beyond, they are dropped and counted
-	flushTimeout  = 200 * time.Millisecond // for the last lines at the end of the process
+	queueCapacity = 1024                   // lines queued for a slow reader; further lines are dropped and counted
+	flushTimeout  = 200 * time.Millisecond // limit for writing the last lines when the process exits
 )
 
-// AsyncWriter writes lines from a goroutine of its own, so that whoever logs never waits for the reader of the log.
+// AsyncWriter writes log lines from its own goroutine, so that logging never blocks on the reader of the log.
 type AsyncWriter struct {
 	out     io.Writer
 	queue   chan queueItem
 	dropped atomic.Int64
 }
 
-// queueItem is a queueItem to write, or a mark that tells that all before it is written.
+// queueItem is a line to write or, if flushed is set, a marker: flushed is closed once all earlier lines have
+// been written.
 type queueItem struct {
 	text    []byte
 	flushed chan<- struct{}
 }
 
-// NewAsyncWriter begins to write lines, for as long as the process lasts.
-func NewAsyncWriter(to io.Writer) *AsyncWriter {
-	l := &AsyncWriter{out: to, queue: make(chan queueItem, queueCapacity)}
-	go l.run()
-	return l
+// NewAsyncWriter starts a writer that runs until the process exits.
+func NewAsyncWriter(out io.Writer) *AsyncWriter {
+	w := &AsyncWriter{out: out, queue: make(chan queueItem, queueCapacity)}
+	go w.run()
+	return w
 }
 
-// Write takes a line. It never waits and never fails.
-func (l *AsyncWriter) Write(text []byte) (int, error) {
+// Write queues a line. It never blocks and never returns an error.
+func (w *AsyncWriter) Write(text []byte) (int, error) {
 	select {
-	case l.queue <- queueItem{text: append([]byte(nil), text...)}:
+	case w.queue <- queueItem{text: append([]byte(nil), text...)}:
 	default:
-		l.dropped.Add(1)
+		w.dropped.Add(1)
 	}
 	return len(text), nil
 }
 
-func (l *AsyncWriter) run() {
-	for next := range l.queue {
-		if dropped := l.dropped.Swap(0); dropped > 0 {
-			fmt.Fprintf(l.out, "level=warning msg=\"lines were dropped: their reader is slow\" part=log times=%d\n", dropped)
+func (w *AsyncWriter) run() {
+	for item := range w.queue {
+		if dropped := w.dropped.Swap(0); dropped > 0 {
+			fmt.Fprintf(w.out, "level=warning msg=\"log lines dropped: the reader is too slow\" part=log times=%d\n", dropped)
 		}
-		if next.flushed != nil {
-			close(next.flushed)
+		if item.flushed != nil {
+			close(item.flushed)
 			continue
 		}
-		l.out.Write(next.text)
+		w.out.Write(item.text)
 	}
 }
 
-// Flush waits until what was taken before is written, for a moment at most.
-func (l *AsyncWriter) Flush() {
-	written := make(chan struct{})
-	late := time.After(flushTimeout)
+// Flush waits until all lines queued so far have been written, for at most flushTimeout.
+func (w *AsyncWriter) Flush() {
+	flushed := make(chan struct{})
+	timeout := time.After(flushTimeout)
 	select {
-	case l.queue <- queueItem{flushed: written}:
-	case <-late:
+	case w.queue <- queueItem{flushed: flushed}:
+	case <-timeout:
 		return
 	}
 	select {
-	case <-written:
-	case <-late:
+	case <-flushed:
+	case <-timeout:
 	}
 }
--- a/logs/logs.go
+++ b/logs/logs.go
@@ -1,5 +1,5 @@
-// Package logs writes the node's lines through logrus: each names its part, each part has a level, and of one
-// message only so many lines are written in a window of time, with the rest counted.
+// Package logs formats the node's log lines for logrus. Each line names the part of the node that it comes from,
+// each part can have its own level, and lines with the same message are rate-limited; suppressed lines are counted.
 package logs
 
 import (
@@ -13,14 +13,15 @@
 	partField       = "part"
 	eventField      = "event"
 	suppressedField = "held_back"
-	maxMessages     = 256 // messages told apart; beyond, the others share one count: memory stays bounded
+	maxMessages     = 256 // messages counted separately; any further ones share one count, to bound memory
 	otherMessages   = "other messages"
 
-	// timestampFormat has milliseconds: answers and the calls that they are told apart from come within a few.
+	// timestampFormat includes milliseconds: a response and a call that it must be told apart from can be a few
+	// milliseconds apart.
 	timestampFormat = "2006-01-02T15:04:05.000Z07:00"
 )
 
-// Formatter decides which lines are written, and formats them. The zero value is not ready: use New.
+// Formatter is a logrus.Formatter that filters lines by level and rate. Use New; the zero value is not usable.
 type Formatter struct {
 	mu       sync.Mutex
 	inner    logrus.Formatter
@@ -32,7 +33,7 @@
 	messages map[string]*messageStats
 }
 
-// messageStats is one message: when its window began, and the lines written and held back in it.
+// messageStats counts the lines of one message written and suppressed in the current window.
 type messageStats struct {
 	windowStart         time.Time
 	written, suppressed int
@@ -40,36 +41,37 @@
 	level               logrus.Level
 }
 
-// New returns a gate that writes text, at level info.
+// New returns a formatter for text lines at level info.
 func New() *Formatter {
-	g := &Formatter{now: time.Now, messages: make(map[string]*messageStats)}
-	g.Configure("text", "info", nil, 20, 10*time.Second)
-	return g
+	f := &Formatter{now: time.Now, messages: make(map[string]*messageStats)}
+	f.Configure("text", "info", nil, 20, 10*time.Second)
+	return f
 }
 
-// Configure changes what is written. Unknown levels count as info. It may be called at any time.
-func (g *Formatter) Configure(format, level string, parts map[string]string, burst int, window time.Duration) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.inner = &logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: timestampFormat}
+// Configure changes the format, the levels and the rate limit. Unknown levels are treated as info. It is safe for
+// concurrent use.
+func (f *Formatter) Configure(format, level string, parts map[string]string, burst int, window time.Duration) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.inner = &logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: timestampFormat}
 	if format == "json" {
-		g.inner = &logrus.JSONFormatter{TimestampFormat: timestampFormat}
+		f.inner = &logrus.JSONFormatter{TimestampFormat: timestampFormat}
 	}
-	g.level, g.parts, g.burst, g.window = parseLevel(level), make(map[string]logrus.Level), burst, window
+	f.level, f.parts, f.burst, f.window = parseLevel(level), make(map[string]logrus.Level), burst, window
 	for part, level := range parts {
-		g.parts[part] = parseLevel(level)
+		f.parts[part] = parseLevel(level)
 	}
 }
 
-// MaxLevel is the level below which no part's lines are written: what is under it need not be made.
-func (g *Formatter) MaxLevel() logrus.Level {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	least := g.level
-	for _, l := range g.parts {
-		least = max(least, l)
+// MaxLevel returns the most verbose level in use by any part. Lines above it need not be created.
+func (f *Formatter) MaxLevel() logrus.Level {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	maxLevel := f.level
+	for _, l := range f.parts {
+		maxLevel = max(maxLevel, l)
 	}
-	return least
+	return maxLevel
 }
 
 func parseLevel(level string) logrus.Level {
@@ -79,77 +81,78 @@
 	return logrus.InfoLevel
 }
 
-// Format implements logrus.Formatter. A line that is not to be written is nothing.
-func (g *Formatter) Format(e *logrus.Entry) ([]byte, error) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// Format implements logrus.Formatter. It returns nil for a line that is filtered out.
+func (f *Formatter) Format(e *logrus.Entry) ([]byte, error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	part, _ := e.Data[partField].(string)
-	most, own := g.parts[part]
-	if !own {
-		most = g.level
+	maxLevel, ok := f.parts[part]
+	if !ok {
+		maxLevel = f.level
 	}
-	if e.Level > most {
+	if e.Level > maxLevel {
 		return nil, nil
 	}
-	if held, ok := g.allow(part, e.Message, e.Level); !ok {
+	if suppressed, ok := f.allow(part, e.Message, e.Level); !ok {
 		return nil, nil
-	} else if held > 0 {
-		e.Data[suppressedField] = held
+	} else if suppressed > 0 {
+		e.Data[suppressedField] = suppressed
 	}
-	return g.inner.Format(e)
+	return f.inner.Format(e)
 }
 
-// allow tells whether a line may be written, and how many of its message were held back before it.
-// Danger: a line for each event, while a partner or a disk fails, takes the CPU that the node was given.
-func (g *Formatter) allow(part, message string, level logrus.Level) (held int, ok bool) {
-	k := g.messages[message]
-	if k == nil {
-		if len(g.messages) >= maxMessages {
+// allow reports whether a line may be written and, if it opens a new window, how many lines of its message were
+// suppressed in the previous one. Without the limit, one line per event while a destination or the disk fails would
+// use up the node's CPU.
+func (f *Formatter) allow(part, message string, level logrus.Level) (suppressed int, ok bool) {
+	m := f.messages[message]
+	if m == nil {
+		if len(f.messages) >= maxMessages {
 			message = otherMessages
 		}
-		if k = g.messages[message]; k == nil {
-			k = &messageStats{windowStart: g.now(), part: part}
-			g.messages[message] = k
+		if m = f.messages[message]; m == nil {
+			m = &messageStats{windowStart: f.now(), part: part}
+			f.messages[message] = m
 		}
 	}
-	k.level = level
-	if now := g.now(); now.Sub(k.windowStart) >= g.window {
-		held, k.windowStart, k.written, k.suppressed = k.suppressed, now, 0, 0
+	m.level = level
+	if now := f.now(); now.Sub(m.windowStart) >= f.window {
+		suppressed, m.windowStart, m.written, m.suppressed = m.suppressed, now, 0, 0
 	}
-	if k.written >= g.burst {
-		k.suppressed++
+	if m.written >= f.burst {
+		m.suppressed++
 		return 0, false
 	}
-	k.written++
-	return held, true
+	m.written++
+	return suppressed, true
 }
 
-// ReportSuppressed writes how many lines were held back in windows that are over, and forgets messages that rest.
-// Danger: what is held back last would never be told, as no line of its message follows.
-func (g *Formatter) ReportSuppressed(to *logrus.Logger) {
+// ReportSuppressed logs how many lines were suppressed in each expired window and discards those windows. Without
+// it, suppressed lines of a message that does not occur again would never be reported.
+func (f *Formatter) ReportSuppressed(to *logrus.Logger) {
 	type line struct {
 		message string
-		kind    messageStats
+		stats   messageStats
 	}
 	var lines []line
-	g.mu.Lock()
-	for message, k := range g.messages {
-		if g.now().Sub(k.windowStart) >= g.window {
-			if k.suppressed > 0 {
-				lines = append(lines, line{message, *k})
+	f.mu.Lock()
+	for message, m := range f.messages {
+		if f.now().Sub(m.windowStart) >= f.window {
+			if m.suppressed > 0 {
+				lines = append(lines, line{message, *m})
 			}
-			delete(g.messages, message)
+			delete(f.messages, message)
 		}
 	}
-	g.mu.Unlock()
+	f.mu.Unlock()
 	for _, l := range lines {
-		to.WithFields(logrus.Fields{partField: l.kind.part, suppressedField: l.kind.suppressed}).
-			Log(l.kind.level, l.message+" (lines held back)")
+		to.WithFields(logrus.Fields{partField: l.stats.part, suppressedField: l.stats.suppressed}).
+			Log(l.stats.level, l.message+" (lines suppressed)")
 	}
 }
 
-// Run calls Tell now and then until stop.
-func (g *Formatter) Run(to *logrus.Logger, stop <-chan struct{}) {
+// Run calls ReportSuppressed once a second until stop is closed.
+func (f *Formatter) Run(to *logrus.Logger, stop <-chan struct{}) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
@@ -157,19 +160,19 @@
 		case <-stop:
 			return
 		case <-tick.C:
-			g.ReportSuppressed(to)
+			f.ReportSuppressed(to)
 		}
 	}
 }
 
-// Part begins a line of a part.
+// Part returns a log entry for a part of the node.
 func Part(name string) *logrus.Entry { return logrus.WithField(partField, name) }
 
-// Event begins a line of a part about one event.
+// Event returns a log entry for a part of the node, about one event.
 func Event(part, id string) *logrus.Entry {
 	return logrus.WithFields(logrus.Fields{partField: part, eventField: id})
 }
 
-// DebugEnabled tells whether lines at level debug are written at all. Code that runs for every request asks before it
-// gathers the fields of one.
+// DebugEnabled reports whether debug lines are written at all. Code on the request path checks it before it
+// collects the fields of a line.
 func DebugEnabled() bool { return logrus.IsLevelEnabled(logrus.DebugLevel) }
--- a/logs/logs_test.go
+++ b/logs/logs_test.go
@@ -14,15 +14,15 @@
 
 func TestSuppressedLinesAreCountedAndReported(t *testing.T) {
 	var out bytes.Buffer
-	g, now := New(), time.Unix(1000, 0)
-	g.now = func() time.Time { return now }
-	g.Configure("json", "info", map[string]string{"clients": "debug", "journal": "error"}, 3, time.Second)
-	l := &logrus.Logger{Out: &out, Formatter: g, Hooks: logrus.LevelHooks{}, Level: g.MaxLevel()}
+	f, now := New(), time.Unix(1000, 0)
+	f.now = func() time.Time { return now }
+	f.Configure("json", "info", map[string]string{"clients": "debug", "journal": "error"}, 3, time.Second)
+	l := &logrus.Logger{Out: &out, Formatter: f, Hooks: logrus.LevelHooks{}, Level: f.MaxLevel()}
 	in := func(part string) *logrus.Entry { return l.WithField("part", part) }
 	for range 10 {
 		in("clients").Debug("fails")
-		in("journal").Warn("quiet part")
-		in("node").Debug("under the level")
+		in("journal").Warn("below the part's level")
+		in("node").Debug("below the general level")
 	}
 	in("node").Info("another message")
 	if got := strings.Count(out.String(), "fails"); got != 3 || strings.Count(out.String(), "\n") != 4 {
@@ -32,61 +32,61 @@
 	out.Reset()
 	in("clients").Debug("fails")
 	if !strings.Contains(out.String(), `"held_back":7`) {
-		t.Errorf("the next line does not tell of 7: %s", &out)
+		t.Errorf("the first line of the next window does not report 7 suppressed lines: %s", &out)
 	}
 	for range 9 {
 		in("clients").Debug("fails")
 	}
 	now = now.Add(2 * time.Second)
 	out.Reset()
-	g.ReportSuppressed(l)
+	f.ReportSuppressed(l)
 	if !strings.Contains(out.String(), `"held_back":7`) ||
 		!strings.Contains(out.String(), `"part":"clients"`) {
-		t.Errorf("nobody told of the last 7: %s", &out)
+		t.Errorf("the last 7 suppressed lines were not reported: %s", &out)
 	}
-	g.ReportSuppressed(l)
+	f.ReportSuppressed(l)
 	if n := strings.Count(out.String(), "held_back"); n != 1 {
-		t.Errorf("told %d times", n)
+		t.Errorf("suppressed lines reported %d times, want 1", n)
 	}
 }
 
 func TestDistinctMessagesStayBounded(t *testing.T) {
 	var out bytes.Buffer
-	g := New()
-	l := &logrus.Logger{Out: &out, Formatter: g, Hooks: logrus.LevelHooks{}, Level: g.MaxLevel()}
+	f := New()
+	l := &logrus.Logger{Out: &out, Formatter: f, Hooks: logrus.LevelHooks{}, Level: f.MaxLevel()}
 	for i := range 20 * maxMessages {
 		l.Info(fmt.Sprint("message ", i))
 	}
-	if lines := strings.Count(out.String(), "\n"); len(g.messages) > maxMessages+1 || lines > 2*maxMessages {
-		t.Errorf("%d messages known, %d lines", len(g.messages), lines)
+	if lines := strings.Count(out.String(), "\n"); len(f.messages) > maxMessages+1 || lines > 2*maxMessages {
+		t.Errorf("%d messages tracked, %d lines written", len(f.messages), lines)
 	}
 }
 
-// Guards against a node that stands still because the reader of its log lines does.
+// Guards against a node that blocks on logging because the reader of its log has stopped reading.
 func TestSlowReaderDoesNotBlockLogging(t *testing.T) {
 	reader, writer := io.Pipe() // nobody reads
-	lines := NewAsyncWriter(writer)
-	began := time.Now()
+	async := NewAsyncWriter(writer)
+	start := time.Now()
 	for range 3 * queueCapacity {
-		lines.Write([]byte("a line\n"))
+		async.Write([]byte("a line\n"))
 	}
-	if took := time.Since(began); took > time.Second {
-		t.Errorf("it took %v", took)
+	if elapsed := time.Since(start); elapsed > time.Second {
+		t.Errorf("writing took %v, want at most 1 s", elapsed)
 	}
 	text := make(chan string)
 	go func() {
 		all, _ := io.ReadAll(reader)
 		text <- string(all)
 	}()
-	for deadline := time.Now().Add(10 * time.Second); len(lines.queue) > 0 && time.Now().Before(deadline); {
+	for deadline := time.Now().Add(10 * time.Second); len(async.queue) > 0 && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
-	lines.Flush()
+	async.Flush()
 	writer.Close()
 	got := <-text
-	accounted := int64(strings.Count(got, "a line\n")) + lines.dropped.Load()
+	accounted := int64(strings.Count(got, "a line\n")) + async.dropped.Load()
 	for line := range strings.Lines(got) {
-		if _, times, told := strings.Cut(line, "times="); told {
+		if _, times, ok := strings.Cut(line, "times="); ok {
 			dropped, err := strconv.ParseInt(strings.TrimSpace(times), 10, 64)
 			if err != nil {
 				t.Errorf("%q: %v", line, err)
@@ -94,7 +94,7 @@
 			accounted += dropped
 		}
 	}
-	if accounted != 3*queueCapacity || !strings.Contains(got, "lines were dropped") {
-		t.Errorf("%d lines are written or counted as dropped, of %d", accounted, 3*queueCapacity)
+	if accounted != 3*queueCapacity || !strings.Contains(got, "lines dropped: the reader is too slow") {
+		t.Errorf("%d of %d lines are written or counted as dropped", accounted, 3*queueCapacity)
 	}
 }
--- a/metrics/countervec.go
+++ b/metrics/countervec.go
@@ -2,7 +2,8 @@
 
 import "sync"
 
-// CounterVec is counters of one name which a label's value tells apart. It may be used by any goroutine.
+// CounterVec is a set of counters that share a name and differ in the value of one label. It is safe for
+// concurrent use.
 type CounterVec struct {
 	name, help, label string
 
@@ -10,32 +11,33 @@
 	counters map[string]*Counter
 }
 
-// NewCounterVec registers a family. The values named are reported from the start, others once they are counted.
+// NewCounterVec registers a counter vector. The given label values are reported from the start, others from
+// their first use.
 func NewCounterVec(name, help, label string, values ...string) *CounterVec {
-	f := &CounterVec{name: name, help: help, label: label, counters: map[string]*Counter{}}
+	v := &CounterVec{name: name, help: help, label: label, counters: map[string]*Counter{}}
 	for _, value := range values {
-		f.With(value)
+		v.With(value)
 	}
-	return f
+	return v
 }
 
-// With is the counter of a value.
-func (f *CounterVec) With(value string) *Counter {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	c := f.counters[value]
+// With returns the counter for a label value, registering it on first use.
+func (v *CounterVec) With(value string) *Counter {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	c := v.counters[value]
 	if c == nil {
-		c = NewLabelledCounter(f.name, f.help, f.label, value)
-		f.counters[value] = c
+		c = NewLabelledCounter(v.name, v.help, v.label, value)
+		v.counters[value] = c
 	}
 	return c
 }
 
-// Total is the sum over all values.
-func (f *CounterVec) Total() (total int64) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, c := range f.counters {
+// Total returns the sum over all label values.
+func (v *CounterVec) Total() (total int64) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	for _, c := range v.counters {
 		total += c.Value()
 	}
 	return total
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics counts what a delivery node does and refuses to do. Counters are read as text at /metrics.
+// Package metrics provides the delivery node's counters and writes them in the Prometheus text format for /metrics.
 package metrics
 
 import (
@@ -8,7 +8,7 @@
 	"sync/atomic"
 )
 
-// Counter is a number that only grows. It may be used by any goroutine.
+// Counter is a monotonically increasing counter. It is safe for concurrent use.
 type Counter struct {
 	name, help, label, value string
 	count                    atomic.Int64
@@ -19,10 +19,10 @@
 	counters []*Counter
 )
 
-// NewCounter registers a counter under a name.
+// NewCounter registers a counter without labels.
 func NewCounter(name, help string) *Counter { return NewLabelledCounter(name, help, "", "") }
 
-// NewLabelledCounter registers one of several counters of a name, which a label's value tells apart.
+// NewLabelledCounter registers the counter for one label value of a metric.
 func NewLabelledCounter(name, help, label, value string) *Counter {
 	c := &Counter{name: name, help: help, label: label, value: value}
 	mu.Lock()
@@ -31,21 +31,21 @@
 	return c
 }
 
-// Inc counts one more.
+// Inc increments the counter by one.
 func (c *Counter) Inc() { c.count.Add(1) }
 
-// Value is how many there were.
+// Value returns the current count.
 func (c *Counter) Value() int64 { return c.count.Load() }
 
-// WriteText writes all counters in the text format that Prometheus reads.
-func WriteText(to io.Writer) error {
+// WriteText writes all registered counters in the Prometheus text format.
+func WriteText(w io.Writer) error {
 	mu.Lock()
 	defer mu.Unlock()
-	named := map[string]bool{}
+	described := map[string]bool{}
 	for _, c := range counters {
-		if !named[c.name] {
-			named[c.name] = true
-			if _, err := fmt.Fprintf(to, "# HELP %s %s\n# TYPE %s counter\n", c.name, c.help, c.name); err != nil {
+		if !described[c.name] {
+			described[c.name] = true
+			if _, err := fmt.Fprintf(w, "# HELP %s %s\n# TYPE %s counter\n", c.name, c.help, c.name); err != nil {
 				return err
 			}
 		}
@@ -53,7 +53,7 @@
 		if c.label != "" {
 			labels = fmt.Sprintf("{%s=%q}", c.label, c.value)
 		}
-		if _, err := fmt.Fprintf(to, "%s%s %d\n", c.name, labels, c.count.Load()); err != nil {
+		if _, err := fmt.Fprintf(w, "%s%s %d\n", c.name, labels, c.count.Load()); err != nil {
 			return err
 		}
 	}
