--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,5 @@
-// Package start reads what a delivery node is told at its start, as dotted names with their values: from the
-// bench's text, or from nested JSON made flat.
+// Package settings parses the settings that a delivery node receives at start-up. They are dotted keys with values,
+// read either from the simulator's key=value lines or from nested JSON, which is flattened.
 package settings
 
 import (
@@ -15,11 +15,11 @@
 	"jaspersill/delivery"
 )
 
-// Settings is what a delivery node is told at its start.
+// Settings holds the settings of a delivery node. Durations are in nanoseconds.
 type Settings struct {
 	StreamTypes      []delivery.StreamType
 	Customers        []delivery.Customer
-	OverShareUtility float64
+	OverShareUtility float64 // from over_share_worth, 1 by default
 	DestinationKinds []delivery.DestinationKind
 	Limits           delivery.Limits
 	Recovery         delivery.Recovery
@@ -27,40 +27,42 @@
 	Cluster          delivery.Cluster
 	OrderPause       int64
 
-	HasRates                   bool // the list tells rates
-	FreeShareIndex, LimitIndex int  // where a load report holds the share left and the limit, -1 for nowhere
+	HasRates bool // the endpoint list contains rates
+
+	// Positions of the free share and of the limit in a load report, -1 if it does not contain them.
+	FreeShareIndex, LimitIndex int
 
 	StreamTypeNames, CustomerNames, DestinationKindNames, ZoneNames []string
-	UnknownKeys                                                     []string // settings that nothing reads
-	MinRoundInterval                                                int64    // least time between rounds
-	ConnIdleTimeout, ConnectTimeout                                 int64    // connections: longest idle; to come up
+	UnknownKeys                                                     []string // keys that are not used
+	MinRoundInterval                                                int64    // minimum time between scheduling rounds
+	ConnIdleTimeout, ConnectTimeout                                 int64
 }
 
-// maxListLength bounds a count claimed by the env text.
+// maxListLength bounds a list length given in the input, which would otherwise decide how much memory is allocated.
 const maxListLength = 4096
 
 type parser struct {
 	values    map[string]string
-	requested map[string]bool // names that were asked for
+	requested map[string]bool // keys looked up so far
 	err       error
 }
 
-// get returns what a name was told, and whether it was.
-func (e *parser) get(name string) (string, bool) {
-	e.requested[name] = true
-	v, ok := e.values[name]
+// get returns the value of a key and whether it is present.
+func (p *parser) get(name string) (string, bool) {
+	p.requested[name] = true
+	v, ok := p.values[name]
 	return v, ok
 }
 
-func (e *parser) rawValue(name string) string {
-	v, _ := e.get(name)
+func (p *parser) rawValue(name string) string {
+	v, _ := p.get(name)
 	return v
 }
 
-// unrequested lists the names that were told and that nothing asked for, in order.
-func (e *parser) unrequested() (names []string) {
-	for name := range e.values {
-		if !e.requested[name] {
+// unrequested returns the keys that are present but were not looked up, sorted.
+func (p *parser) unrequested() (names []string) {
+	for name := range p.values {
+		if !p.requested[name] {
 			names = append(names, name)
 		}
 	}
@@ -68,80 +70,82 @@
 	return names
 }
 
-func (e *parser) addError(name, value, want string) {
-	e.err = errors.Join(e.err, fmt.Errorf("settings: %s: want %s, got %q", name, want, value))
+func (p *parser) addError(name, value, want string) {
+	p.err = errors.Join(p.err, fmt.Errorf("settings: %s: want %s, got %q", name, want, value))
 }
 
-func (e *parser) required(name string, words ...string) string {
-	v, ok := e.get(name)
+// required returns the value of a key that must be present and, if allowed is not empty, be one of allowed.
+func (p *parser) required(name string, allowed ...string) string {
+	v, ok := p.get(name)
 	if !ok {
-		e.addError(name, "", "a value")
+		p.addError(name, "", "a value")
 		return ""
 	}
-	for _, w := range words {
-		if v == w {
+	for _, a := range allowed {
+		if v == a {
 			return v
 		}
 	}
-	if len(words) > 0 {
-		e.addError(name, v, "one of "+strings.Join(words, " "))
+	if len(allowed) > 0 {
+		p.addError(name, v, "one of "+strings.Join(allowed, " "))
 	}
 	return v
 }
 
-func (e *parser) number(name string, needed bool) float64 {
-	v, ok := e.get(name)
-	if !ok && !needed {
+func (p *parser) number(name string, required bool) float64 {
+	v, ok := p.get(name)
+	if !ok && !required {
 		return 0
 	}
 	f, err := strconv.ParseFloat(v, 64)
 	if err != nil || math.IsNaN(f) || f < 0 || f > 1e12 {
-		e.addError(name, v, "a number from 0 to 1e12")
+		p.addError(name, v, "a number from 0 to 1e12")
 		return 0
 	}
 	return f
 }
 
-func (e *parser) count(name string, needed bool) int {
-	f := e.number(name, needed)
+func (p *parser) count(name string, required bool) int {
+	f := p.number(name, required)
 	if f != math.Trunc(f) || f > 1e9 {
-		e.addError(name, e.rawValue(name), "a whole number")
+		p.addError(name, p.rawValue(name), "a whole number")
 		return 0
 	}
 	return int(f)
 }
 
-// countAtLeast is a whole number under which nothing could be done.
-func (e *parser) countAtLeast(least int, name string) int {
-	n := e.count(name, true)
-	if _, told := e.get(name); told && n < least && e.err == nil {
-		e.addError(name, e.rawValue(name), fmt.Sprintf("%d or more", least))
+// countAtLeast returns a required whole number with a lower bound, below which the node could not work at all.
+func (p *parser) countAtLeast(minimum int, name string) int {
+	n := p.count(name, true)
+	if _, ok := p.get(name); ok && n < minimum && p.err == nil {
+		p.addError(name, p.rawValue(name), fmt.Sprintf("%d or more", minimum))
 	}
 	return n
 }
 
-func (e *parser) duration(name string, needed bool) int64 {
-	return int64(math.Round(e.number(name, needed) * 1e6))
+// duration converts a value in milliseconds to nanoseconds.
+func (p *parser) duration(name string, required bool) int64 {
+	return int64(math.Round(p.number(name, required) * 1e6))
 }
 
-func (e *parser) boolean(name string) bool {
-	v, ok := e.get(name)
+func (p *parser) boolean(name string) bool {
+	v, ok := p.get(name)
 	if ok && v != "true" && v != "false" {
-		e.addError(name, v, "true or false")
+		p.addError(name, v, "true or false")
 	}
 	return v == "true"
 }
 
-func (e *parser) listLength(name string) int {
-	n := e.count(name, false)
+func (p *parser) listLength(name string) int {
+	n := p.count(name, false)
 	if n > maxListLength {
-		e.addError(name, e.rawValue(name), "at most 4096")
+		p.addError(name, p.rawValue(name), "at most 4096")
 		return 0
 	}
 	return n
 }
 
-// ParseLines reads one name=value pair a line.
+// ParseLines parses settings given as one key=value pair per line.
 func ParseLines(text string) (Settings, error) {
 	values := make(map[string]string)
 	for line := range strings.SplitSeq(text, "\n") {
@@ -152,13 +156,13 @@
 	return parse(values)
 }
 
-// ParseJSON reads the same names from a nested object: a list of objects has its length under .count and its items
-// under .0, .1 and so on; a list of plain values is joined with commas.
+// ParseJSON parses settings given as a nested JSON object. It is flattened to the same keys: a list of objects
+// becomes its length under .count and its items under .0, .1 and so on; a list of plain values is joined with commas.
 func ParseJSON(data []byte) (Settings, error) {
 	var nested map[string]any
-	d := json.NewDecoder(bytes.NewReader(data))
-	d.UseNumber()
-	if err := d.Decode(&nested); err != nil {
+	decoder := json.NewDecoder(bytes.NewReader(data))
+	decoder.UseNumber()
+	if err := decoder.Decode(&nested); err != nil {
 		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	values := make(map[string]string)
@@ -166,7 +170,7 @@
 	return parse(values)
 }
 
-// NormalizeName is how a name looks among the values read at start.
+// NormalizeName converts a name to the form it has in parsed settings, in which spaces and commas are underscores.
 func NormalizeName(text string) string { return separators.Replace(text) }
 
 var separators = strings.NewReplacer(" ", "_", ",", "_")
@@ -200,102 +204,102 @@
 }
 
 func parse(values map[string]string) (Settings, error) {
-	e := &parser{values: values, requested: make(map[string]bool)}
+	p := &parser{values: values, requested: make(map[string]bool)}
 	var s Settings
-	halving := false
-	if _, ok := e.get("family_info.late"); ok {
-		halving = e.required("family_info.late", "even", "by_half") == "by_half"
+	exponentialDecay := false
+	if _, ok := p.get("family_info.late"); ok {
+		exponentialDecay = p.required("family_info.late", "even", "by_half") == "by_half"
 	}
 	safeties := map[string]delivery.Safety{
 		"repeatable": delivery.Idempotent, "by_key": delivery.Deduplicated, "once": delivery.NonIdempotent}
-	types := e.listLength("services.count")
-	if types == 0 && e.err == nil {
-		e.addError("services.count", e.rawValue("services.count"), "1 or more")
+	typeCount := p.listLength("services.count")
+	if typeCount == 0 && p.err == nil {
+		p.addError("services.count", p.rawValue("services.count"), "1 or more")
 	}
-	for i := range types {
-		at := "services." + strconv.Itoa(i) + "."
+	for i := range typeCount {
+		prefix := "services." + strconv.Itoa(i) + "."
 		t := delivery.StreamType{
-			Safety:           safeties[e.required(at+"semantics", "repeatable", "by_key", "once")],
-			SLO:              e.duration(at+"aim_ms", true),
-			SLOPerWork:       e.number(at+"aim_stretch", false),
-			MaxAge:           e.duration(at+"deadline_ms", true),
-			Utility:          e.number(at+"value", true),
-			LateUtility:      e.number(at+"late_value", false),
-			Ordered:          e.boolean(at + "sequential"),
-			ExponentialDecay: halving,
+			Safety:           safeties[p.required(prefix+"semantics", "repeatable", "by_key", "once")],
+			SLO:              p.duration(prefix+"aim_ms", true),
+			SLOPerWork:       p.number(prefix+"aim_stretch", false),
+			MaxAge:           p.duration(prefix+"deadline_ms", true),
+			Utility:          p.number(prefix+"value", true),
+			LateUtility:      p.number(prefix+"late_value", false),
+			Ordered:          p.boolean(prefix + "sequential"),
+			ExponentialDecay: exponentialDecay,
 		}
-		if t.MaxAge == 0 && e.err == nil {
-			e.addError(at+"deadline_ms", e.rawValue(at+"deadline_ms"), "over 0")
+		if t.MaxAge == 0 && p.err == nil {
+			p.addError(prefix+"deadline_ms", p.rawValue(prefix+"deadline_ms"), "over 0")
 		}
 		if t.Safety == delivery.Deduplicated {
-			t.DedupWindow = e.duration(at+"memory_span_ms", true)
-			t.DedupPerZone = e.required(at+"group", "all", "zone", "cell") == "zone"
+			t.DedupWindow = p.duration(prefix+"memory_span_ms", true)
+			t.DedupPerZone = p.required(prefix+"group", "all", "zone", "cell") == "zone"
 		}
 		s.StreamTypes = append(s.StreamTypes, t)
-		s.StreamTypeNames = append(s.StreamTypeNames, e.rawValue(at+"name"))
+		s.StreamTypeNames = append(s.StreamTypeNames, p.rawValue(prefix+"name"))
 	}
-	for i := range e.listLength("projects.count") {
+	for i := range p.listLength("projects.count") {
 		s.Customers = append(s.Customers,
-			delivery.Customer{Rate: e.number("projects."+strconv.Itoa(i)+".quota_rps", true)})
-		s.CustomerNames = append(s.CustomerNames, e.rawValue("projects."+strconv.Itoa(i)+".name"))
+			delivery.Customer{Rate: p.number("projects."+strconv.Itoa(i)+".quota_rps", true)})
+		s.CustomerNames = append(s.CustomerNames, p.rawValue("projects."+strconv.Itoa(i)+".name"))
 	}
 	s.OverShareUtility = 1
-	if _, ok := e.get("over_share_worth"); ok {
-		s.OverShareUtility = e.number("over_share_worth", true)
+	if _, ok := p.get("over_share_worth"); ok {
+		s.OverShareUtility = p.number("over_share_worth", true)
 	}
-	perCall := splitList(e.rawValue("family_info.per_call"))
-	routes := splitList(e.rawValue("family_info.own_limits"))
-	s.DestinationKindNames, s.ZoneNames = splitList(e.required("models")), splitList(e.rawValue("areas"))
+	eventsPerCall := splitList(p.rawValue("family_info.per_call"))
+	ownLimits := splitList(p.rawValue("family_info.own_limits"))
+	s.DestinationKindNames, s.ZoneNames = splitList(p.required("models")), splitList(p.rawValue("areas"))
 	for i := range s.DestinationKindNames {
-		p := delivery.DestinationKind{MaxEventsPerCall: 1}
-		if i < len(perCall) {
-			n, err := strconv.Atoi(perCall[i])
+		kind := delivery.DestinationKind{MaxEventsPerCall: 1}
+		if i < len(eventsPerCall) {
+			n, err := strconv.Atoi(eventsPerCall[i])
 			if err != nil || n < 1 {
-				e.addError("family_info.per_call", perCall[i], "whole numbers from 1")
+				p.addError("family_info.per_call", eventsPerCall[i], "whole numbers from 1")
 			}
-			p.MaxEventsPerCall = n
+			kind.MaxEventsPerCall = n
 		}
-		if i < len(routes) {
-			if routes[i] != "true" && routes[i] != "false" {
-				e.addError("family_info.own_limits", routes[i], "true or false")
+		if i < len(ownLimits) {
+			if ownLimits[i] != "true" && ownLimits[i] != "false" {
+				p.addError("family_info.own_limits", ownLimits[i], "true or false")
 			}
-			p.LimitPerEndpoint = routes[i] == "true"
+			kind.LimitPerEndpoint = ownLimits[i] == "true"
 		}
-		s.DestinationKinds = append(s.DestinationKinds, p)
+		s.DestinationKinds = append(s.DestinationKinds, kind)
 	}
 	s.Limits = delivery.Limits{
-		MaxConcurrentCalls: e.countAtLeast(1, "family_info.slots"),
-		MaxEvents:          e.countAtLeast(1, "ceilings.max_open"),
-		MaxAttempts:        e.countAtLeast(1, "ceilings.max_attempts"),
-		CanCancel:          e.boolean("ceilings.cancel"),
+		MaxConcurrentCalls: p.countAtLeast(1, "family_info.slots"),
+		MaxEvents:          p.countAtLeast(1, "ceilings.max_open"),
+		MaxAttempts:        p.countAtLeast(1, "ceilings.max_attempts"),
+		CanCancel:          p.boolean("ceilings.cancel"),
 	}
-	if e.boolean("ceilings.retry_after") {
-		s.Limits.MaxRetryAfter = e.duration("ceilings.max_retry_after_ms", false)
+	if p.boolean("ceilings.retry_after") {
+		s.Limits.MaxRetryAfter = p.duration("ceilings.max_retry_after_ms", false)
 	}
 	s.Recovery = delivery.Recovery{
-		ColdShare:      e.number("rules.cold_share", true),
-		WarmupTime:     e.duration("rules.ramp_time_ms", true),
-		OverloadFactor: e.number("rules.fall_multiple", true),
-		OverloadAfter:  e.duration("rules.tip_after_ms", true),
+		ColdShare:      p.number("rules.cold_share", true),
+		WarmupTime:     p.duration("rules.ramp_time_ms", true),
+		OverloadFactor: p.number("rules.fall_multiple", true),
+		OverloadAfter:  p.duration("rules.tip_after_ms", true),
 	}
 	s.Directory = delivery.Directory{
-		RequiresWatch: e.required("discovery", "automatic", "subscribe") == "subscribe",
-		DrainGrace:    e.duration("rules.drain_grace_ms", true),
+		RequiresWatch: p.required("discovery", "automatic", "subscribe") == "subscribe",
+		DrainGrace:    p.duration("rules.drain_grace_ms", true),
 	}
 	s.Cluster = delivery.Cluster{
-		Self:         e.count("me", true),
-		Nodes:        e.countAtLeast(1, "replicas_of_me"),
-		PeerMessages: e.boolean("ceilings.peer_messages"),
-		Probes:       e.boolean("ceilings.probes"),
+		Self:         p.count("me", true),
+		Nodes:        p.countAtLeast(1, "replicas_of_me"),
+		PeerMessages: p.boolean("ceilings.peer_messages"),
+		Probes:       p.boolean("ceilings.probes"),
 	}
-	s.HasRates = e.rawValue("weight_kind") == "nominal" || e.rawValue("weight_kind") == "rough"
-	names := splitList(e.rawValue("feedback.names"))
+	s.HasRates = p.rawValue("weight_kind") == "nominal" || p.rawValue("weight_kind") == "rough"
+	names := splitList(p.rawValue("feedback.names"))
 	s.FreeShareIndex, s.LimitIndex = slices.Index(names, "x0"), slices.Index(names, "x1")
-	s.OrderPause = e.duration("rules.order_pause_ms", false)
-	s.MinRoundInterval, s.ConnIdleTimeout = e.duration("tick_ms", false), e.duration("ceilings.conn_idle_ms", false)
-	s.ConnectTimeout = e.duration("ceilings.connect_timeout_ms", false)
-	s.UnknownKeys = e.unrequested()
-	return s, e.err
+	s.OrderPause = p.duration("rules.order_pause_ms", false)
+	s.MinRoundInterval, s.ConnIdleTimeout = p.duration("tick_ms", false), p.duration("ceilings.conn_idle_ms", false)
+	s.ConnectTimeout = p.duration("ceilings.connect_timeout_ms", false)
+	s.UnknownKeys = p.unrequested()
+	return s, p.err
 }
 
 func splitList(list string) []string {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -60,16 +60,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b.UnknownKeys = a.UnknownKeys; !reflect.DeepEqual(a, b) { // a null is nothing told
+	if b.UnknownKeys = a.UnknownKeys; !reflect.DeepEqual(a, b) { // a JSON null counts as absent, so b has no unknown key
 		t.Errorf("lines %+v\nJSON %+v", a, b)
 	}
 	if a.StreamTypeNames[0] != NormalizeName("fleet alert") || a.CustomerNames[1] != NormalizeName("a,b c") || a.LimitIndex != 0 ||
 		a.FreeShareIndex != 1 || a.MinRoundInterval != 5e6 || a.ConnIdleTimeout != 15e9 || a.ConnectTimeout != 15e8 ||
 		a.Limits.MaxRetryAfter != 1500.5*1e6 {
-		t.Errorf("read %+v", a)
+		t.Errorf("parsed %+v", a)
 	}
 	if len(a.UnknownKeys) != 1 || a.UnknownKeys[0] != "unknown.key" {
-		t.Errorf("unknown: %q", a.UnknownKeys)
+		t.Errorf("unknown keys %q, want unknown.key", a.UnknownKeys)
 	}
 }
 
