--- a/config/config.go
+++ b/config/config.go
@@ -17,103 +17,103 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Error is one thing that is wrong with what was told.
+// Error describes one invalid value or key.
 type Error struct {
-	File string
-	Line int // 0 where there are no lines
+	File string // or another source, such as "environment"
+	Line int    // 0 if the source has no lines
 	Key  string
 	Want string
 	Got  string
 }
 
-func (f Error) Error() string {
-	at := f.File
-	if f.Line > 0 {
-		at += ":" + strconv.Itoa(f.Line)
+func (e Error) Error() string {
+	location := e.File
+	if e.Line > 0 {
+		location += ":" + strconv.Itoa(e.Line)
 	}
-	if f.Key != "" {
-		at += ": " + f.Key
+	if e.Key != "" {
+		location += ": " + e.Key
 	}
-	return fmt.Sprintf("%s: want %s, got %s", at, f.Want, f.Got)
+	return fmt.Sprintf("%s: want %s, got %s", location, e.Want, e.Got)
 }
 
-// Errors is all that is wrong, in the order of the file.
+// Errors lists every error found, in file order.
 type Errors []Error
 
-func (f Errors) Error() string {
-	lines := make([]string, len(f))
-	for i := range f {
-		lines[i] = f[i].Error()
+func (e Errors) Error() string {
+	lines := make([]string, len(e))
+	for i := range e {
+		lines[i] = e[i].Error()
 	}
 	return strings.Join(lines, "\n")
 }
 
-// value is what is in force for a key. number holds nanoseconds, bytes or the number itself.
+// value is the effective value of a key. number is in nanoseconds for durations and in bytes for sizes.
 type value struct {
 	text   string
 	number float64
 	source string // default, file:line, environment, platform
 }
 
-// Config holds what is in force for each key. It does not change once it was handed out.
+// Config holds the effective value of each key. It is immutable once returned.
 type Config struct {
 	values map[string]value
 }
 
-// Parse reads a file's text, checks it as a whole and lays the environment over it. The error is Faults, with
-// everything that is wrong. An empty file name stands for no file.
+// Parse parses the text of a TOML file, applies overrides from the environment and validates the result. On failure
+// it returns Errors with every error found. An empty file name means that there is no file.
 func Parse(file string, text []byte, environ []string) (*Config, error) {
-	b := &Config{values: make(map[string]value)}
-	var faults Errors
+	c := &Config{values: make(map[string]value)}
+	var errs Errors
 	for _, k := range Keys {
 		if k.Default != "" || k.Kind == Text || k.Kind == Address || k.Kind == Enum {
 			v, _ := k.parse(k.Default)
 			v.source = "default"
-			b.values[k.Name] = v
+			c.values[k.Name] = v
 		}
 	}
 	if file != "" {
-		faults = b.parseFile(file, text)
+		errs = c.parseFile(file, text)
 	}
 	for _, k := range Keys {
 		name := EnvVar(k.Name) + "="
-		for _, pair := range environ {
-			if got, ok := strings.CutPrefix(pair, name); ok {
-				faults = b.set("environment", 0, k, got, "environment", faults)
+		for _, variable := range environ {
+			if got, ok := strings.CutPrefix(variable, name); ok {
+				errs = c.set("environment", 0, k, got, "environment", errs)
 			}
 		}
 	}
-	if len(faults) == 0 {
-		faults = b.checkConsistency(file)
+	if len(errs) == 0 {
+		errs = c.checkConsistency(file)
 	}
-	if len(faults) > 0 {
-		return nil, faults
+	if len(errs) > 0 {
+		return nil, errs
 	}
-	return b, nil
+	return c, nil
 }
 
-// checkConsistency checks what must fit together.
-func (b *Config) checkConsistency(file string) (faults Errors) {
+// checkConsistency validates the keys that depend on each other.
+func (c *Config) checkConsistency(file string) (errs Errors) {
 	for _, pair := range [][2]string{{"drain.door", "drain.choose"}, {"drain.choose", "drain.end"}} {
-		if b.Duration(pair[0]) > b.Duration(pair[1]) {
-			faults = append(faults, Error{File: file, Key: pair[1],
-				Want: fmt.Sprintf("no less than %s, which is %s", pair[0], b.Text(pair[0])),
-				Got:  fmt.Sprintf("%s (%s)", b.Text(pair[1]), b.Source(pair[1]))})
+		if c.Duration(pair[0]) > c.Duration(pair[1]) {
+			errs = append(errs, Error{File: file, Key: pair[1],
+				Want: fmt.Sprintf("no less than %s, which is %s", pair[0], c.Text(pair[0])),
+				Got:  fmt.Sprintf("%s (%s)", c.Text(pair[1]), c.Source(pair[1]))})
 		}
 	}
-	return faults
+	return errs
 }
 
-func (b *Config) parseFile(file string, text []byte) (faults Errors) {
-	var all map[string]any
-	if err := toml.Unmarshal(text, &all); err != nil {
-		f := Error{File: file, Want: "TOML", Got: err.Error()}
-		var at *toml.DecodeError
-		if errors.As(err, &at) {
-			f.Line, _ = at.Position()
-			f.Key = strings.Join(at.Key(), ".")
+func (c *Config) parseFile(file string, text []byte) (errs Errors) {
+	var document map[string]any
+	if err := toml.Unmarshal(text, &document); err != nil {
+		e := Error{File: file, Want: "TOML", Got: err.Error()}
+		var decodeErr *toml.DecodeError
+		if errors.As(err, &decodeErr) {
+			e.Line, _ = decodeErr.Position()
+			e.Key = strings.Join(decodeErr.Key(), ".")
 		}
-		return Errors{f}
+		return Errors{e}
 	}
 	var p unstable.Parser
 	p.Reset(text)
@@ -125,19 +125,19 @@
 			table, _ = keyPath(&p, nil, e)
 			if e.Kind == unstable.ArrayTable {
 				name, line := keyPath(&p, nil, e)
-				faults = append(
-					faults,
-					Error{file, line, strings.Join(name, "."), "a table", "a list of tables"},
+				errs = append(
+					errs,
+					Error{file, line, strings.Join(name, "."), "a table", "an array of tables"},
 				)
 			}
 		case unstable.KeyValue:
-			faults = b.parsePair(&p, file, table, e, faults)
+			errs = c.parsePair(&p, file, table, e, errs)
 		}
 	}
-	return faults
+	return errs
 }
 
-// keyPath is the whole name of an expression and its line.
+// keyPath returns the full name of an expression's key and its line.
 func keyPath(p *unstable.Parser, table []string, e *unstable.Node) (name []string, line int) {
 	name = slices.Clone(table)
 	for it := e.Key(); it.Next(); {
@@ -148,22 +148,22 @@
 	return name, line
 }
 
-func (b *Config) parsePair(p *unstable.Parser, file string, table []string, e *unstable.Node, faults Errors) Errors {
+func (c *Config) parsePair(p *unstable.Parser, file string, table []string, e *unstable.Node, errs Errors) Errors {
 	parts, line := keyPath(p, table, e)
 	v, name := e.Value(), strings.Join(parts, ".")
 	if v.Kind == unstable.InlineTable {
 		for it := v.Children(); it.Next(); {
-			faults = b.parsePair(p, file, parts, it.Node(), faults)
+			errs = c.parsePair(p, file, parts, it.Node(), errs)
 		}
-		return faults
+		return errs
 	}
 	k := findKey(name)
 	if k == nil {
 		want := "a key of `jaspersill config reference`"
-		if near := closestKey(name); near != "" {
-			want = near + ", or another key of `jaspersill config reference`"
+		if similar := closestKey(name); similar != "" {
+			want = similar + ", or another key of `jaspersill config reference`"
 		}
-		return append(faults, Error{file, line, name, want, "no such key"})
+		return append(errs, Error{file, line, name, want, "an unknown key"})
 	}
 	got := string(v.Data)
 	quoted := v.Kind == unstable.String
@@ -172,25 +172,25 @@
 		if quoted {
 			got = strconv.Quote(got)
 		}
-		return append(faults, Error{file, line, name, k.Kind.syntax(), got})
+		return append(errs, Error{file, line, name, k.Kind.syntax(), got})
 	}
-	return b.set(file, line, *k, got, file+":"+strconv.Itoa(line), faults)
+	return c.set(file, line, *k, got, file+":"+strconv.Itoa(line), errs)
 }
 
-func (b *Config) set(file string, line int, k Key, got, from string, faults Errors) Errors {
+func (c *Config) set(file string, line int, k Key, got, source string, errs Errors) Errors {
 	v, want := k.parse(got)
 	if want != "" {
 		if k.Name == "node.seed" {
-			got = "something else" // danger: who knows where chance starts knows where events go
+			got = "(hidden)" // with the seed, the choice of endpoints could be predicted
 		}
-		return append(faults, Error{file, line, k.Name, want, strconv.Quote(got)})
+		return append(errs, Error{file, line, k.Name, want, strconv.Quote(got)})
 	}
-	v.source = from
-	b.values[k.Name] = v
-	return faults
+	v.source = source
+	c.values[k.Name] = v
+	return errs
 }
 
-// parse reads a value as it stands in the file; want tells what it should have been.
+// parse parses a value as written in the file. If it is invalid, want describes a valid one.
 func (k Key) parse(text string) (v value, want string) {
 	v.text = text
 	if text == "" && k.Default == "" {
@@ -221,16 +221,16 @@
 		return v, k.Kind.syntax()
 	}
 	if k.Min != "" {
-		least, _ := parseNumber(k.Kind, k.Min)
-		most, _ := parseNumber(k.Kind, k.Max)
-		if v.number < least || v.number > most {
+		lower, _ := parseNumber(k.Kind, k.Min)
+		upper, _ := parseNumber(k.Kind, k.Max)
+		if v.number < lower || v.number > upper {
 			return v, k.Min + " to " + k.Max
 		}
 	}
 	return v, ""
 }
 
-var errMissingUnit = errors.New("a unit is missing")
+var errMissingUnit = errors.New("missing unit")
 
 func parseNumber(kind Kind, text string) (float64, error) {
 	switch kind {
@@ -254,48 +254,49 @@
 	return f, err
 }
 
-// WithPlatform is the book with what the platform tells laid over it, by key, written as in the file. An empty text
-// stands for nothing told.
-func (b *Config) WithPlatform(by string, told map[string]string) (*Config, error) {
-	over := &Config{values: make(map[string]value, len(b.values))}
-	for name, v := range b.values {
-		over.values[name] = v
+// WithPlatform returns a copy of the configuration with the platform's values applied. They are given by key and
+// written as in the file; empty ones are ignored. file is named in errors.
+func (c *Config) WithPlatform(file string, overrides map[string]string) (*Config, error) {
+	result := &Config{values: make(map[string]value, len(c.values))}
+	for name, v := range c.values {
+		result.values[name] = v
 	}
-	var faults Errors
+	var errs Errors
 	for _, k := range Keys {
-		if text := told[k.Name]; text != "" {
-			faults = over.set(by, 0, k, text, "platform", faults)
+		if text := overrides[k.Name]; text != "" {
+			errs = result.set(file, 0, k, text, "platform", errs)
 		}
 	}
-	if len(faults) > 0 {
-		return nil, faults
+	if len(errs) > 0 {
+		return nil, errs
 	}
-	return over, nil
+	return result, nil
 }
 
-// Duration is a time in force; it is for keys of that kind, as are the methods below for theirs.
-func (b *Config) Duration(name string) time.Duration { return time.Duration(b.values[name].number) }
+// Duration returns the value of a key of kind Duration.
+func (c *Config) Duration(name string) time.Duration { return time.Duration(c.values[name].number) }
 
-// Bytes is a size in force.
-func (b *Config) Bytes(name string) int64 { return int64(b.values[name].number) }
+// Bytes returns the value of a key of kind Size.
+func (c *Config) Bytes(name string) int64 { return int64(c.values[name].number) }
 
-// Int is a whole number in force.
-func (b *Config) Int(name string) int { return int(b.values[name].number) }
+// Int returns the value of a key of kind Int.
+func (c *Config) Int(name string) int { return int(c.values[name].number) }
 
-// Float is a number in force.
-func (b *Config) Float(name string) float64 { return b.values[name].number }
+// Float returns the value of a key of kind Float.
+func (c *Config) Float(name string) float64 { return c.values[name].number }
 
-// Text is what is in force as it was written, of any kind.
-func (b *Config) Text(name string) string { return b.values[name].text }
+// Text returns the value of a key of any kind, as written.
+func (c *Config) Text(name string) string { return c.values[name].text }
 
-// Source tells who said what is in force: default, environment, platform, or a file and line.
-func (b *Config) Source(name string) string { return b.values[name].source }
+// Source returns where the value of a key comes from: default, environment, platform, or a file and line.
+func (c *Config) Source(name string) string { return c.values[name].source }
 
-// Diff tells the keys in which two books differ, those that may change under way and those that may not.
-func (b *Config) Diff(next *Config) (live, restart []string) {
+// Diff returns the keys whose values differ in next, split into those that can change at run time and those that
+// need a restart.
+func (c *Config) Diff(next *Config) (live, restart []string) {
 	for _, k := range Keys {
-		if k.Name == "node.seed" || b.values[k.Name].text == next.values[k.Name].text {
-			continue // the platform tells a new seed each time; it is for the next start
+		if k.Name == "node.seed" || c.values[k.Name].text == next.values[k.Name].text {
+			continue // the platform supplies a new seed each time; it is only used at start-up
 		}
 		if k.Reloadable {
 			live = append(live, k.Name)
@@ -306,33 +307,33 @@
 	return live, restart
 }
 
-// WriteTable writes what is in force, with who said so.
-func (b *Config) WriteTable(w io.Writer) error {
-	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
+// WriteTable writes the effective value of each key with its type and source. The seed is not shown.
+func (c *Config) WriteTable(w io.Writer) error {
+	table := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	for _, k := range Keys {
-		text := b.Text(k.Name)
+		text := c.Text(k.Name)
 		switch {
 		case text == "":
 			text = "-"
 		case k.Name == "node.seed":
-			text = "(told)"
+			text = "(hidden)"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", k.Name, text, k.Kind, b.Source(k.Name))
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", k.Name, text, k.Kind, c.Source(k.Name))
 	}
-	return t.Flush()
+	return table.Flush()
 }
 
-// WithReloadable is the book with another's live keys: what is in force after those were applied.
-func (b *Config) WithReloadable(next *Config) *Config {
-	now := &Config{values: make(map[string]value, len(b.values))}
+// WithReloadable returns a copy with the reloadable keys of next: the effective configuration after a reload.
+func (c *Config) WithReloadable(next *Config) *Config {
+	result := &Config{values: make(map[string]value, len(c.values))}
 	for _, k := range Keys {
-		from := b
+		source := c
 		if k.Reloadable {
-			from = next
+			source = next
 		}
-		if v, ok := from.values[k.Name]; ok {
-			now.values[k.Name] = v
+		if v, ok := source.values[k.Name]; ok {
+			result.values[k.Name] = v
 		}
 	}
-	return now
+	return result
 }
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -29,38 +29,38 @@
 `
 	if _, err := Parse("a.toml", []byte(text), nil); err == nil ||
 		!strings.Contains(err.Error(), "a.toml:16") {
-		t.Errorf("a table that is also a list: %v", err)
+		t.Errorf("[drain] is a table and an array of tables: got %v, want an error at a.toml:16", err)
 	}
 	text = strings.Replace(text, "[[drain]]", "", 1)
 	_, err := Parse("a.toml", []byte(text), []string{"JASPERSILL_LOG_FORMAT=xml"})
-	var faults Errors
-	if !errors.As(err, &faults) {
-		t.Fatalf("got %v", err)
+	var errs Errors
+	if !errors.As(err, &errs) {
+		t.Fatalf("got %v, want Errors", err)
 	}
 	want := []string{
 		"a.toml:2: drain.dor: want drain.door, or another key",
-		`a.toml:3: drain.choose: want a time with its unit in quotes, as "250ms", got 2`,
-		`a.toml:4: drain.end: want a time with its unit in quotes, as "250ms", got "soon"`,
+		`a.toml:3: drain.choose: want a quoted duration with a unit, such as "250ms", got 2`,
+		`a.toml:4: drain.end: want a quoted duration with a unit, such as "250ms", got "soon"`,
 		`a.toml:6: log.level: want one of error, warning, info, debug, got "loud"`,
-		`a.toml:7: log.burst: want a whole number, got "20"`,
+		`a.toml:7: log.burst: want an integer, got "20"`,
 		`a.toml:8: log.window: want 100ms to 1h, got "10ms"`,
-		`a.toml:10: limits.memory: want a size with its unit`,
+		`a.toml:10: limits.memory: want a quoted size with a unit`,
 		`a.toml:11: limits.cores: want a number, got "nan"`,
 		`a.toml:12: limits.disk.most: want limits.disk, or another key`,
-		`a.toml:14: node.seed: want up to 16 hex digits, got "something else"`,
+		`a.toml:14: node.seed: want up to 16 hex digits, got "(hidden)"`,
 		`a.toml:15: node.listen: want "HOST:PORT", got "127.0.0.1"`,
 		`environment: log.format: want one of text, json, got "xml"`,
 	}
-	if len(faults) != len(want) {
-		t.Errorf("%d faults, want %d:\n%v", len(faults), len(want), err)
+	if len(errs) != len(want) {
+		t.Errorf("%d errors, want %d:\n%v", len(errs), len(want), err)
 	}
-	for i := range min(len(want), len(faults)) {
-		if !strings.HasPrefix(faults[i].Error(), want[i]) {
-			t.Errorf("got  %s\nwant %s", faults[i], want[i])
+	for i := range min(len(want), len(errs)) {
+		if !strings.HasPrefix(errs[i].Error(), want[i]) {
+			t.Errorf("got  %s\nwant %s", errs[i], want[i])
 		}
 	}
 	if strings.Contains(err.Error(), "geheim") {
-		t.Error("a secret is told")
+		t.Error("the error reveals the seed")
 	}
 }
 
@@ -75,40 +75,41 @@
 	}
 	if _, err := Parse("a.toml", []byte("[drain]\nchoose = \"5s\""), nil); err == nil ||
 		!strings.Contains(err.Error(), "no less than drain.choose") {
-		t.Errorf("a drain that ends before it begins: %v", err)
+		t.Errorf("drain.end less than drain.choose: got %v", err)
 	}
 }
 
 func TestSourcePrecedence(t *testing.T) {
 	text := []byte("[limits]\nmemory = \"64MiB\"\ndescriptors = 300\n[drain]\nend = \"9s\"\n[log.parts]\n")
-	if _, err := Parse("a.toml", text, nil); err != nil { // an empty table of levels is none
+	if _, err := Parse("a.toml", text, nil); err != nil { // the empty [log.parts] is valid
 		t.Error(err)
 	}
-	b, err := Parse("a.toml", text, []string{"JASPERSILL_DRAIN_END=8s", "JASPERSILL_LOG_PARTS_CLIENTS=debug"})
+	c, err := Parse("a.toml", text, []string{"JASPERSILL_DRAIN_END=8s", "JASPERSILL_LOG_PARTS_CLIENTS=debug"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	over, err := b.WithPlatform("c.json", map[string]string{"limits.memory": "1000B"})
+	result, err := c.WithPlatform("c.json", map[string]string{"limits.memory": "1000B"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if over.Bytes("limits.memory") != 1000 || over.Source("limits.memory") != "platform" ||
-		b.Bytes("limits.memory") != 64<<20 || b.Source("limits.memory") != "a.toml:2" ||
-		over.Duration("drain.end") != 8*time.Second || over.Source("drain.end") != "environment" ||
-		over.Int("limits.descriptors") != 300 || over.Source("drain.door") != "default" ||
-		over.Text("log.parts.clients") != "debug" {
-		var all bytes.Buffer
-		over.WriteTable(&all)
-		t.Errorf("in force:\n%s", &all)
+	if result.Bytes("limits.memory") != 1000 || result.Source("limits.memory") != "platform" ||
+		c.Bytes("limits.memory") != 64<<20 || c.Source("limits.memory") != "a.toml:2" ||
+		result.Duration("drain.end") != 8*time.Second || result.Source("drain.end") != "environment" ||
+		result.Int("limits.descriptors") != 300 || result.Source("drain.door") != "default" ||
+		result.Text("log.parts.clients") != "debug" {
+		var table bytes.Buffer
+		result.WriteTable(&table)
+		t.Errorf("effective values:\n%s", &table)
 	}
 	next, _ := Parse("a.toml", []byte("[drain]\nend = \"7s\"\n[limits]\nmemory = \"64MiB\"\n"), nil)
-	live, restart := b.Diff(next)
+	live, restart := c.Diff(next)
 	if strings.Join(live, " ") != "drain.end log.parts.clients" ||
 		strings.Join(restart, " ") != "limits.descriptors" {
 		t.Errorf("live %v, restart %v", live, restart)
 	}
-	if now := b.WithReloadable(next); now.Duration("drain.end") != 7*time.Second || now.Int("limits.descriptors") != 300 {
-		t.Error("what needs a restart was put in force, or what does not was not")
+	if reloaded := c.WithReloadable(next); reloaded.Duration("drain.end") != 7*time.Second ||
+		reloaded.Int("limits.descriptors") != 300 {
+		t.Error("after a reload drain.end is not the new value, or limits.descriptors is not the old one")
 	}
 }
 
@@ -120,11 +121,11 @@
 	var want bytes.Buffer
 	WriteReference(&want)
 	if !bytes.Equal(page, want.Bytes()) {
-		t.Error("docs/configuration.md: want what `jaspersill config reference` prints")
+		t.Error("docs/configuration.md: want the output of `jaspersill config reference`")
 	}
-	for _, k := range Keys { // a default outside of its bounds would be in force all the same
-		if _, wrong := k.parse(k.Default); wrong != "" {
-			t.Errorf("%s: default %q: want %s", k.Name, k.Default, wrong)
+	for _, k := range Keys { // Parse does not report a default that is out of bounds
+		if _, want := k.parse(k.Default); want != "" {
+			t.Errorf("%s: default %q: want %s", k.Name, k.Default, want)
 		}
 	}
 }
--- a/config/keys.go
+++ b/config/keys.go
@@ -1,5 +1,6 @@
-// Package house reads what the operators of an installation tell a delivery node beyond what the platform
-// tells: a TOML file and the environment. Every key stands in one table, Keys. It does no I/O.
+// Package config parses the operator's configuration of a delivery node, a TOML file and the environment, which
+// complements the configuration from the platform. All keys are defined in one table, Keys. The package does not
+// read files itself.
 package config
 
 import (
@@ -9,110 +10,110 @@
 	"strings"
 )
 
-// Kind is what a key's value is.
+// Kind is the type of a key's value.
 type Kind uint8
 
 const (
-	Text     Kind = iota
-	Enum          // one of a few words
-	Int           // a whole number
-	Float         // a number with decimals
-	Duration      // a time, with its unit
-	Size          // bytes, with their unit
-	Address       // HOST:PORT
+	Text Kind = iota
+	Enum
+	Int
+	Float
+	Duration // with a unit
+	Size     // bytes, with a unit
+	Address  // HOST:PORT
 )
 
 func (k Kind) String() string {
-	return [...]string{"text", "word", "whole number", "number", "time", "size", "address"}[k]
+	return [...]string{"string", "enum", "integer", "float", "duration", "size", "address"}[k]
 }
 
-// syntax tells how a value of a kind is written in the file.
+// syntax describes how a value of this kind is written in the file.
 func (k Kind) syntax() string {
-	return [...]string{`a text in quotes`, `a word in quotes`, `a whole number`, `a number`,
-		`a time with its unit in quotes, as "250ms"`, `a size with its unit in quotes, as "64KiB"`,
+	return [...]string{`a quoted string`, `a quoted string`, `an integer`, `a number`,
+		`a quoted duration with a unit, such as "250ms"`, `a quoted size with a unit, such as "64KiB"`,
 		`"HOST:PORT"`}[k]
 }
 
-// Key is one thing that may be told. Bounds and default are written as in the file; an empty default is for
-// what nobody need tell.
+// Key defines a configuration key. Bounds and default are written as in the file; optional keys have an empty
+// default.
 type Key struct {
 	Name        string
 	Kind        Kind
 	Default     string
 	Min, Max    string
 	Allowed     []string
-	Reloadable  bool // may change at SIGHUP; else it needs a restart
+	Reloadable  bool // takes effect on SIGHUP; otherwise a restart is needed
 	Description string
 }
 
-// PartLevelPrefix begins the names of the keys that give one part's lines a level of their own.
+// PartLevelPrefix is the prefix of the keys that set the log level of one part of the node.
 const PartLevelPrefix = "log.parts."
 
 var logLevels = []string{"error", "warning", "info", "debug"}
 
-// Keys is the table of all keys, in the order of the reference.
+// Keys lists all keys, in the order of the reference.
 var Keys = func() []Key {
 	keys := []Key{
-		{Name: "node.name", Kind: Text, Description: "The node's name, the same after a restart."},
-		{Name: "node.listen", Kind: Address, Description: "Where clients connect."},
+		{Name: "node.name", Kind: Text, Description: "Name of the node, unchanged by a restart."},
+		{Name: "node.listen", Kind: Address, Description: "Address on which the node accepts clients."},
 		{Name: "node.directory", Kind: Address, Reloadable: true,
-			Description: "The partner directory, which takes the notices too."},
-		{Name: "node.state", Kind: Text, Description: "The folder that outlasts the process."},
+			Description: "Address of the directory, which also receives the outcome notices."},
+		{Name: "node.state", Kind: Text, Description: "Folder for the persistent state."},
 		{
 			Name:        "node.seed",
 			Kind:        Text,
-			Description: "Up to 16 hex digits from which chance starts; new at each start.",
+			Description: "Seed of the random number generator, up to 16 hex digits; new at each start.",
 		},
 
 		{Name: "limits.cores", Kind: Float, Default: "0", Min: "0", Max: "1024",
-			Description: "Cores that the node may use; 0 for all."},
+			Description: "CPU cores that the node may use; 0 for all."},
 		{Name: "limits.memory", Kind: Size, Default: "0B", Min: "0B", Max: "1TiB",
-			Description: "Memory over which the platform kills the node; 0B for none."},
+			Description: "Memory limit above which the platform kills the node; 0B for no limit."},
 		{Name: "limits.heap_part", Kind: Float, Default: "0.6", Min: "0.1", Max: "0.95", Reloadable: true,
-			Description: "Part of limits.memory that the heap may fill: stacks, sockets and files need the rest."},
+			Description: "Share of limits.memory available to the heap; stacks, sockets and files need the rest."},
 		{Name: "limits.descriptors", Kind: Int, Default: "0", Min: "0", Max: "1048576",
-			Description: "File descriptors that the node may hold; 0 for 1024."},
+			Description: "Maximum number of open file descriptors; 0 for 1024."},
 		{Name: "limits.disk", Kind: Size, Default: "0B", Min: "0B", Max: "1TiB",
-			Description: "Bytes that may stand in node.state; 0B for 256MB."},
+			Description: "Maximum size of node.state; 0B for 256MB."},
 
 		{Name: "clients.first", Kind: Duration, Default: "2.5s", Min: "100ms", Max: "1m",
-			Description: "Time from a connection until its first request is whole."},
+			Description: "Timeout from accepting a connection until its first request is complete."},
 		{Name: "clients.whole", Kind: Duration, Default: "2s", Min: "100ms", Max: "1m",
-			Description: "Time from the first byte of each later request until it is whole."},
+			Description: "Timeout from the first byte of each later request until it is complete."},
 		{Name: "clients.between", Kind: Duration, Default: "5s", Min: "100ms", Max: "1h",
-			Description: "Longest time between two requests on a connection."},
+			Description: "Idle timeout between two requests on a connection."},
 
 		{Name: "directory.silence", Kind: Duration, Default: "2.5s", Min: "100ms", Max: "5m", Reloadable: true,
-			Description: "A watch without a sign of life for so long is broken. The directory shows one every 2 s."},
+			Description: "Time without data after which a watch counts as broken. The directory sends something every 2 s."},
 		{Name: "notices.within", Kind: Duration, Default: "250ms", Min: "10ms", Max: "30s", Reloadable: true,
-			Description: "Time that the platform has to answer a notice."},
+			Description: "Timeout for the platform's response to a notice."},
 		{Name: "notices.again", Kind: Duration, Default: "50ms", Min: "1ms", Max: "30s", Reloadable: true,
-			Description: "Time until a notice that failed is told again."},
+			Description: "Delay before a failed notice is retried."},
 
 		{Name: "drain.door", Kind: Duration, Default: "600ms", Min: "0s", Max: "10m", Reloadable: true,
-			Description: "From SIGTERM until connections between requests are closed."},
+			Description: "Time from SIGTERM until idle client connections are closed."},
 		{Name: "drain.choose", Kind: Duration, Default: "2s", Min: "0s", Max: "10m", Reloadable: true,
-			Description: "From SIGTERM until nothing more is decided or taken on."},
+			Description: "Time from SIGTERM until scheduling stops and no more events are accepted."},
 		{Name: "drain.end", Kind: Duration, Default: "3.4s", Min: "0s", Max: "10m", Reloadable: true,
-			Description: "From SIGTERM until the node exits, whatever is still out."},
+			Description: "Time from SIGTERM until the node exits, even if calls are still in progress."},
 
 		{Name: "log.format", Kind: Enum, Allowed: []string{"text", "json"}, Default: "text", Reloadable: true,
-			Description: "How lines are written."},
+			Description: "Format of log lines."},
 		{Name: "log.level", Kind: Enum, Allowed: logLevels, Default: "info", Reloadable: true,
-			Description: "Lines of less weight are not written."},
+			Description: "Least severe level that is logged."},
 		{Name: "log.burst", Kind: Int, Default: "20", Min: "1", Max: "1000000", Reloadable: true,
-			Description: "Lines of one message that are written in each log.window. The rest is counted and told."},
+			Description: "Maximum lines per message and log.window. Further lines are counted, and the count is logged."},
 		{Name: "log.window", Kind: Duration, Default: "10s", Min: "100ms", Max: "1h", Reloadable: true,
-			Description: "Time in which log.burst lines of one message are written."},
+			Description: "Window to which log.burst applies."},
 	}
 	for _, part := range LogParts {
 		keys = append(keys, Key{Name: PartLevelPrefix + part, Kind: Enum, Allowed: logLevels, Reloadable: true,
-			Description: "Level of the lines of the part " + part + "; log.level where it is not told."})
+			Description: "Log level of the part " + part + "; log.level if not set."})
 	}
 	return keys
 }()
 
-// LogParts are the parts of the node whose lines may have a level of their own.
+// LogParts lists the parts of the node that can have their own log level.
 var LogParts = []string{"node", "clients", "endpoints", "directory", "notices", "peers", "journal", "settings"}
 
 func findKey(name string) *Key {
@@ -124,67 +125,68 @@
 	return nil
 }
 
-// EnvVar is the environment's name for a key.
+// EnvVar returns the name of the environment variable for a key.
 func EnvVar(name string) string {
 	return "JASPERSILL_" + strings.ToUpper(strings.ReplaceAll(name, ".", "_"))
 }
 
-// closestKey tells the key that a wrong name comes closest to, or nothing where none is near.
+// closestKey returns the key most similar to an unknown name, or "" if none is similar.
 func closestKey(name string) string {
-	best, least := "", len(name)/2+1
+	best, bestDistance := "", len(name)/2+1
 	for _, k := range Keys {
-		if d := editDistance(name, k.Name); d < least {
-			best, least = k.Name, d
+		if d := editDistance(name, k.Name); d < bestDistance {
+			best, bestDistance = k.Name, d
 		}
 	}
 	return best
 }
 
-// editDistance is the fewest letters to change, add or leave out that make one text of the other.
+// editDistance returns the Levenshtein distance between a and b.
 func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
 	}
 	for i := range len(a) {
-		before := row[0]
+		diagonal := row[0]
 		row[0] = i + 1
 		for j := range len(b) {
-			change := before
+			substitution := diagonal
 			if a[i] != b[j] {
-				change++
+				substitution++
 			}
-			before, row[j+1] = row[j+1], min(change, row[j]+1, row[j+1]+1)
+			diagonal, row[j+1] = row[j+1], min(substitution, row[j]+1, row[j+1]+1)
 		}
 	}
 	return row[len(b)]
 }
 
-// WriteReference writes the table of all keys as Markdown.
+// WriteReference writes the reference page of all keys as Markdown.
 func WriteReference(w io.Writer) error {
 	var b bytes.Buffer
 	b.WriteString(strings.ReplaceAll(`# Configuration
 
-This page is what ~jaspersill config reference~ prints.
+This page is generated by ~jaspersill config reference~.
 
-The platform tells a node its addresses, limits and settings in the JSON file that RELAY_CONFIG names.
-All else stands in a TOML file that ~--file~ or JASPERSILL_FILE names, as ~deploy/jaspersill.toml~.
-Where several speak, the platform's file wins over the environment, the environment over the TOML file,
-and that over the default. ~jaspersill check~ tells all that is wrong with a file, and ~jaspersill
-config show~ what is in force and who said so.
+The platform supplies a node's addresses, limits and settings in the JSON file named by RELAY_CONFIG.
+Everything else is set in a TOML file named by ~--file~ or JASPERSILL_FILE; ~deploy/jaspersill.toml~ is
+an example. If a key is set in several places, the platform's file takes precedence over the environment,
+the environment over the TOML file, and the TOML file over the default. ~jaspersill check~ reports all
+errors in a file, and ~jaspersill config show~ prints the effective values and their sources.
 
-At SIGHUP both files are read again. A bad file changes nothing. Of a good one the keys marked live are
-put in force at once, all of them or none; the log names those that need a restart. The environment's
-name for a key is JASPERSILL_ with the key in capitals, each dot an underscore: ~JASPERSILL_DRAIN_END~.
+On SIGHUP both files are read again. If either is invalid, nothing changes. Otherwise all changes to keys
+marked live take effect at once; the log names the changed keys that need a restart. The environment
+variable for a key is JASPERSILL_ followed by the key in capitals with underscores for dots, for example
+~JASPERSILL_DRAIN_END~.
 `, "~", "`"))
 	table := ""
 	for _, k := range Keys {
-		if head, _, _ := strings.Cut(k.Name, "."); head != table {
-			table = head
-			fmt.Fprintf(&b, "\n## [%s]\n\n| key | type | default | bounds | changes | meaning |\n"+
+		if name, _, _ := strings.Cut(k.Name, "."); name != table {
+			table = name
+			fmt.Fprintf(&b, "\n## [%s]\n\n| key | type | default | bounds | takes effect | description |\n"+
 				"| --- | --- | --- | --- | --- | --- |\n", table)
 		}
-		bounds, value, when := "", k.Default, "at a restart"
+		bounds, value, takesEffect := "", k.Default, "at a restart"
 		switch {
 		case len(k.Allowed) > 0:
 			bounds = strings.Join(k.Allowed, ", ")
@@ -195,9 +197,9 @@
 			value = "none"
 		}
 		if k.Reloadable {
-			when = "live"
+			takesEffect = "live"
 		}
-		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s | %s |\n", k.Name, k.Kind, value, bounds, when, k.Description)
+		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s | %s |\n", k.Name, k.Kind, value, bounds, takesEffect, k.Description)
 	}
 	_, err := w.Write(b.Bytes())
 	return err
