--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,5 +1,5 @@
-// Command benchlink runs the decision module on the bench's wire, on standard
-// input and output.
+// Command benchlink runs the scheduler for the simulator, speaking the simulator's wire protocol on standard input and
+// output.
 package main
 
 import (
@@ -13,10 +13,10 @@
 )
 
 func main() {
-	launch := func(seed uint64, s settings.Settings) delivery.Scheduler {
+	newScheduler := func(seed uint64, s settings.Settings) delivery.Scheduler {
 		return scheduler.New(seed, s.StreamTypes, s.DestinationKinds, s.Limits, s.Recovery, s.Directory, s.Cluster, s.OrderPause)
 	}
-	if err := simwire.Serve(os.Stdin, os.Stdout, launch); err != nil {
+	if err := simwire.Serve(os.Stdin, os.Stdout, newScheduler); err != nil {
 		fmt.Fprintln(os.Stderr, "benchlink:", err)
 		os.Exit(1)
 	}
--- a/cmd/jaspersill/check.go
+++ b/cmd/jaspersill/check.go
@@ -14,19 +14,19 @@
 	"jaspersill/node"
 )
 
-// checkFiles tells all that is wrong with each file, by its ending: .json is the platform's, .toml the
-// installation's.
+// checkFiles reports all errors in each file. The format follows from the file name: .json is the platform's
+// configuration, .toml the operator's.
 func checkFiles(c *cobra.Command, names []string) error {
-	var bad error
+	var failures error
 	for _, name := range names {
 		var err error
 		switch {
 		case strings.HasSuffix(name, ".json"):
-			var t platformConfig
-			if t, _, err = readPlatform(name); err == nil {
-				var b *config.Config
-				if b, err = config.Parse("", nil, nil); err == nil {
-					_, err = b.WithPlatform(name, t.localKeys(""))
+			var p platformConfig
+			if p, _, err = readPlatform(name); err == nil {
+				var defaults *config.Config
+				if defaults, err = config.Parse("", nil, nil); err == nil {
+					_, err = defaults.WithPlatform(name, p.configValues(""))
 				}
 			}
 		case strings.HasSuffix(name, ".toml"):
@@ -38,32 +38,32 @@
 			err = fmt.Errorf("%s: want a file that ends in .json or .toml", name)
 		}
 		if err == nil {
-			fmt.Fprintln(c.OutOrStdout(), name+": good")
+			fmt.Fprintln(c.OutOrStdout(), name+": valid")
 		}
-		bad = errors.Join(bad, err)
+		failures = errors.Join(failures, err)
 	}
-	return bad
+	return failures
 }
 
 func configCommand(file *string) *cobra.Command {
 	return commandGroup(
 		"config",
-		"What is in force, and what may be told",
-		&cobra.Command{Use: "show", Short: "Print every value in force, its type and who told it",
+		"Show the configuration and its keys",
+		&cobra.Command{Use: "show", Short: "Print the effective value, type and source of every key",
 			Args: noArgs("argument"),
 			RunE: func(c *cobra.Command, _ []string) error {
-				b, err := readLocal(*file)
+				effective, err := readLocal(*file)
 				if platform := os.Getenv(platformFileEnv); err == nil && platform != "" {
-					_, _, b, err = readConfig(platform, *file)
+					_, _, effective, err = readConfig(platform, *file)
 				}
 				if err != nil {
 					return err
 				}
-				return b.WriteTable(c.OutOrStdout())
+				return effective.WriteTable(c.OutOrStdout())
 			}},
 		&cobra.Command{
 			Use:   "reference",
-			Short: "Print the table of all keys as Markdown",
+			Short: "Print the reference of all keys as Markdown",
 			Args:  noArgs("argument"),
 			RunE:  func(c *cobra.Command, _ []string) error { return config.WriteReference(c.OutOrStdout()) },
 		},
@@ -73,24 +73,24 @@
 func journalCommand() *cobra.Command {
 	return commandGroup(
 		"journal",
-		"Look into a node's folder; nothing is changed, and the node may run",
-		&cobra.Command{Use: "ls DIR", Short: "List the events that are owed an end", Args: exactlyOneArg("DIR"),
+		"Inspect a node's state folder, read-only; the node may be running",
+		&cobra.Command{Use: "ls DIR", Short: "List the events without a final outcome", Args: exactlyOneArg("DIR"),
 			RunE: func(c *cobra.Command, args []string) error {
 				r, err := node.ReadJournal(args[0])
 				if err != nil {
 					return err
 				}
-				t := tabwriter.NewWriter(c.OutOrStdout(), 0, 8, 2, ' ', 0)
-				fmt.Fprintln(t, "EVENT\tTYPE\tCUSTOMER\tDEST\tDEADLINE\tSENDS\tMAY HAVE RUN\tVERDICT\tBODY")
-				for _, o := range r.Pending {
-					fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%d\t%t\t%s\t%d B\n", o.ID, o.Kind, o.Owner, o.Dest,
-						o.Deadline.UTC().Format(time.RFC3339Nano), o.Attempts, o.MayHaveRun, o.Verdict, o.BodyBytes)
+				table := tabwriter.NewWriter(c.OutOrStdout(), 0, 8, 2, ' ', 0)
+				fmt.Fprintln(table, "EVENT\tTYPE\tCUSTOMER\tDEST\tDEADLINE\tSENDS\tMAY HAVE RUN\tVERDICT\tBODY")
+				for _, e := range r.Pending {
+					fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%s\t%d\t%t\t%s\t%d B\n", e.ID, e.Kind, e.Owner, e.Dest,
+						e.Deadline.UTC().Format(time.RFC3339Nano), e.Attempts, e.MayHaveRun, e.Verdict, e.BodyBytes)
 				}
-				return t.Flush()
+				return table.Flush()
 			}},
 		&cobra.Command{
 			Use:   "verify DIR",
-			Short: "Tell what is damaged; the exit code is 1 where something is",
+			Short: "Report damage to the journal; exits with 1 if there is any",
 			Args:  exactlyOneArg("DIR"),
 			RunE: func(c *cobra.Command, args []string) error {
 				r, err := node.ReadJournal(args[0])
@@ -98,16 +98,16 @@
 					return err
 				}
 				w := c.OutOrStdout()
-				fmt.Fprintf(w, "%d bytes, %d records, %d events owed\n", r.SizeBytes, r.Records, len(r.Pending))
+				fmt.Fprintf(w, "%d bytes, %d records, %d pending events\n", r.SizeBytes, r.Records, len(r.Pending))
 				if r.TruncatedBytes > 0 {
 					fmt.Fprintf(
 						w,
-						"the last %d bytes are no whole record and are dropped\n",
+						"the last %d bytes are an incomplete record and are ignored\n",
 						r.TruncatedBytes,
 					)
 				}
 				if r.RecordsMissing {
-					fmt.Fprintln(w, "records are missing: what stood before them counts as possibly run")
+					fmt.Fprintln(w, "records are missing: events before them are treated as possibly processed")
 				}
 				if len(r.Faults) > 0 {
 					return errors.New(strings.Join(r.Faults, "\n"))
--- a/cmd/jaspersill/commands_test.go
+++ b/cmd/jaspersill/commands_test.go
@@ -10,18 +10,18 @@
 
 func TestCommandExitCodesAndOutput(t *testing.T) {
 	folder := t.TempDir()
-	file := func(name, text string) string {
+	write := func(name, text string) string {
 		name = filepath.Join(folder, name)
 		if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		return name
 	}
-	good, bad := file(
-		"good.toml",
+	valid, invalid := write(
+		"valid.toml",
 		"[log]\nlevel = \"debug\"\n",
-	), file(
-		"bad.toml",
+	), write(
+		"invalid.toml",
 		"[log]\nlevle = 1\n[drian]\nx = 1\n",
 	)
 	t.Setenv(platformFileEnv, "")
@@ -30,24 +30,24 @@
 		code int
 		want string
 	}{
-		{nil, exitUsage, "a command is needed"},
+		{nil, exitUsage, "missing command"},
 		{[]string{"--help"}, exitOK, "Exit codes"},
 		{[]string{"srve"}, exitUsage, "did you mean serve?"},
 		{[]string{"config", "sohw"}, exitUsage, "did you mean show?"},
-		{[]string{"config"}, exitUsage, "a command is needed"},
+		{[]string{"config"}, exitUsage, "missing command"},
 		{[]string{"--flie", "x"}, exitUsage, "unknown flag"},
-		{[]string{"check"}, exitUsage, "FILE is missing"},
-		{[]string{"check", good}, exitOK, "good.toml: good"},
-		{[]string{"check", good, bad}, exitFailed, "bad.toml:4: drian.x"},
-		{[]string{"check", bad}, exitFailed, "bad.toml:2: log.levle: want log.level"},
+		{[]string{"check"}, exitUsage, "missing FILE"},
+		{[]string{"check", valid}, exitOK, "/valid.toml: valid"},
+		{[]string{"check", valid, invalid}, exitFailed, "invalid.toml:4: drian.x"},
+		{[]string{"check", invalid}, exitFailed, "invalid.toml:2: log.levle: want log.level"},
 		{[]string{"check", "../../example/config.json", "../../deploy/jaspersill.toml"},
-			exitOK, "config.json: good"},
-		{[]string{"check", file("c.json", `{"settings":{"me":-1,"tick_ms":"x"}}`)},
+			exitOK, "config.json: valid"},
+		{[]string{"check", write("c.json", `{"settings":{"me":-1,"tick_ms":"x"}}`)},
 			exitFailed, "settings: me: want"},
 		{[]string{"check", "no such.toml"}, exitFailed, "no such.toml"},
 		{[]string{"check", "../../go.mod"}, exitFailed, "ends in .json or .toml"},
-		{[]string{"config", "show", "--file", good}, exitOK, "good.toml:2"},
-		{[]string{"config", "show", "--file", bad}, exitFailed, "log.levle"},
+		{[]string{"config", "show", "--file", valid}, exitOK, "/valid.toml:2"},
+		{[]string{"config", "show", "--file", invalid}, exitFailed, "log.levle"},
 		{[]string{"config", "reference"}, exitOK, "| `drain.end` |"},
 		{[]string{"journal", "ls"}, exitUsage, "want one DIR"},
 		{[]string{"journal", "ls", folder}, exitFailed, "file does not exist"},
--- a/cmd/jaspersill/main.go
+++ b/cmd/jaspersill/main.go
@@ -1,6 +1,5 @@
-// Command jaspersill is a delivery node, with what its operators need around it. `serve` runs the node: it
-// reads what the platform tells from the file that RELAY_CONFIG names, and what the installation tells from a
-// TOML file.
+// Command jaspersill runs a delivery node and provides tools for its operators. `serve` runs the node: it reads the
+// platform's configuration from the file named by RELAY_CONFIG, and the operator's from a TOML file.
 package main
 
 import (
@@ -26,70 +25,70 @@
 	exitUsage
 )
 
-// usageError is a wrong use of the command line.
+// usageError is an error in the command line.
 type usageError struct{ error }
 
 func main() {
-	// Danger: uncaught, the signal that says that the file was replaced ends the process, at whatever moment.
-	replaced := make(chan os.Signal, 1)
-	signal.Notify(replaced, syscall.SIGHUP)
-	signal.Ignore(syscall.SIGPIPE) // a collector of log lines that goes away must not take the process along
-	lines := logs.NewAsyncWriter(os.Stderr)
-	logrus.SetOutput(lines)
-	code := execute(os.Args[1:], os.Stdout, os.Stderr, replaced)
-	lines.Flush()
+	// SIGHUP asks for a reload at any time. Catch it from the start: uncaught, it would end the process.
+	reload := make(chan os.Signal, 1)
+	signal.Notify(reload, syscall.SIGHUP)
+	signal.Ignore(syscall.SIGPIPE) // the process must survive when the reader of its log exits
+	logWriter := logs.NewAsyncWriter(os.Stderr)
+	logrus.SetOutput(logWriter)
+	code := execute(os.Args[1:], os.Stdout, os.Stderr, reload)
+	logWriter.Flush()
 	os.Exit(code)
 }
 
-// execute runs one command and returns the process's exit code.
-func execute(args []string, out, problems io.Writer, replaced <-chan os.Signal) int {
-	gate := logs.New()
-	logrus.SetFormatter(gate)
-	root := newRootCommand(gate, replaced)
+// execute runs one command and returns the exit code.
+func execute(args []string, stdout, stderr io.Writer, reload <-chan os.Signal) int {
+	formatter := logs.New()
+	logrus.SetFormatter(formatter)
+	root := newRootCommand(formatter, reload)
 	root.SetArgs(args)
-	root.SetOut(out)
-	root.SetErr(problems)
+	root.SetOut(stdout)
+	root.SetErr(stderr)
 	err := root.Execute()
-	var wrong usageError
+	var usageErr usageError
 	switch {
 	case err == nil:
 		return exitOK
-	case errors.As(err, &wrong):
-		fmt.Fprintln(problems, "jaspersill:", err)
+	case errors.As(err, &usageErr):
+		fmt.Fprintln(stderr, "jaspersill:", err)
 		return exitUsage
 	}
 	for line := range strings.SplitSeq(err.Error(), "\n") {
-		fmt.Fprintln(problems, "jaspersill:", line)
+		fmt.Fprintln(stderr, "jaspersill:", line)
 	}
 	return exitFailed
 }
 
-func newRootCommand(gate *logs.Formatter, replaced <-chan os.Signal) *cobra.Command {
+func newRootCommand(formatter *logs.Formatter, reload <-chan os.Signal) *cobra.Command {
 	var file string
 	root := &cobra.Command{
 		Use:   "jaspersill",
-		Short: "A delivery node that hands events on to destinations nobody here controls",
-		Long: "A delivery node that hands events on to destinations nobody here controls.\n\n" +
-			"Without a command it serves where RELAY_CONFIG is set, as `serve` does.\n" +
-			"Exit codes: 0 good, 1 failed, 2 wrong usage.",
+		Short: "A delivery node that forwards events to third-party destinations",
+		Long: "A delivery node that forwards events to third-party destinations.\n\n" +
+			"Without a command it runs `serve` if RELAY_CONFIG is set.\n" +
+			"Exit codes: 0 success, 1 failure, 2 usage error.",
 		SilenceUsage: true, SilenceErrors: true,
 		Args: noArgs("command"),
 		RunE: func(c *cobra.Command, args []string) error {
 			if os.Getenv(platformFileEnv) == "" {
 				c.Help()
-				return usageError{errors.New("a command is needed, or RELAY_CONFIG to serve")}
+				return usageError{errors.New("missing command; to run `serve` without one, set RELAY_CONFIG")}
 			}
-			return serve(gate, file, replaced)
+			return serve(formatter, file, reload)
 		},
 	}
 	root.SuggestionsMinimumDistance = 2
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
 	root.PersistentFlags().StringVar(&file, "file", os.Getenv(localFileEnv),
-		"the installation's own TOML file; "+localFileEnv+" names it too")
+		"the operator's TOML file; "+localFileEnv+" sets the default")
 	root.AddCommand(
 		&cobra.Command{Use: "serve", Short: "Run the delivery node until SIGTERM", Args: noArgs("argument"),
-			RunE: func(*cobra.Command, []string) error { return serve(gate, file, replaced) }},
-		&cobra.Command{Use: "check FILE...", Short: "Tell all that is wrong with files of either format",
+			RunE: func(*cobra.Command, []string) error { return serve(formatter, file, reload) }},
+		&cobra.Command{Use: "check FILE...", Short: "Report all errors in configuration files of either format",
 			Args: oneOrMoreArgs(
 				"FILE",
 			), RunE: func(c *cobra.Command, names []string) error { return checkFiles(c, names) }},
@@ -97,7 +96,7 @@
 		journalCommand(),
 		&cobra.Command{
 			Use:   "version",
-			Short: "Print what this program was built from",
+			Short: "Print the version and build information",
 			Args:  noArgs("argument"),
 			RunE: func(c *cobra.Command, _ []string) error {
 				_, err := fmt.Fprintln(c.OutOrStdout(), version())
@@ -108,25 +107,24 @@
 	return root
 }
 
-// noArgs refuses all arguments, and tells the nearest command where there are commands.
+// noArgs rejects all arguments, and suggests similar commands if there are any.
 func noArgs(what string) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if len(args) == 0 {
 			return nil
 		}
 		text := fmt.Sprintf("%s: no such %s: %q", c.CommandPath(), what, args[0])
-		if near := c.SuggestionsFor(args[0]); len(near) > 0 {
-			text += "; did you mean " + strings.Join(near, " or ") + "?"
+		if similar := c.SuggestionsFor(args[0]); len(similar) > 0 {
+			text += "; did you mean " + strings.Join(similar, " or ") + "?"
 		}
 		return usageError{errors.New(text)}
 	}
 }
 
-// oneOrMoreArgs wants one argument or more; one wants exactly one.
 func oneOrMoreArgs(what string) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if len(args) == 0 {
-			return usageError{fmt.Errorf("%s: %s is missing", c.CommandPath(), what)}
+			return usageError{fmt.Errorf("%s: missing %s", c.CommandPath(), what)}
 		}
 		return nil
 	}
@@ -141,14 +139,14 @@
 	}
 }
 
-// commandGroup is a command that only holds others.
-func commandGroup(use, short string, inner ...*cobra.Command) *cobra.Command {
+// commandGroup returns a command that only contains subcommands.
+func commandGroup(use, short string, subcommands ...*cobra.Command) *cobra.Command {
 	c := &cobra.Command{Use: use, Short: short, SuggestionsMinimumDistance: 2, Args: noArgs("command"),
 		RunE: func(c *cobra.Command, _ []string) error {
 			c.Help()
-			return usageError{fmt.Errorf("%s: a command is needed", c.CommandPath())}
+			return usageError{fmt.Errorf("%s: missing command", c.CommandPath())}
 		}}
-	c.AddCommand(inner...)
+	c.AddCommand(subcommands...)
 	return c
 }
 
--- a/cmd/jaspersill/main_test.go
+++ b/cmd/jaspersill/main_test.go
@@ -29,13 +29,13 @@
 	os.Exit(m.Run())
 }
 
-// receive gives what must happen far longer than it takes anywhere.
+// receive waits for a value with a timeout well above the time needed on a slow machine.
 func receive[T any](t *testing.T, what string, from <-chan T) (got T) {
 	t.Helper()
 	select {
 	case got = <-from:
 	case <-time.After(20 * time.Second):
-		t.Fatalf("never: %s", what)
+		t.Fatalf("timeout: %s", what)
 	}
 	return got
 }
@@ -45,12 +45,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole := regexp.MustCompile(`127\.0\.0\.1:\d+`).ReplaceAllString(string(text), "127.0.0.1:0")
+	configText := regexp.MustCompile(`127\.0\.0\.1:\d+`).ReplaceAllString(string(text), "127.0.0.1:0")
 	name := filepath.Join(t.TempDir(), "config.json")
 	write := func(discovery, extra string) {
 		t.Helper()
 		text := strings.Replace(
-			whole,
+			configText,
 			`"discovery": "127.0.0.1:0"`,
 			`"discovery": "`+discovery+`"`,
 			1,
@@ -59,19 +59,19 @@
 			t.Fatal(err)
 		}
 	}
-	asked := make(chan string, 100)
-	open := func() string {
+	watched := make(chan string, 100)
+	startDirectory := func() string {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			fmt.Fprintln(w, `{"seq":7,"whole":true,"hosts":[]}`)
 			w.(http.Flusher).Flush()
-			asked <- r.Host + r.URL.String()
+			watched <- r.Host + r.URL.String()
 			<-r.Context().Done()
 		}))
 		t.Cleanup(s.Close)
 		t.Cleanup(s.CloseClientConnections)
 		return s.Listener.Addr().String()
 	}
-	first, second := open(), open()
+	first, second := startDirectory(), startDirectory()
 	write(first, "")
 	c := exec.Command(os.Args[0])
 	c.Env = append(os.Environ(), childEnv+"=1", "RELAY_CONFIG="+name, "RELAY_STATE="+t.TempDir())
@@ -79,20 +79,20 @@
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- c.Wait() }()
+	exited := make(chan error, 1)
+	go func() { exited <- c.Wait() }()
 	defer c.Process.Kill()
-	receive(t, "it watches the first", asked)
-	write(second, "}") // no JSON: nothing changes, and the process lives
+	receive(t, "a watch at the first directory", watched)
+	write(second, "}") // invalid JSON: nothing changes, and the process keeps running
 	c.Process.Signal(syscall.SIGHUP)
 	time.Sleep(100 * time.Millisecond)
 	write(second, "")
 	c.Process.Signal(syscall.SIGHUP)
-	if got := receive(t, "it watches the second", asked); !strings.HasSuffix(got, "?watch=1&from=7") {
-		t.Errorf("asked the second for %q", got)
+	if got := receive(t, "a watch at the second directory", watched); !strings.HasSuffix(got, "?watch=1&from=7") {
+		t.Errorf("request to the second directory: %q, want it to end in ?watch=1&from=7", got)
 	}
 	c.Process.Signal(syscall.SIGTERM)
-	if err := receive(t, "it ends", ended); err != nil {
+	if err := receive(t, "exit of the process", exited); err != nil {
 		t.Error(err)
 	}
 }
@@ -113,7 +113,7 @@
 		t.Fatal(err)
 	}
 	defer c.Process.Kill()
-	file, err := os.OpenFile(name, os.O_WRONLY, 0) // returns once it is being read
+	file, err := os.OpenFile(name, os.O_WRONLY, 0) // returns once the process has opened it for reading
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -122,10 +122,10 @@
 	}
 	file.Write(regexp.MustCompile(`127\.0\.0\.1:\d+`).ReplaceAll(text, []byte("127.0.0.1:0")))
 	file.Close()
-	ended := make(chan error, 1)
-	go func() { ended <- c.Wait() }()
-	if err := receive(t, "it ends", ended); err != nil {
-		t.Errorf("it did not end in order: %v", err)
+	exited := make(chan error, 1)
+	go func() { exited <- c.Wait() }()
+	if err := receive(t, "exit of the process", exited); err != nil {
+		t.Errorf("the process did not exit cleanly: %v", err)
 	}
 }
 
@@ -134,10 +134,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole := regexp.MustCompile(`127\.0\.0\.1:\d+`).ReplaceAllString(string(text), "127.0.0.1:0")
+	configText := regexp.MustCompile(`127\.0\.0\.1:\d+`).ReplaceAllString(string(text), "127.0.0.1:0")
 	for _, c := range []struct{ old, new, want string }{
-		{whole, "", "RELAY_CONFIG: "},
-		{whole, "[]", "RELAY_CONFIG: "},
+		{configText, "", "RELAY_CONFIG: "},
+		{configText, "[]", "RELAY_CONFIG: "},
 		{`"listen": "127.0.0.1:0"`, `"listen": ""`, "listen"},
 		{`"listen": "127.0.0.1:0"`, `"listen": "127.0.0.1:port"`, "listen"},
 		{`"8c1f30d27a5be964"`, `"no seed"`, "seed: "},
@@ -146,7 +146,7 @@
 		{`"peer_listen": "127.0.0.1:0"`, `"peer_listen": "nowhere"`, "nowhere"},
 	} {
 		name := filepath.Join(t.TempDir(), "config.json")
-		if err := os.WriteFile(name, []byte(strings.Replace(whole, c.old, c.new, 1)), 0o600); err != nil {
+		if err := os.WriteFile(name, []byte(strings.Replace(configText, c.old, c.new, 1)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		t.Setenv("RELAY_CONFIG", name)
@@ -161,11 +161,11 @@
 	}
 }
 
-// Guards against a start, or a reload, that ends because a file cannot be read for a moment.
+// Guards against a start-up or reload that fails because a file is unreadable for a moment.
 func TestTransientReadFailureIsRetried(t *testing.T) {
-	fails := 3
+	failures := 3
 	readFile = func(name string) ([]byte, error) {
-		if fails--; fails >= 0 {
+		if failures--; failures >= 0 {
 			return nil, &os.PathError{Op: "open", Path: name, Err: syscall.ENOSPC}
 		}
 		return []byte("{}"), nil
@@ -176,39 +176,39 @@
 	}
 }
 
-// Guards against a process that ends because whoever reads its log lines has gone away.
+// Guards against a process that exits with SIGPIPE because the reader of its log has exited.
 func TestProcessSurvivesClosedLogPipe(t *testing.T) {
 	text, err := os.ReadFile("../../example/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
 	name := filepath.Join(t.TempDir(), "config.json")
-	whole := regexp.MustCompile(`127\.0\.0\.1:\d+`).ReplaceAll(text, []byte("127.0.0.1:0"))
-	if err := os.WriteFile(name, whole, 0o600); err != nil {
+	configText := regexp.MustCompile(`127\.0\.0\.1:\d+`).ReplaceAll(text, []byte("127.0.0.1:0"))
+	if err := os.WriteFile(name, configText, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	lines, end, err := os.Pipe()
+	logReader, logWriter, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := exec.Command(os.Args[0])
 	c.Env = append(os.Environ(), childEnv+"=1", "RELAY_CONFIG="+name, "RELAY_STATE="+t.TempDir())
-	c.Stderr = end
+	c.Stderr = logWriter
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
 	defer c.Process.Kill()
-	end.Close()
-	bufio.NewReader(lines).ReadString('\n') // it has begun to write them
-	lines.Close()
-	ended := make(chan error, 1)
-	go func() { ended <- c.Wait() }()
+	logWriter.Close()
+	bufio.NewReader(logReader).ReadString('\n') // the process has started logging
+	logReader.Close()
+	exited := make(chan error, 1)
+	go func() { exited <- c.Wait() }()
 	for range 5 {
 		time.Sleep(50 * time.Millisecond)
-		c.Process.Signal(syscall.SIGHUP) // each is worth a line
+		c.Process.Signal(syscall.SIGHUP) // each one logs a line
 	}
 	c.Process.Signal(syscall.SIGTERM)
-	if err := receive(t, "it ends", ended); err != nil {
-		t.Errorf("it did not end in order: %v", err)
+	if err := receive(t, "exit of the process", exited); err != nil {
+		t.Errorf("the process did not exit cleanly: %v", err)
 	}
 }
--- a/cmd/jaspersill/platform.go
+++ b/cmd/jaspersill/platform.go
@@ -18,7 +18,7 @@
 	localFileEnv    = "JASPERSILL_FILE"
 )
 
-// platformConfig is what the platform's file says.
+// platformConfig is the configuration file written by the platform.
 type platformConfig struct {
 	Name, Listen, Discovery, Seed string
 	Limits                        struct {
@@ -34,47 +34,47 @@
 	Settings   json.RawMessage
 }
 
-// readFile is how files are read; tests put one that fails in its place.
+// readFile is replaced in tests to simulate read failures.
 var readFile = os.ReadFile
 
-// readPlatform reads the platform's file and checks what it says of the node's terms.
-func readPlatform(name string) (t platformConfig, s settings.Settings, err error) {
+// readPlatform reads the platform's file and parses the settings in it.
+func readPlatform(name string) (p platformConfig, s settings.Settings, err error) {
 	text, err := errclass.ReadFile(readFile, name)
 	if err == nil {
-		err = json.Unmarshal(text, &t)
+		err = json.Unmarshal(text, &p)
 	}
 	if err != nil {
-		return t, s, fmt.Errorf("%s: %w", platformFileEnv, err)
+		return p, s, fmt.Errorf("%s: %w", platformFileEnv, err)
 	}
-	if l := t.Limits; l.Cores < 0 || l.MemoryMB < 0 || l.Sockets < 0 || l.DiskMB < 0 {
-		err = errors.New("limits: none may be under 0")
+	if l := p.Limits; l.Cores < 0 || l.MemoryMB < 0 || l.Sockets < 0 || l.DiskMB < 0 {
+		err = errors.New("limits: want no negative value")
 	}
-	s, bad := settings.ParseJSON(t.Settings)
-	s.Directory.Automatic, s.Directory.RequiresWatch = !s.Directory.RequiresWatch, true // on sockets every change is asked for
-	return t, s, errors.Join(err, bad)
+	s, settingsErr := settings.ParseJSON(p.Settings)
+	s.Directory.Automatic, s.Directory.RequiresWatch = !s.Directory.RequiresWatch, true // over HTTP, changes always need a watch
+	return p, s, errors.Join(err, settingsErr)
 }
 
-// localKeys is what the platform tells, by the keys of the installation's own file.
-func (t *platformConfig) localKeys(folder string) map[string]string {
-	size := func(megabytes, of float64) string {
+// configValues returns the platform's values by the keys of package config.
+func (p *platformConfig) configValues(stateFolder string) map[string]string {
+	size := func(megabytes, bytesPerMB float64) string {
 		if megabytes == 0 {
 			return ""
 		}
-		return strconv.FormatInt(int64(megabytes*of), 10) + "B"
+		return strconv.FormatInt(int64(megabytes*bytesPerMB), 10) + "B"
 	}
-	keys := map[string]string{"node.name": t.Name, "node.listen": t.Listen, "node.directory": t.Discovery,
-		"node.seed": t.Seed, "node.state": folder,
-		"limits.memory": size(t.Limits.MemoryMB, 1<<20), "limits.disk": size(t.Limits.DiskMB, 1e6)}
-	if t.Limits.Cores > 0 {
-		keys["limits.cores"] = strconv.FormatFloat(t.Limits.Cores, 'g', -1, 64)
+	values := map[string]string{"node.name": p.Name, "node.listen": p.Listen, "node.directory": p.Discovery,
+		"node.seed": p.Seed, "node.state": stateFolder,
+		"limits.memory": size(p.Limits.MemoryMB, 1<<20), "limits.disk": size(p.Limits.DiskMB, 1e6)}
+	if p.Limits.Cores > 0 {
+		values["limits.cores"] = strconv.FormatFloat(p.Limits.Cores, 'g', -1, 64)
 	}
-	if t.Limits.Sockets > 0 {
-		keys["limits.descriptors"] = strconv.Itoa(t.Limits.Sockets)
+	if p.Limits.Sockets > 0 {
+		values["limits.descriptors"] = strconv.Itoa(p.Limits.Sockets)
 	}
-	return keys
+	return values
 }
 
-// readLocal reads the installation's own file, if one is named, and the environment.
+// readLocal reads the operator's TOML file, if one is given, and the environment.
 func readLocal(name string) (*config.Config, error) {
 	var text []byte
 	if name != "" {
@@ -86,22 +86,22 @@
 	return config.Parse(name, text, os.Environ())
 }
 
-// readConfig reads both files and checks them as a whole. Danger: of a bad one nothing may be used.
-func readConfig(platform, own string) (t platformConfig, s settings.Settings, b *config.Config, err error) {
-	t, s, err = readPlatform(platform)
-	book, bad := readLocal(own)
-	if err = errors.Join(err, bad); err != nil {
-		return t, s, nil, err
+// readConfig reads both files and validates them together. If it returns an error, nothing from the files may be used.
+func readConfig(platformFile, localFile string) (p platformConfig, s settings.Settings, c *config.Config, err error) {
+	p, s, err = readPlatform(platformFile)
+	local, localErr := readLocal(localFile)
+	if err = errors.Join(err, localErr); err != nil {
+		return p, s, nil, err
 	}
-	if b, err = book.WithPlatform(platform, t.localKeys(os.Getenv(stateFolderEnv))); err != nil {
-		return t, s, nil, err
+	if c, err = local.WithPlatform(platformFile, p.configValues(os.Getenv(stateFolderEnv))); err != nil {
+		return p, s, nil, err
 	}
-	for _, needed := range [][2]string{{"node.listen", "listen"}, {"node.directory", "discovery"},
+	for _, required := range [][2]string{{"node.listen", "listen"}, {"node.directory", "discovery"},
 		{"node.state", stateFolderEnv}, {"node.seed", "seed"}} {
-		if b.Text(needed[0]) == "" {
-			err = errors.Join(err, fmt.Errorf("%s: nobody told it: %s or %s is needed",
-				needed[0], needed[1], config.EnvVar(needed[0])))
+		if c.Text(required[0]) == "" {
+			err = errors.Join(err, fmt.Errorf("%s: not set: %s or %s is required",
+				required[0], required[1], config.EnvVar(required[0])))
 		}
 	}
-	return t, s, b, err
+	return p, s, c, err
 }
--- a/cmd/jaspersill/serve.go
+++ b/cmd/jaspersill/serve.go
@@ -20,99 +20,99 @@
 )
 
 // serve runs the delivery node.
-func serve(gate *logs.Formatter, own string, replaced <-chan os.Signal) error {
-	// Danger: caught only once all is open, a request to stop would end the process in the middle of its start.
+func serve(formatter *logs.Formatter, localFile string, reload <-chan os.Signal) error {
+	// Catch SIGTERM before anything is opened: otherwise it would kill the process in the middle of its start-up.
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	platform := os.Getenv(platformFileEnv)
-	t, s, b, err := readConfig(platform, own)
+	platformFile := os.Getenv(platformFileEnv)
+	p, s, c, err := readConfig(platformFile, localFile)
 	if err != nil {
 		return err
 	}
-	configureLogs(gate, b)
-	stopTelling := make(chan struct{})
-	defer close(stopTelling)
-	go gate.Run(logrus.StandardLogger(), stopTelling)
+	configureLogs(formatter, c)
+	stopReports := make(chan struct{})
+	defer close(stopReports)
+	go formatter.Run(logrus.StandardLogger(), stopReports)
 	if len(s.UnknownKeys) > 0 {
 		logs.Part("settings").WithField("names", strings.Join(s.UnknownKeys, " ")).
-			Info("the platform tells settings that nothing here reads")
+			Info("ignoring unknown settings from the platform")
 	}
-	if cores := b.Float("limits.cores"); cores > 0 {
+	if cores := c.Float("limits.cores"); cores > 0 {
 		runtime.GOMAXPROCS(int(math.Ceil(cores)))
 	}
-	seed, err := strconv.ParseUint(b.Text("node.seed"), 16, 64)
+	seed, err := strconv.ParseUint(c.Text("node.seed"), 16, 64)
 	if err != nil {
 		return err
 	}
 	module := scheduler.New(seed, s.StreamTypes, s.DestinationKinds, s.Limits, s.Recovery, s.Directory, s.Cluster, s.OrderPause)
 	n, err := node.Open(
 		node.Config{
-			Listen:         b.Text("node.listen"),
-			Directory:      b.Text("node.directory"),
-			StateFolder:    b.Text("node.state"),
-			PeerListen:     t.PeerListen,
-			PeersAll:       t.PeersAll,
-			Peers:          t.Peers,
-			KnownEndpoints: t.Known,
+			Listen:         c.Text("node.listen"),
+			Directory:      c.Text("node.directory"),
+			StateFolder:    c.Text("node.state"),
+			PeerListen:     p.PeerListen,
+			PeersAll:       p.PeersAll,
+			Peers:          p.Peers,
+			KnownEndpoints: p.Known,
 		},
-		node.Limits{DiskMB: float64(b.Bytes("limits.disk")) / 1e6, Sockets: b.Int("limits.descriptors")},
-		node.ClientTimeouts{FirstRequest: b.Duration("clients.first"), Request: b.Duration("clients.whole"),
-			Idle: b.Duration("clients.between")},
+		node.Limits{DiskMB: float64(c.Bytes("limits.disk")) / 1e6, Sockets: c.Int("limits.descriptors")},
+		node.ClientTimeouts{FirstRequest: c.Duration("clients.first"), Request: c.Duration("clients.whole"),
+			Idle: c.Duration("clients.between")},
 		s,
 		module,
 	)
 	if err != nil {
 		return err
 	}
-	applyReloadable(gate, n, b)
-	go reloadOnSignal(replaced, gate, n, platform, own, b)
+	applyReloadable(formatter, n, c)
+	go reloadOnSignal(reload, formatter, n, platformFile, localFile, c)
 	return n.Run(ctx)
 }
 
-// configureLogs puts in force how lines are written.
-func configureLogs(gate *logs.Formatter, b *config.Config) {
+// configureLogs applies the log configuration.
+func configureLogs(formatter *logs.Formatter, c *config.Config) {
 	parts := make(map[string]string)
 	for _, part := range config.LogParts {
-		if level := b.Text(config.PartLevelPrefix + part); level != "" {
+		if level := c.Text(config.PartLevelPrefix + part); level != "" {
 			parts[part] = level
 		}
 	}
-	gate.Configure(b.Text("log.format"), b.Text("log.level"), parts, b.Int("log.burst"), b.Duration("log.window"))
-	logrus.SetLevel(gate.MaxLevel())
+	formatter.Configure(c.Text("log.format"), c.Text("log.level"), parts, c.Int("log.burst"), c.Duration("log.window"))
+	logrus.SetLevel(formatter.MaxLevel())
 }
 
-// applyReloadable puts every live key in force. Danger: a key marked live that is missing here would be said to be.
-func applyReloadable(gate *logs.Formatter, n *node.Node, b *config.Config) {
-	configureLogs(gate, b)
-	if memory := b.Bytes("limits.memory"); memory > 0 {
-		debug.SetMemoryLimit(int64(float64(memory) * b.Float("limits.heap_part")))
+// applyReloadable applies every reloadable key. A reloadable key that is missing here would be reported as changed
+// without taking effect.
+func applyReloadable(formatter *logs.Formatter, n *node.Node, c *config.Config) {
+	configureLogs(formatter, c)
+	if memory := c.Bytes("limits.memory"); memory > 0 {
+		debug.SetMemoryLimit(int64(float64(memory) * c.Float("limits.heap_part")))
 	}
-	n.SetDrainTimes(b.Duration("drain.door"), b.Duration("drain.choose"), b.Duration("drain.end"))
-	n.SetDirectorySilence(b.Duration("directory.silence"))
-	n.SetNoticeTimes(b.Duration("notices.within"), b.Duration("notices.again"))
-	n.SetDirectoryAddress(b.Text("node.directory"))
+	n.SetDrainTimes(c.Duration("drain.door"), c.Duration("drain.choose"), c.Duration("drain.end"))
+	n.SetDirectorySilence(c.Duration("directory.silence"))
+	n.SetNoticeTimes(c.Duration("notices.within"), c.Duration("notices.again"))
+	n.SetDirectoryAddress(c.Text("node.directory"))
 }
 
-// reloadOnSignal reads both files again each time they were replaced, for as long as the process lasts. A bad file
-// changes nothing.
-func reloadOnSignal(replaced <-chan os.Signal, gate *logs.Formatter, n *node.Node, platform, own string, now *config.Config) {
-	for range replaced {
-		_, _, next, err := readConfig(platform, own)
+// reloadOnSignal reads both files again on each signal, until the process exits. If either is invalid, nothing changes.
+func reloadOnSignal(reload <-chan os.Signal, formatter *logs.Formatter, n *node.Node, platformFile, localFile string, current *config.Config) {
+	for range reload {
+		_, _, next, err := readConfig(platformFile, localFile)
 		if err != nil {
 			logs.Part("settings").
 				WithError(err).
-				Error("the new configuration is passed over, the old one stays")
+				Error("the new configuration is invalid; keeping the current one")
 			continue
 		}
-		live, restart := now.Diff(next)
-		applyReloadable(gate, n, next)
+		live, restart := current.Diff(next)
+		applyReloadable(formatter, n, next)
 		line := logs.Part("settings").WithField("changed", strings.Join(live, " "))
 		if len(restart) > 0 {
 			line.WithField("restart", strings.Join(restart, " ")).
-				Warn("configuration read again; some of it needs a restart")
+				Warn("configuration reloaded; some changes need a restart")
 		} else {
-			line.Info("configuration read again")
+			line.Info("configuration reloaded")
 		}
-		now = now.WithReloadable(next)
+		current = current.WithReloadable(next)
 	}
 }
