--- a/simwire/simwire.go
+++ b/simwire/simwire.go
@@ -1,5 +1,5 @@
-// Package simwire is the bench's wire: it reads batches, hands each instance
-// its part and writes the replies. It decides nothing.
+// Package simwire implements the simulator's wire protocol: it reads batches of events, passes them to the scheduler of
+// each simulated delivery node and writes the schedulers' actions back. It makes no decisions itself.
 package simwire
 
 import (
@@ -17,6 +17,7 @@
 	"jaspersill/settings"
 )
 
+// Event codes, under the protocol's names.
 const (
 	eventLaunch = 1 + iota
 	eventTopology
@@ -32,6 +33,7 @@
 	eventTo
 )
 
+// Action codes, under the protocol's names.
 const (
 	actionIssue = 65 + iota
 	actionBounce
@@ -65,22 +67,22 @@
 
 var le = binary.LittleEndian
 
-func msToNs(ms float64) int64          { return int64(math.Round(ms * 1e6)) }
-func nsToMs(ns int64) float64          { return float64(ns) / 1e6 }
-func readFloat64(b []byte) float64     { return math.Float64frombits(le.Uint64(b)) }
-func readFloat32(b []byte) float64     { return float64(math.Float32frombits(le.Uint32(b))) }
-func withinLimit(f, most float64) bool { return f >= -most && f <= most }
+func msToNs(ms float64) int64           { return int64(math.Round(ms * 1e6)) }
+func nsToMs(ns int64) float64           { return float64(ns) / 1e6 }
+func readFloat64(b []byte) float64      { return math.Float64frombits(le.Uint64(b)) }
+func readFloat32(b []byte) float64      { return float64(math.Float32frombits(le.Uint32(b))) }
+func withinLimit(f, limit float64) bool { return f >= -limit && f <= limit } // false for NaN
 
-// outcomes maps the wire's codes.
+// outcomes maps the protocol's result codes.
 var outcomes = map[uint16]delivery.Outcome{200: delivery.Acked, 502: delivery.Errored, 429: delivery.Refused,
 	408: delivery.TimedOut, 521: delivery.ConnectFailed, 520: delivery.Reset, 444: delivery.Cancelled, 409: delivery.Unsent}
 
-// Serve answers batches until the input ends.
-func Serve(in io.Reader, out io.Writer, launch func(seed uint64, s settings.Settings) delivery.Scheduler) error {
-	l := session{newScheduler: launch, in: bufio.NewReaderSize(in, 1<<16), out: bufio.NewWriterSize(out, 1<<16),
+// Serve replies to each batch until the input ends. It creates a scheduler with newScheduler for each Launch event.
+func Serve(in io.Reader, out io.Writer, newScheduler func(seed uint64, s settings.Settings) delivery.Scheduler) error {
+	s := session{newScheduler: newScheduler, in: bufio.NewReaderSize(in, 1<<16), out: bufio.NewWriterSize(out, 1<<16),
 		nodes: make(map[uint16]*instance)}
 	for {
-		more, err := l.handleBatch()
+		more, err := s.handleBatch()
 		if err != nil {
 			return err
 		}
@@ -98,12 +100,12 @@
 	catalogs       [maxCatalogs][]byte
 	catalogDefined [maxCatalogs]bool
 	nodes          map[uint16]*instance
-	active         []*instance // instances with an event in this batch, as first named
+	active         []*instance // instances with an event in this batch, in order of first mention
 	records        []byte
 	tail           []byte
 }
 
-// instance is one delivery node: its decisions and its ids at the door.
+// instance is one simulated delivery node: its scheduler and the mapping between the protocol's ids and indices.
 type instance struct {
 	number    uint16
 	session   *session
@@ -112,50 +114,50 @@
 	active    bool // has an event in this batch
 
 	events     idmap.Table[uint64]
-	openSends  []int32
-	ended      []bool
-	releasable []int32 // ended events whose sends may all be over
+	openSends  []int32 // sends in progress, by event index
+	ended      []bool  // by event index
+	releasable []int32 // ended events that may have no sends in progress left
 
 	endpoints, destinations    idmap.Table[uint32]
-	hasRates                   bool // the list tells rates
-	freeShareIndex, limitIndex int  // where a load report holds the share left and the limit, -1 for nowhere
+	hasRates                   bool // endpoint lists contain rates
+	freeShareIndex, limitIndex int  // positions in a load report, -1 if it does not contain them
 }
 
-// inputEvent is one event of a batch: where its record is and, for a list, its entries.
+// inputEvent is one event of a batch.
 type inputEvent struct {
-	offset  int
-	payload []byte
+	offset  int    // of its record
+	payload []byte // list entries of a Topology, data of a Memo
 }
 
-func (l *session) handleBatch() (bool, error) {
-	var head [headerSize]byte
-	if _, err := io.ReadFull(l.in, head[:]); err != nil {
+func (s *session) handleBatch() (bool, error) {
+	var header [headerSize]byte
+	if _, err := io.ReadFull(s.in, header[:]); err != nil {
 		if errors.Is(err, io.EOF) {
 			return false, nil
 		}
 		return false, fmt.Errorf("batch header: input ends inside it: %v", err)
 	}
-	seq, size, count := le.Uint32(head[0:]), le.Uint32(head[4:]), le.Uint32(head[8:])
-	clock := readFloat64(head[12:])
+	seq, size, count := le.Uint32(header[0:]), le.Uint32(header[4:]), le.Uint32(header[8:])
+	clock := readFloat64(header[12:])
 	if !withinLimit(clock, 1e12) {
 		return false, fmt.Errorf("batch %d: clock %v is not a usable time", seq, clock)
 	}
 	if uint64(count)*eventSize > uint64(size) {
 		return false, fmt.Errorf("batch %d: %d records do not fit in %d bytes", seq, count, size)
 	}
-	l.body.Reset()
-	// CopyN grows the buffer as bytes arrive, so a false length takes no memory.
-	if got, err := io.CopyN(&l.body, l.in, int64(size)); err != nil {
+	s.body.Reset()
+	// CopyN grows the buffer as bytes arrive, so a wrong length does not allocate memory.
+	if got, err := io.CopyN(&s.body, s.in, int64(size)); err != nil {
 		return false, fmt.Errorf("batch %d: input ends after %d of %d bytes", seq, got, size)
 	}
-	all := l.body.Bytes()
-	l.records, l.tail = all[:count*eventSize], all[count*eventSize:]
-	if err := l.dispatch(seq, int(count)); err != nil {
+	body := s.body.Bytes()
+	s.records, s.tail = body[:count*eventSize], body[count*eventSize:]
+	if err := s.dispatch(seq, int(count)); err != nil {
 		return false, err
 	}
 	now := msToNs(clock)
 	var reply replyWriter
-	for _, n := range l.active {
+	for _, n := range s.active {
 		if n.scheduler == nil {
 			continue
 		}
@@ -166,143 +168,144 @@
 			break
 		}
 	}
-	var back [12]byte
-	le.PutUint32(back[0:], seq)
-	le.PutUint32(back[4:], uint32(len(reply.records)/actionSize))
-	le.PutUint32(back[8:], uint32(len(reply.records)+len(reply.tail)))
-	for _, part := range [][]byte{back[:], reply.records, reply.tail} {
-		if _, err := l.out.Write(part); err != nil {
+	var replyHeader [12]byte
+	le.PutUint32(replyHeader[0:], seq)
+	le.PutUint32(replyHeader[4:], uint32(len(reply.records)/actionSize))
+	le.PutUint32(replyHeader[8:], uint32(len(reply.records)+len(reply.tail)))
+	for _, part := range [][]byte{replyHeader[:], reply.records, reply.tail} {
+		if _, err := s.out.Write(part); err != nil {
 			return false, fmt.Errorf("reply %d: %w", seq, err)
 		}
 	}
-	if err := l.out.Flush(); err != nil {
+	if err := s.out.Flush(); err != nil {
 		return false, fmt.Errorf("reply %d: %w", seq, err)
 	}
 	return true, nil
 }
 
-// tailSlice returns a record's slice of the tail.
-func (l *session) tailSlice(field []byte, unit int) ([]byte, error) {
-	at, n := uint64(le.Uint32(field)), uint64(le.Uint32(field[4:]))*uint64(unit)
-	if at+n > uint64(len(l.tail)) {
-		return nil, fmt.Errorf("offset %d and length %d pass the tail's %d bytes", at, n, len(l.tail))
+// tailSlice returns the part of the tail that a record's offset and length fields refer to.
+func (s *session) tailSlice(field []byte, unit int) ([]byte, error) {
+	offset, size := uint64(le.Uint32(field)), uint64(le.Uint32(field[4:]))*uint64(unit)
+	if offset+size > uint64(len(s.tail)) {
+		return nil, fmt.Errorf("offset %d and length %d exceed the tail's %d bytes", offset, size, len(s.tail))
 	}
-	return l.tail[at : at+n], nil
+	return s.tail[offset : offset+size], nil
 }
 
-// dispatch checks a batch and gives each instance its events, in order.
-func (l *session) dispatch(seq uint32, count int) error {
-	for _, n := range l.active {
+// dispatch validates a batch and queues each instance's events, in order.
+func (s *session) dispatch(seq uint32, count int) error {
+	for _, n := range s.active {
 		n.pending, n.active = n.pending[:0], false
 	}
-	l.active = l.active[:0]
-	var cur *instance
+	s.active = s.active[:0]
+	var current *instance
 	for i := range count {
-		at := i * eventSize
-		r := l.records[at : at+eventSize]
-		bad := func(format string, a ...any) error {
+		offset := i * eventSize
+		r := s.records[offset : offset+eventSize]
+		invalid := func(format string, a ...any) error {
 			return fmt.Errorf("batch %d, record %d: %s", seq, i, fmt.Sprintf(format, a...))
 		}
 		code := r[0]
 		switch {
 		case code == eventTo:
 			num := le.Uint16(r[1:])
-			cur = l.nodes[num]
-			if cur == nil {
-				cur = &instance{number: num, session: l}
-				l.nodes[num] = cur
+			current = s.nodes[num]
+			if current == nil {
+				current = &instance{number: num, session: s}
+				s.nodes[num] = current
 			}
 			continue
 		case code == eventCatalog:
 			table := le.Uint16(r[1:])
 			if table >= maxCatalogs {
-				return bad("Catalog number %d is above 15", table)
+				return invalid("Catalog number %d is above 15", table)
 			}
-			entries, err := l.tailSlice(r[3:], entrySize)
+			entries, err := s.tailSlice(r[3:], entrySize)
 			if err != nil {
-				return bad("Catalog: %v", err)
+				return invalid("Catalog: %v", err)
 			}
 			for e := entries; len(e) > 0; e = e[entrySize:] {
 				if e[9] < 1 || e[9] > 3 {
-					return bad("Catalog: endpoint %d has unknown state %d", le.Uint32(e), e[9])
+					return invalid("Catalog: endpoint %d has unknown state %d", le.Uint32(e), e[9])
 				}
 			}
-			l.catalogs[table], l.catalogDefined[table] = bytes.Clone(entries), true
+			s.catalogs[table], s.catalogDefined[table] = bytes.Clone(entries), true
 			continue
 		case code < eventLaunch || code > eventTo:
-			return bad("unknown event code %d", code)
+			return invalid("unknown event code %d", code)
 		}
-		if cur == nil {
-			return bad("event code %d before any To", code)
+		if current == nil {
+			return invalid("event code %d before any To", code)
 		}
-		if !cur.active {
-			cur.active = true
-			l.active = append(l.active, cur)
+		if !current.active {
+			current.active = true
+			s.active = append(s.active, current)
 		}
-		it := inputEvent{offset: at}
+		input := inputEvent{offset: offset}
 		switch code {
 		case eventDown:
-			cur.scheduler, cur.pending = nil, cur.pending[:0]
+			current.scheduler, current.pending = nil, current.pending[:0]
 			continue
 		case eventLaunch:
-			text, err := l.tailSlice(r[9:], 1)
+			text, err := s.tailSlice(r[9:], 1)
 			if err != nil {
-				return bad("Launch: %v", err)
+				return invalid("Launch: %v", err)
 			}
-			s, err := settings.ParseLines(string(text))
+			parsed, err := settings.ParseLines(string(text))
 			if err != nil {
-				return bad("Launch: %v", err)
+				return invalid("Launch: %v", err)
 			}
-			*cur = instance{number: cur.number, session: l, active: true, pending: cur.pending[:0],
-				hasRates: s.HasRates, freeShareIndex: s.FreeShareIndex, limitIndex: s.LimitIndex, scheduler: l.newScheduler(le.Uint64(r[1:]), s)}
+			*current = instance{number: current.number, session: s, active: true, pending: current.pending[:0],
+				hasRates: parsed.HasRates, freeShareIndex: parsed.FreeShareIndex, limitIndex: parsed.LimitIndex,
+				scheduler: s.newScheduler(le.Uint64(r[1:]), parsed)}
 			continue
 		case eventTopology:
-			how, table := r[1], le.Uint16(r[10:])
-			if how > topologyFull {
-				return bad("Topology: unknown kind %d", how)
+			kind, table := r[1], le.Uint16(r[10:])
+			if kind > topologyFull {
+				return invalid("Topology: unknown kind %d", kind)
 			}
-			if how != topologyFailed {
-				if table >= maxCatalogs || !l.catalogDefined[table] {
-					return bad("Topology: Catalog %d was never defined", table)
+			if kind != topologyFailed {
+				if table >= maxCatalogs || !s.catalogDefined[table] {
+					return invalid("Topology: Catalog %d was never defined", table)
 				}
-				it.payload = l.catalogs[table]
+				input.payload = s.catalogs[table]
 			}
 		case eventKnock:
 			if id := le.Uint64(r[1:]); id >= 1<<maxIDBits {
-				return bad("Knock: id %d is not below 2^52", id)
+				return invalid("Knock: id %d is not below 2^52", id)
 			}
 			if left, dest := readFloat64(r[21:]), readFloat32(r[37:]); !withinLimit(left, 1e12) || !(dest >= 0 && dest < 1<<24) {
-				return bad("Knock: left_ms %v or to_dest %v is not usable", left, dest)
+				return invalid("Knock: left_ms %v or to_dest %v is not usable", left, dest)
 			}
 		case eventFinished:
 			if _, ok := outcomes[le.Uint16(r[13:])]; !ok || !withinLimit(readFloat64(r[15:]), 1e12) || r[30] > 4 {
-				return bad("Finished: code %d, lag_ms %v or report size %d is unknown",
+				return invalid("Finished: code %d, lag_ms %v or report size %d is unknown",
 					le.Uint16(r[13:]), readFloat64(r[15:]), r[30])
 			}
 		case eventProbed:
 			if _, ok := outcomes[le.Uint16(r[5:])]; !ok || !withinLimit(readFloat64(r[7:]), 1e12) || r[15] > 4 {
-				return bad("Probed: code %d, lag_ms %v or report size %d is unknown",
+				return invalid("Probed: code %d, lag_ms %v or report size %d is unknown",
 					le.Uint16(r[5:]), readFloat64(r[7:]), r[15])
 			}
 		case eventMemo:
-			data, err := l.tailSlice(r[3:], 1)
+			data, err := s.tailSlice(r[3:], 1)
 			if err != nil {
-				return bad("Memo: %v", err)
+				return invalid("Memo: %v", err)
 			}
-			it.payload = data
+			input.payload = data
 		}
-		if cur.scheduler != nil {
-			cur.pending = append(cur.pending, it)
+		if current.scheduler != nil {
+			current.pending = append(current.pending, input)
 		}
 	}
 	return nil
 }
 
-// runRound runs the decisions of one instance; a panic there is returned as text.
-func (n *instance) runRound(now int64, reply *replyWriter) (broken string) {
+// runRound runs one scheduling round of an instance. If the scheduler panics, it returns the panic as text.
+func (n *instance) runRound(now int64, reply *replyWriter) (failure string) {
 	defer func() {
 		if p := recover(); p != nil {
-			broken = fmt.Sprint("panic in the decisions: ", p)
+			failure = fmt.Sprint("panic in the decisions: ", p)
 		}
 	}()
 	reply.beginInstance(n)
@@ -317,13 +320,13 @@
 	return ""
 }
 
-// Deliver implements port.Feed.
+// Deliver implements delivery.Feed.
 func (n *instance) Deliver(to delivery.Handler) {
-	for _, it := range n.pending {
-		r := n.session.records[it.offset : it.offset+eventSize]
+	for _, input := range n.pending {
+		r := n.session.records[input.offset : input.offset+eventSize]
 		switch r[0] {
 		case eventTopology:
-			n.deliverList(r[1], it.payload, to)
+			n.deliverList(r[1], input.payload, to)
 		case eventKnock:
 			n.deliverKnock(r, to)
 		case eventBegun:
@@ -345,7 +348,7 @@
 					n.reportValue(r[15:], n.freeShareIndex), n.reportValue(r[15:], n.limitIndex))
 			}
 		case eventMemo:
-			if id, ok := peermsg.DecodeHealthy(it.payload); ok {
+			if id, ok := peermsg.DecodeHealthy(input.payload); ok {
 				if ep, known := n.endpoints.Lookup(id); known {
 					to.PeerReportedHealthy(int(le.Uint16(r[1:])), ep)
 				}
@@ -354,12 +357,12 @@
 	}
 }
 
-func (n *instance) deliverList(how byte, entries []byte, to delivery.Handler) {
-	if how == topologyFailed {
+func (n *instance) deliverList(kind byte, entries []byte, to delivery.Handler) {
+	if kind == topologyFailed {
 		to.ListFailed()
 		return
 	}
-	to.ListStarted(how != topologyChanges)
+	to.ListStarted(kind != topologyChanges)
 	for e := entries; len(e) > 0; e = e[entrySize:] {
 		ep, _ := n.endpoints.Acquire(le.Uint32(e))
 		rate := readFloat32(e[10:])
@@ -408,12 +411,12 @@
 	} else if n.ended[e] {
 		n.releasable = append(n.releasable, e)
 	}
-	how := outcomes[le.Uint16(r[13:])]
-	var wait int64
-	if how == delivery.Refused {
-		wait = int64(le.Uint32(r[9:])) * 1e6
+	outcome := outcomes[le.Uint16(r[13:])]
+	var retryAfter int64
+	if outcome == delivery.Refused {
+		retryAfter = int64(le.Uint32(r[9:])) * 1e6
 	}
-	to.Outcome(e, int(le.Uint16(r[23:])), ep, how, wait, msToNs(readFloat64(r[15:])), ended,
+	to.Outcome(e, int(le.Uint16(r[23:])), ep, outcome, retryAfter, msToNs(readFloat64(r[15:])), ended,
 		n.reportValue(r[30:], n.freeShareIndex), n.reportValue(r[30:], n.limitIndex))
 }
 
@@ -422,24 +425,24 @@
 	n.releasable = append(n.releasable, e)
 }
 
-// reportValue reads one value of a load report, 0 where the report lacks it.
-func (n *instance) reportValue(r []byte, at int) float64 {
-	if at < 0 || at >= int(r[0]) {
+// reportValue returns one value of a load report, or 0 if the report does not contain it.
+func (n *instance) reportValue(r []byte, index int) float64 {
+	if index < 0 || index >= int(r[0]) {
 		return 0
 	}
-	f := readFloat32(r[1+4*at:])
+	f := readFloat32(r[1+4*index:])
 	if !withinLimit(f, 1e9) {
 		return 0
 	}
 	return f
 }
 
-// replyWriter gathers the records of a reply.
+// replyWriter collects the records of a reply. It implements delivery.Executor for one instance at a time.
 type replyWriter struct {
 	instance *instance
 	records  []byte
 	tail     []byte
-	start    int
+	start    int // offset of the instance's first record
 }
 
 func (w *replyWriter) beginInstance(n *instance) {
@@ -447,7 +450,7 @@
 	le.PutUint16(w.record(actionOnBehalf)[1:], n.number)
 }
 
-// endInstance takes the OnBehalf back where the instance did nothing.
+// endInstance removes the OnBehalf record if no action follows it.
 func (w *replyWriter) endInstance() {
 	if len(w.records) == w.start+actionSize {
 		w.records = w.records[:w.start]
@@ -461,6 +464,7 @@
 	return w.records[at:]
 }
 
+// tailRecord adds a record whose offset and length fields, starting at field, refer to data in the tail.
 func (w *replyWriter) tailRecord(code byte, field int, data []byte) []byte {
 	r := w.record(code)
 	le.PutUint32(r[field:], uint32(len(w.tail)))
@@ -477,7 +481,7 @@
 	return r
 }
 
-// Send implements port.Writer, as do the methods below.
+// Send and the methods below implement delivery.Executor.
 func (w *replyWriter) Send(evt, endpoint int32, timeout int64) {
 	r := w.eventRecord(actionIssue, evt)
 	le.PutUint32(r[9:], w.instance.endpoints.ID(endpoint))
@@ -485,8 +489,8 @@
 	w.instance.openSends[evt]++
 }
 
-func (w *replyWriter) Decline(evt int32, comeBack int64) {
-	le.PutUint64(w.eventRecord(actionBounce, evt)[9:], math.Float64bits(nsToMs(comeBack)))
+func (w *replyWriter) Decline(evt int32, retryAfter int64) {
+	le.PutUint64(w.eventRecord(actionBounce, evt)[9:], math.Float64bits(nsToMs(retryAfter)))
 	w.instance.markEnded(evt)
 }
 
@@ -499,7 +503,7 @@
 	le.PutUint16(w.eventRecord(actionRevoke, evt)[9:], uint16(send))
 }
 
-// CancelUnsent has no action of its own: the simulator's sends leave at once.
+// CancelUnsent does nothing: in the simulator a send leaves at once, so none is ever unsent.
 func (w *replyWriter) CancelUnsent(evt int32, send int) {}
 
 func (w *replyWriter) Wake(after int64) {
--- a/simwire/simwire_test.go
+++ b/simwire/simwire_test.go
@@ -22,7 +22,7 @@
 	`services.0.deadline_ms=9000 services.0.memory_span_ms=5000 services.0.value=2 `+
 	`unknown.key=skipped`, " ", "\n")
 
-// frame builds a batch; put writes a record's fields behind its code.
+// frame builds a batch; put appends a record with the given code and fields.
 type frame struct {
 	records, tail []byte
 }
@@ -50,7 +50,7 @@
 	return append(append(b, f.records...), f.tail...)
 }
 
-// catalog adds a list with one line for each endpoint, of destination 7.
+// catalog adds an endpoint list; all endpoints belong to destination 7.
 func (f *frame) catalog(table uint16, eps ...uint32) *frame {
 	at := uint32(len(f.tail))
 	for _, ep := range eps {
@@ -62,7 +62,7 @@
 	return f.put(eventCatalog, table, at, uint32(len(eps)))
 }
 
-// scriptedScheduler is a Decider that says what comes in and does what the test tells.
+// scriptedScheduler is a delivery.Scheduler that records its input and calls act in each round.
 type scriptedScheduler struct {
 	calls []string
 	act   func(delivery.Executor)
@@ -80,7 +80,9 @@
 func (s *scriptedScheduler) Event(e int32, typ, customer int, key uint64, left, work int64, dest int32) {
 	s.record("event", e, typ, customer, key, left, work, dest)
 }
-func (s *scriptedScheduler) ProcessingStarted(e int32, send int) { s.record("begun", e, send) }
+func (s *scriptedScheduler) ProcessingStarted(e int32, send int) {
+	s.record("processing started", e, send)
+}
 func (s *scriptedScheduler) Resumed(e int32, sends int, mayRun bool, ago int64, zone int) {
 	s.record("resumed", e, sends, mayRun, ago, zone)
 }
@@ -90,18 +92,20 @@
 func (s *scriptedScheduler) Withdrawn(e int32)             { s.record("withdrawn", e) }
 func (s *scriptedScheduler) Unconfirmed(e int32, send int) { s.record("unconfirmed", e, send) }
 func (s *scriptedScheduler) Confirmed(e int32, send int)   { s.record("confirmed", e, send) }
-func (s *scriptedScheduler) ListStarted(whole bool)        { s.record("list", whole) }
+func (s *scriptedScheduler) ListStarted(whole bool)        { s.record("list started", whole) }
 func (s *scriptedScheduler) EndpointListed(ep, dest int32, partner, zone int, state delivery.EndpointState, rate float64) {
 	s.record("listed", ep, dest, partner, zone, state, rate)
 }
-func (s *scriptedScheduler) ListEnded()  { s.record("list ends") }
+func (s *scriptedScheduler) ListEnded()  { s.record("list ended") }
 func (s *scriptedScheduler) ListFailed() { s.record("list failed") }
 func (s *scriptedScheduler) Probed(ep int32, how delivery.Outcome, took int64, left, limit float64) {
 	s.record("probed", ep, how)
 }
-func (s *scriptedScheduler) PeerReportedHealthy(peer int, ep int32) { s.record("good", peer, ep) }
-func (s *scriptedScheduler) Woken()                                 { s.record("woken") }
-func (s *scriptedScheduler) RetryAfter() int64                      { return 0 }
+func (s *scriptedScheduler) PeerReportedHealthy(peer int, ep int32) {
+	s.record("peer reported healthy", peer, ep)
+}
+func (s *scriptedScheduler) Woken()            { s.record("woken") }
+func (s *scriptedScheduler) RetryAfter() int64 { return 0 }
 
 func TestFramesRoundTrip(t *testing.T) {
 	var in, out bytes.Buffer
@@ -133,16 +137,17 @@
 	if err := Serve(&in, &out, func(seed uint64, st settings.Settings) delivery.Scheduler { got = st; s.record("seed", seed); return s }); err != nil {
 		t.Fatal(err)
 	}
-	want := []string{"seed 99", "round 1000000000", "list true", "listed 0 0 1 1 2 4.5", "listed 1 0 1 1 2 4.5",
-		"list ends", "list false", "listed 2 0 1 1 2 4.5", "list ends", "event 0 0 1 6 2500500000 0 0",
-		"round 1005250000", "outcome 0 0 1 2 250000000 12500000 false 0.5 8", "good 1 2", "woken"}
+	want := []string{"seed 99", "round 1000000000", "list started true", "listed 0 0 1 1 2 4.5", "listed 1 0 1 1 2 4.5",
+		"list ended", "list started false", "listed 2 0 1 1 2 4.5", "list ended", "event 0 0 1 6 2500500000 0 0",
+		"round 1005250000", "outcome 0 0 1 2 250000000 12500000 false 0.5 8", "peer reported healthy 1 2", "woken"}
 	if !slices.Equal(s.calls, want) {
 		t.Errorf("got\n%s\nwant\n%s", strings.Join(s.calls, "\n"), strings.Join(want, "\n"))
 	}
-	typ := delivery.StreamType{Safety: delivery.Deduplicated, DedupPerZone: true, DedupWindow: 5e9, SLO: 1e9, MaxAge: 9e9, Utility: 2}
-	if got.StreamTypes[0] != typ || got.DestinationKinds[0] != (delivery.DestinationKind{MaxEventsPerCall: 3}) || got.DestinationKinds[1] != (delivery.DestinationKind{LimitPerEndpoint: true, MaxEventsPerCall: 1}) ||
+	wantType := delivery.StreamType{Safety: delivery.Deduplicated, DedupPerZone: true, DedupWindow: 5e9, SLO: 1e9, MaxAge: 9e9, Utility: 2}
+	if got.StreamTypes[0] != wantType || got.DestinationKinds[0] != (delivery.DestinationKind{MaxEventsPerCall: 3}) ||
+		got.DestinationKinds[1] != (delivery.DestinationKind{LimitPerEndpoint: true, MaxEventsPerCall: 1}) ||
 		got.Limits.MaxRetryAfter != 1500*1e6 || !got.Directory.RequiresWatch || got.Cluster.Nodes != 2 {
-		t.Errorf("read at start: %+v", got)
+		t.Errorf("parsed settings: %+v", got)
 	}
 	record := func(code byte, fields ...any) string {
 		r := []byte{code}
@@ -154,41 +159,41 @@
 	reply := func(seq, count, size uint32) string {
 		return string(le.AppendUint32(le.AppendUint32(le.AppendUint32(nil, seq), count), size))
 	}
-	bytesWanted := reply(1, 5, 5*actionSize+5) + record(actionOnBehalf, uint16(3)) +
+	wantBytes := reply(1, 5, 5*actionSize+5) + record(actionOnBehalf, uint16(3)) +
 		record(actionIssue, uint64(501), uint32(80), 1.5) + record(actionRemind, 5.0, uint64(0)) + record(actionKeepInformed, byte(1)) +
 		record(actionMemoTo, uint16(allPeers), uint32(0), uint32(5)) + "\x01\x5a\x00\x00\x00" +
 		reply(2, 3, 3*actionSize+13) + record(actionOnBehalf, uint16(3)) + record(actionBounce, uint64(501), 700.0) +
 		record(actionWriteLog, uint32(0), uint32(13)) + "two words: 80" + reply(3, 0, 0)
-	if out.String() != bytesWanted {
-		t.Errorf("replies\n%x\nwant\n%x", out.String(), bytesWanted)
+	if out.String() != wantBytes {
+		t.Errorf("replies\n%x\nwant\n%x", out.String(), wantBytes)
 	}
 }
 
 func TestInvalidInputIsReported(t *testing.T) {
 	begin := func() *frame { return new(frame).put(eventTo, uint16(3)).put(eventLaunch, uint64(9), launchSettings) }
-	withEnv := func(from, to string) []byte {
+	withSetting := func(from, to string) []byte {
 		return new(frame).put(eventTo, uint16(3)).put(eventLaunch, uint64(9), strings.Replace(launchSettings, from, to, 1)).bytes(1, 0)
 	}
-	whole := begin().bytes(1, 0)
+	complete := begin().bytes(1, 0)
 	for _, c := range []struct {
 		in   []byte
 		want string
 	}{
-		{whole[:7], "batch header: input ends inside it"},
-		{whole[:40], "input ends after 20 of"},
+		{complete[:7], "batch header: input ends inside it"},
+		{complete[:40], "input ends after 20 of"},
 		{begin().put(99).bytes(1, 0), "record 2: unknown event code 99"},
 		{new(frame).put(eventReminder, uint64(1)).bytes(1, 0), "event code 7 before any To"},
 		{begin().put(eventTopology, byte(3), uint64(1), uint16(4)).bytes(1, 0), "Catalog 4 was never defined"},
 		{begin().put(eventCatalog, uint16(16)).bytes(1, 0), "Catalog number 16"},
-		{begin().put(eventCatalog, uint16(1), uint32(0), uint32(1<<31)).bytes(1, 0), "pass the tail's"},
+		{begin().put(eventCatalog, uint16(1), uint32(0), uint32(1<<31)).bytes(1, 0), "exceed the tail's"},
 		{begin().put(eventMemo, uint16(1), uint32(1<<30), uint32(9)).bytes(1, 0), "Memo: offset 1073741824"},
 		{begin().put(eventFinished, uint64(1), uint32(0), uint16(299), 1.0).bytes(1, 0), "code 299"},
 		{begin().put(eventKnock, uint64(1), uint16(0), uint16(0), uint64(0), math.NaN()).bytes(1, 0), "left_ms NaN"},
 		{begin().bytes(1, math.Inf(1)), "clock +Inf"},
-		{withEnv("me=0", "me=x"), `settings: me: want a number from 0 to 1e12, got "x"`},
-		{withEnv("rules.cold_share=0.2\n", ""), `settings: rules.cold_share: want a number`},
-		{withEnv("by_key", "sometimes"), `services.0.semantics: want one of repeatable by_key once, got "sometimes"`},
-		{withEnv("services.count=1", "services.count=900000000"), `settings: services.count: want at most 4096`},
+		{withSetting("me=0", "me=x"), `settings: me: want a number from 0 to 1e12, got "x"`},
+		{withSetting("rules.cold_share=0.2\n", ""), `settings: rules.cold_share: want a number`},
+		{withSetting("by_key", "sometimes"), `services.0.semantics: want one of repeatable by_key once, got "sometimes"`},
+		{withSetting("services.count=1", "services.count=900000000"), `settings: services.count: want at most 4096`},
 	} {
 		err := Serve(bytes.NewReader(c.in), &bytes.Buffer{}, func(uint64, settings.Settings) delivery.Scheduler {
 			return &scriptedScheduler{act: func(delivery.Executor) {}}
@@ -207,7 +212,7 @@
 		t.Fatal(err)
 	}
 	if b := out.Bytes(); len(b) < 60 || b[4] != 2 || b[12+actionSize] != actionBailOut || !bytes.HasSuffix(b, []byte("lost count")) {
-		t.Errorf("reply %x", b)
+		t.Errorf("reply %x, want a BailOut that ends in the panic's text", b)
 	}
 }
 
