--- a/logs/logs.go
+++ b/logs/logs.go
@@ -1,5 +1,5 @@
 // Package logs formats the node's log lines for logrus. Each line names the part of the node that it comes from,
-// each part can have its own level, and lines with the same message are rate-limited; suppressed lines are counted.
+// each part can have its own level, and lines with the same message are rate-limited; the suppressed ones are counted.
 package logs
 
 import (
@@ -16,7 +16,7 @@
 	maxMessages     = 256 // messages counted separately; any further ones share one count, to bound memory
 	otherMessages   = "other messages"
 
-	// timestampFormat includes milliseconds: a response and a call that it must be told apart from can be a few
+	// timestampFormat includes milliseconds: a response and a call that must not be confused can be a few
 	// milliseconds apart.
 	timestampFormat = "2006-01-02T15:04:05.000Z07:00"
 )
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -48,37 +48,37 @@
 }
 
 // get returns the value of a key and whether it is present.
-func (p *parser) get(name string) (string, bool) {
-	p.requested[name] = true
-	v, ok := p.values[name]
+func (p *parser) get(key string) (string, bool) {
+	p.requested[key] = true
+	v, ok := p.values[key]
 	return v, ok
 }
 
-func (p *parser) rawValue(name string) string {
-	v, _ := p.get(name)
+func (p *parser) rawValue(key string) string {
+	v, _ := p.get(key)
 	return v
 }
 
 // unrequested returns the keys that are present but were not looked up, sorted.
-func (p *parser) unrequested() (names []string) {
-	for name := range p.values {
-		if !p.requested[name] {
-			names = append(names, name)
+func (p *parser) unrequested() (keys []string) {
+	for key := range p.values {
+		if !p.requested[key] {
+			keys = append(keys, key)
 		}
 	}
-	slices.Sort(names)
-	return names
+	slices.Sort(keys)
+	return keys
 }
 
-func (p *parser) addError(name, value, want string) {
-	p.err = errors.Join(p.err, fmt.Errorf("settings: %s: want %s, got %q", name, want, value))
+func (p *parser) addError(key, value, want string) {
+	p.err = errors.Join(p.err, fmt.Errorf("settings: %s: want %s, got %q", key, want, value))
 }
 
 // required returns the value of a key that must be present and, if allowed is not empty, be one of allowed.
-func (p *parser) required(name string, allowed ...string) string {
-	v, ok := p.get(name)
+func (p *parser) required(key string, allowed ...string) string {
+	v, ok := p.get(key)
 	if !ok {
-		p.addError(name, "", "a value")
+		p.addError(key, "", "a value")
 		return ""
 	}
 	for _, a := range allowed {
@@ -87,59 +87,59 @@
 		}
 	}
 	if len(allowed) > 0 {
-		p.addError(name, v, "one of "+strings.Join(allowed, " "))
+		p.addError(key, v, "one of "+strings.Join(allowed, " "))
 	}
 	return v
 }
 
-func (p *parser) number(name string, required bool) float64 {
-	v, ok := p.get(name)
+func (p *parser) number(key string, required bool) float64 {
+	v, ok := p.get(key)
 	if !ok && !required {
 		return 0
 	}
 	f, err := strconv.ParseFloat(v, 64)
 	if err != nil || math.IsNaN(f) || f < 0 || f > 1e12 {
-		p.addError(name, v, "a number from 0 to 1e12")
+		p.addError(key, v, "a number from 0 to 1e12")
 		return 0
 	}
 	return f
 }
 
-func (p *parser) count(name string, required bool) int {
-	f := p.number(name, required)
+func (p *parser) count(key string, required bool) int {
+	f := p.number(key, required)
 	if f != math.Trunc(f) || f > 1e9 {
-		p.addError(name, p.rawValue(name), "a whole number")
+		p.addError(key, p.rawValue(key), "a whole number")
 		return 0
 	}
 	return int(f)
 }
 
 // countAtLeast returns a required whole number with a lower bound, below which the node could not work at all.
-func (p *parser) countAtLeast(minimum int, name string) int {
-	n := p.count(name, true)
-	if _, ok := p.get(name); ok && n < minimum && p.err == nil {
-		p.addError(name, p.rawValue(name), fmt.Sprintf("%d or more", minimum))
+func (p *parser) countAtLeast(minimum int, key string) int {
+	n := p.count(key, true)
+	if _, ok := p.get(key); ok && n < minimum && p.err == nil {
+		p.addError(key, p.rawValue(key), fmt.Sprintf("%d or more", minimum))
 	}
 	return n
 }
 
 // duration converts a value in milliseconds to nanoseconds.
-func (p *parser) duration(name string, required bool) int64 {
-	return int64(math.Round(p.number(name, required) * 1e6))
+func (p *parser) duration(key string, required bool) int64 {
+	return int64(math.Round(p.number(key, required) * 1e6))
 }
 
-func (p *parser) boolean(name string) bool {
-	v, ok := p.get(name)
+func (p *parser) boolean(key string) bool {
+	v, ok := p.get(key)
 	if ok && v != "true" && v != "false" {
-		p.addError(name, v, "true or false")
+		p.addError(key, v, "true or false")
 	}
 	return v == "true"
 }
 
-func (p *parser) listLength(name string) int {
-	n := p.count(name, false)
+func (p *parser) listLength(key string) int {
+	n := p.count(key, false)
 	if n > maxListLength {
-		p.addError(name, p.rawValue(name), "at most 4096")
+		p.addError(key, p.rawValue(key), "at most 4096")
 		return 0
 	}
 	return n
@@ -149,8 +149,8 @@
 func ParseLines(text string) (Settings, error) {
 	values := make(map[string]string)
 	for line := range strings.SplitSeq(text, "\n") {
-		if name, value, ok := strings.Cut(strings.TrimSuffix(line, "\r"), "="); ok {
-			values[name] = value
+		if key, value, ok := strings.Cut(strings.TrimSuffix(line, "\r"), "="); ok {
+			values[key] = value
 		}
 	}
 	return parse(values)
@@ -175,31 +175,31 @@
 
 var separators = strings.NewReplacer(" ", "_", ",", "_")
 
-func flatten(values map[string]string, name string, value any) {
+func flatten(values map[string]string, key string, value any) {
 	switch v := value.(type) {
 	case map[string]any:
 		for k, inner := range v {
-			flatten(values, strings.TrimPrefix(name+"."+k, "."), inner)
+			flatten(values, strings.TrimPrefix(key+"."+k, "."), inner)
 		}
 	case []any:
 		var plain []string
 		objects := 0
 		for _, inner := range v {
 			if m, ok := inner.(map[string]any); ok {
-				flatten(values, name+"."+strconv.Itoa(objects), m)
+				flatten(values, key+"."+strconv.Itoa(objects), m)
 				objects++
 			} else {
 				plain = append(plain, separators.Replace(fmt.Sprint(inner)))
 			}
 		}
 		if objects > 0 {
-			values[name+".count"] = strconv.Itoa(objects)
+			values[key+".count"] = strconv.Itoa(objects)
 		} else {
-			values[name] = strings.Join(plain, ",")
+			values[key] = strings.Join(plain, ",")
 		}
 	case nil:
 	default:
-		values[name] = separators.Replace(fmt.Sprint(v))
+		values[key] = separators.Replace(fmt.Sprint(v))
 	}
 }
 
--- a/simwire/simwire_test.go
+++ b/simwire/simwire_test.go
@@ -77,8 +77,8 @@
 func (s *scriptedScheduler) record(a ...any) {
 	s.calls = append(s.calls, strings.Trim(fmt.Sprintln(a...), "\n"))
 }
-func (s *scriptedScheduler) Event(e int32, typ, customer int, key uint64, left, work int64, dest int32) {
-	s.record("event", e, typ, customer, key, left, work, dest)
+func (s *scriptedScheduler) Event(e int32, typ, customer int, key uint64, remaining, work int64, dest int32) {
+	s.record("event", e, typ, customer, key, remaining, work, dest)
 }
 func (s *scriptedScheduler) ProcessingStarted(e int32, send int) {
 	s.record("processing started", e, send)
@@ -86,20 +86,20 @@
 func (s *scriptedScheduler) Resumed(e int32, sends int, mayRun bool, ago int64, zone int) {
 	s.record("resumed", e, sends, mayRun, ago, zone)
 }
-func (s *scriptedScheduler) Outcome(e int32, send int, ep int32, how delivery.Outcome, wait, took int64, ended bool, left, limit float64) {
-	s.record("outcome", e, send, ep, uint8(how), wait, took, ended, left, limit)
+func (s *scriptedScheduler) Outcome(e int32, send int, ep int32, outcome delivery.Outcome, retryAfter, latency int64, ended bool, freeShare, limit float64) {
+	s.record("outcome", e, send, ep, uint8(outcome), retryAfter, latency, ended, freeShare, limit)
 }
 func (s *scriptedScheduler) Withdrawn(e int32)             { s.record("withdrawn", e) }
 func (s *scriptedScheduler) Unconfirmed(e int32, send int) { s.record("unconfirmed", e, send) }
 func (s *scriptedScheduler) Confirmed(e int32, send int)   { s.record("confirmed", e, send) }
-func (s *scriptedScheduler) ListStarted(whole bool)        { s.record("list started", whole) }
-func (s *scriptedScheduler) EndpointListed(ep, dest int32, partner, zone int, state delivery.EndpointState, rate float64) {
-	s.record("listed", ep, dest, partner, zone, state, rate)
+func (s *scriptedScheduler) ListStarted(complete bool)     { s.record("list started", complete) }
+func (s *scriptedScheduler) EndpointListed(ep, dest int32, kind, zone int, state delivery.EndpointState, rate float64) {
+	s.record("listed", ep, dest, kind, zone, state, rate)
 }
 func (s *scriptedScheduler) ListEnded()  { s.record("list ended") }
 func (s *scriptedScheduler) ListFailed() { s.record("list failed") }
-func (s *scriptedScheduler) Probed(ep int32, how delivery.Outcome, took int64, left, limit float64) {
-	s.record("probed", ep, how)
+func (s *scriptedScheduler) Probed(ep int32, outcome delivery.Outcome, latency int64, freeShare, limit float64) {
+	s.record("probed", ep, outcome)
 }
 func (s *scriptedScheduler) PeerReportedHealthy(peer int, ep int32) {
 	s.record("peer reported healthy", peer, ep)
