--- a/cmd/jaspersill/check.go
+++ b/cmd/jaspersill/check.go
@@ -84,7 +84,7 @@
 				fmt.Fprintln(table, "EVENT\tTYPE\tCUSTOMER\tDEST\tDEADLINE\tSENDS\tMAY HAVE RUN\tVERDICT\tBODY")
 				for _, e := range r.Pending {
 					fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%s\t%d\t%t\t%s\t%d B\n", e.ID, e.Kind, e.Owner, e.Dest,
-						e.Deadline.UTC().Format(time.RFC3339Nano), e.Attempts, e.MayHaveRun, e.Verdict, e.BodyBytes)
+						e.Deadline.UTC().Format(time.RFC3339Nano), e.Attempts, e.MayHaveRun, e.Resolution, e.BodyBytes)
 				}
 				return table.Flush()
 			}},
