--- a/cmd/jaspersill-lab/main.go
+++ b/cmd/jaspersill-lab/main.go
@@ -29,7 +29,7 @@
 type usageError struct{ error }
 
 func main() {
-	sysfault.BecomeProgramIfAsked()
+	sysfault.ExecUnderFilterIfRequested()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	root := commands()
--- a/cmd/jaspersill-lab/soak.go
+++ b/cmd/jaspersill-lab/soak.go
@@ -36,8 +36,8 @@
 	c.Flags().StringVar(&s.options.Folder, "keep", "", "a folder for configurations, state and logs; a temporary one if empty")
 	c.Flags().IntVar(&s.options.Nodes, "nodes", 10, "processes of each run")
 	c.Flags().DurationVar(&s.options.Length, "length", 6*time.Second, "for how long clients hand in requests")
-	c.Flags().StringVar(&s.options.Only, "only", "", "one kind of fault alone: "+strings.Join(soak.Only(), ", "))
-	c.Flags().BoolVar(&s.options.Paths, "paths", false, "disturb the bytes between all ends beside the other faults")
+	c.Flags().StringVar(&s.options.Only, "only", "", "one kind of fault alone: "+strings.Join(soak.FaultGroups(), ", "))
+	c.Flags().BoolVar(&s.options.PathFaults, "paths", false, "disturb the bytes between all ends beside the other faults")
 	c.Flags().Uint64Var(&s.first, "seed", 1, "the first seed")
 	c.Flags().IntVar(&s.seeds, "seeds", 1, "how many seeds")
 	c.Flags().IntVar(&s.parallel, "parallel", 1, "runs at once")
@@ -100,14 +100,14 @@
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return nil, err
 	}
-	return soak.Play(ctx, options)
+	return soak.Run(ctx, options)
 }
 
 func (s *soakRun) print(c *cobra.Command, report *soak.Report) {
 	out := c.OutOrStdout()
 	fmt.Fprintln(out, report.Summary())
 	if s.timeline || len(report.Violations) > 0 {
-		for _, line := range report.Events {
+		for _, line := range report.Actions {
 			fmt.Fprintln(out, "  ", line)
 		}
 	}
@@ -121,6 +121,6 @@
 	if len(kinds) > 0 {
 		fmt.Fprintf(out, "  by rule: %v\n", kinds)
 		fmt.Fprintf(out, "  again: jaspersill-lab soak --seed %d --nodes %d --length %v --only %q --paths=%v\n", report.Seed, s.options.Nodes,
-			s.options.Length, s.options.Only, s.options.Paths)
+			s.options.Length, s.options.Only, s.options.PathFaults)
 	}
 }
