--- a/lab/soak/checks.go
+++ b/lab/soak/checks.go
@@ -7,92 +7,94 @@
 	"time"
 )
 
-// check holds every request to the rules, once all is over.
-func (l *history) check(keyedWindow time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, r := range l.ordered {
-		l.checkAnswer(r)
-		l.checkFinal(r)
-		l.checkAfterEnd(r)
-		l.checkRepeats(r, keyedWindow)
-		l.tally(r)
-	}
-	l.checkRecovery()
+// check checks every request against the rules after the run.
+func (h *history) check(keyedWindow time.Duration) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, r := range h.ordered {
+		h.checkAnswer(r)
+		h.checkFinal(r)
+		h.checkAfterEnd(r)
+		h.checkRepeats(r, keyedWindow)
+		h.tally(r)
+	}
+	h.checkRecovery()
 }
 
-// checkRecovery: no node may refuse all that it gets for so long.
-func (l *history) checkRecovery() {
-	type row struct {
+// checkRecovery adds a violation for a node that refuses at least maxConsecutiveRefusals requests in succession over
+// maxRefusalTime or longer.
+func (h *history) checkRecovery() {
+	type streak struct {
 		refused int
 		since   time.Duration
 	}
-	rows := map[int]*row{}
-	for _, r := range l.ordered {
+	streaks := map[int]*streak{}
+	for _, r := range h.ordered {
 		if r.status == 0 {
 			continue
 		}
-		if !r.refused() || rows[r.node] == nil {
-			rows[r.node] = &row{}
+		if !r.refused() || streaks[r.node] == nil {
+			streaks[r.node] = &streak{}
 			if !r.refused() {
 				continue
 			}
 		}
-		in := rows[r.node]
-		if in.refused == 0 {
-			in.since = r.answeredAt
+		s := streaks[r.node]
+		if s.refused == 0 {
+			s.since = r.answeredAt
 		}
-		in.refused++
-		if in.refused >= maxConsecutiveRefusals && r.answeredAt-in.since >= maxRefusalTime {
-			l.addViolationLocked(RuleRecovery, r.answeredAt, r, "node %d refused %d requests on end for %v", r.node, in.refused, r.answeredAt-in.since)
-			rows[r.node] = &row{}
+		s.refused++
+		if s.refused >= maxConsecutiveRefusals && r.answeredAt-s.since >= maxRefusalTime {
+			h.addViolationLocked(RuleRecovery, r.answeredAt, r, "node %d refused %d consecutive requests over %v", r.node, s.refused, r.answeredAt-s.since)
+			streaks[r.node] = &streak{}
 		}
 	}
 }
 
-// A node may not refuse all that it gets, if that is as much, for so long.
+// Limits of checkRecovery.
 const (
 	maxConsecutiveRefusals = 15
 	maxRefusalTime         = 4 * time.Second
 )
 
-func (l *history) tally(r *request) {
+func (h *history) tally(r *request) {
 	switch {
 	case r.deliveredAt > 0:
-		l.counts["delivered"]++
+		h.counts["delivered"]++
 	case r.noticedAt > 0:
-		l.counts["ended by a notice: "+r.notice]++
+		h.counts["ended by a notice: "+r.notice]++
 	case r.refused():
-		l.counts["refused"]++
+		h.counts["refused"]++
 	default:
-		l.counts["no end"]++
+		h.counts["no final answer"]++
 	}
 	if r.accepted() && r.noticedAt > 0 && r.deliveredAt == 0 && len(r.attempts) == 0 {
-		l.counts["accepted, ended untried"]++
+		h.counts["accepted, ended without an attempt"]++
 	}
 }
 
 func (r *request) accepted() bool { return r.status == 200 || r.status == 202 }
 func (r *request) refused() bool  { return r.status == 429 || r.status == 503 }
 
-func (l *history) checkAnswer(r *request) {
+func (h *history) checkAnswer(r *request) {
 	switch {
-	case r.responseErr != "" && !l.exitedBetween(r.node, r.sentAt, r.answeredAt):
-		l.addViolationLocked(RuleAnswer, r.answeredAt, r, "a request got no complete answer: %s", r.responseErr)
+	case r.responseErr != "" && !h.exitedBetween(r.node, r.sentAt, r.answeredAt):
+		h.addViolationLocked(RuleAnswer, r.answeredAt, r, "request got no complete response: %s", r.responseErr)
 	case r.status != 0 && !r.accepted() && !r.refused():
-		l.addViolationLocked(RuleAnswer, r.answeredAt, r, "a request was answered %d", r.status)
+		h.addViolationLocked(RuleAnswer, r.answeredAt, r, "request got status %d", r.status)
 	}
 }
 
-// checkFinal: a request that its client gave up after its patience counts for nothing any more.
-func (l *history) checkFinal(r *request) {
+// checkFinal checks that an accepted request was delivered or ended by a notice in time. A response that came after its
+// client's time-out is ignored.
+func (h *history) checkFinal(r *request) {
 	if !r.accepted() || r.answeredAt-r.sentAt > responseTimeout {
 		return
 	}
-	due := l.extendDue(r.node, r.deadline, r.deadline+finalAnswerGrace+socketGrace)
-	for _, s := range l.unavailable[r.node] {
-		if s.from <= due && r.sentAt <= s.to {
-			due = max(due, s.to+readyGrace+socketGrace)
+	due := h.extendDue(r.node, r.deadline, r.deadline+finalAnswerGrace+socketGrace)
+	for _, outage := range h.unavailable[r.node] {
+		if outage.from <= due && r.sentAt <= outage.to {
+			due = max(due, outage.to+readyGrace+socketGrace)
 		}
 	}
 	end := r.deliveredAt
@@ -101,35 +103,35 @@
 	}
 	switch {
 	case end == 0:
-		l.addViolationLocked(RuleFinal, due, r, "an accepted request got no final answer")
+		h.addViolationLocked(RuleFinal, due, r, "accepted request got no final answer")
 	case end > due:
-		l.addViolationLocked(RuleFinal, due, r, "the final answer came %v too late", (end - due).Round(time.Millisecond))
+		h.addViolationLocked(RuleFinal, due, r, "final answer came %v too late", (end - due).Round(time.Millisecond))
 	}
 }
 
-// maxRecordDelay is how long a node whose disk works may take to write down what it knows.
+// maxRecordDelay is how long a node may take to store an outcome while its disk works.
 const maxRecordDelay = 300 * time.Millisecond
 
-// exitedBeforeRecording tells whether a node's process ended between two moments, before its disk had worked for long enough
-// since the first.
-func (l *history) exitedBeforeRecording(node int, since, until time.Duration) bool {
-	return slices.ContainsFunc(l.exits[node], func(death time.Duration) bool {
-		if death < since || death > until {
+// exitedBeforeRecording reports whether a node's process exited between two times before it had a working disk for long
+// enough to store what it learned at the first.
+func (h *history) exitedBeforeRecording(node int, since, until time.Duration) bool {
+	return slices.ContainsFunc(h.exits[node], func(exit time.Duration) bool {
+		if exit < since || exit > until {
 			return false
 		}
-		writable := l.readableFrom(node, since)
-		for _, s := range l.diskFaults[node] {
-			if s.from <= death && s.to > writable {
+		writable := h.readableFrom(node, since)
+		for _, s := range h.diskFaults[node] {
+			if s.from <= exit && s.to > writable {
 				writable = s.to
 			}
 		}
-		return death < writable+maxRecordDelay
+		return exit < writable+maxRecordDelay
 	})
 }
 
-// readableFrom is when a node could first read what was written to it at a time.
-func (l *history) readableFrom(node int, at time.Duration) time.Duration {
-	for _, s := range l.readOutages[node] {
+// readableFrom returns when a node could first read what was written to it at the given time.
+func (h *history) readableFrom(node int, at time.Duration) time.Duration {
+	for _, s := range h.readOutages[node] {
 		if s.from <= at && s.to > at {
 			at = s.to
 		}
@@ -137,21 +139,24 @@
 	return at
 }
 
-// extendDue puts a time off at which a final answer is due until one can be written at all: where every write on the
-// node's sockets has failed from the deadline until then, no program could have told it.
-func (l *history) extendDue(node int, deadline, due time.Duration) time.Duration {
-	for _, s := range l.writeOutages[node] {
+// extendDue postpones the time at which a final answer is due until the node is able to send one: while all its socket
+// writes fail, for example, no program could report the outcome.
+func (h *history) extendDue(node int, deadline, due time.Duration) time.Duration {
+	for _, s := range h.writeOutages[node] {
 		if s.from <= deadline && s.to+noticeGrace > due {
 			due = s.to + noticeGrace
 		}
 	}
-	for _, s := range mergeOverlapping(l.connectOutages[node]) { // the platform ended the connections that the node had, and it can open none
-		cutOff := slices.ContainsFunc(l.platformDisconnects, func(at time.Duration) bool { return s.from-socketGrace <= at && at < s.to })
-		if cutOff && s.from <= due && s.to+noticeGrace > due {
+	for _, s := range mergeOverlapping(h.connectOutages[node]) {
+		// The platform closed the node's connections, and the node cannot open new ones.
+		disconnected := slices.ContainsFunc(h.platformDisconnects, func(at time.Duration) bool {
+			return s.from-socketGrace <= at && at < s.to
+		})
+		if disconnected && s.from <= due && s.to+noticeGrace > due {
 			due = s.to + noticeGrace
 		}
 	}
-	for _, s := range l.platformFaults[node] { // a notice may be held, cut off or reset on its way
+	for _, s := range h.platformFaults[node] { // a notice may be held, truncated or reset on its way
 		if s.from <= due && s.to+noticeGrace > due {
 			due = s.to + noticeGrace
 		}
@@ -159,7 +164,7 @@
 	return due
 }
 
-// mergeOverlapping joins spans that overlap.
+// mergeOverlapping joins intervals that overlap.
 func mergeOverlapping(list []interval) (joined []interval) {
 	list = slices.Clone(list)
 	slices.SortFunc(list, func(a, b interval) int { return cmp.Compare(a.from, b.from) })
@@ -173,24 +178,26 @@
 	return joined
 }
 
-// checkAfterEnd: a request that may be repeated may be sent again by a node that died before it had time to write
-// down that it is delivered, or that was told so on a connection which was disturbed. When a call left that came on a
-// disturbed connection is not known, for the path may have held it; nor when a request came that was held before its node.
-func (l *history) checkAfterEnd(r *request) {
+// checkAfterEnd checks that no request was forwarded after its refusal, notice, delivery or deadline. A node may forward
+// a repeatable request again after its delivery if it exited before it had time to store the delivery, or if the
+// response came on a disturbed connection. Calls on a disturbed connection are skipped, because the proxy may have held
+// them back; for the same reason, requests on one are not checked against their deadline.
+func (h *history) checkAfterEnd(r *request) {
 	for _, a := range r.attempts {
 		if a.conn.Disturbed() {
 			continue
 		}
-		restarted := func(since time.Duration) bool { return l.exitedBeforeRecording(r.node, since, a.at) }
+		exitedUnrecorded := func(since time.Duration) bool { return h.exitedBeforeRecording(r.node, since, a.at) }
 		switch {
 		case r.refused() && r.answeredAt-r.sentAt <= responseTimeout:
-			l.addViolationLocked(RuleAfterEnd, a.at, r, "a refused request was forwarded")
+			h.addViolationLocked(RuleAfterEnd, a.at, r, "refused request was forwarded")
 		case r.noticedAt > 0 && a.at > r.noticedAt+processingGrace:
-			l.addViolationLocked(RuleAfterEnd, a.at, r, "forwarded after its notice")
-		case r.deliveredAt > 0 && a.at > r.deliveredAt+processingGrace && (r.class == Once || !(restarted(r.deliveredAt) || r.attempts[r.deliveredBy].conn.Disturbed())):
-			l.addViolationLocked(RuleAfterEnd, a.at, r, "forwarded after its delivery")
+			h.addViolationLocked(RuleAfterEnd, a.at, r, "forwarded after its notice")
+		case r.deliveredAt > 0 && a.at > r.deliveredAt+processingGrace && (r.class == Once ||
+			!(exitedUnrecorded(r.deliveredAt) || r.attempts[r.deliveredBy].conn.Disturbed())):
+			h.addViolationLocked(RuleAfterEnd, a.at, r, "forwarded after its delivery")
 		case a.at > r.deadline+processingGrace+socketGrace && !r.disturbed:
-			l.addViolationLocked(RuleAfterEnd, a.at, r, "forwarded after its deadline")
+			h.addViolationLocked(RuleAfterEnd, a.at, r, "forwarded after its deadline")
 		default:
 			continue
 		}
@@ -198,7 +205,7 @@
 	}
 }
 
-func (l *history) checkRepeats(r *request, keyedWindow time.Duration) {
+func (h *history) checkRepeats(r *request, keyedWindow time.Duration) {
 	var first *attempt
 	for i := range r.attempts {
 		a := &r.attempts[i]
@@ -210,9 +217,10 @@
 			first = a
 			continue
 		case r.class == Once:
-			l.addViolationLocked(RuleRepeat, a.at, r, "a request that may not be repeated ran twice")
-		case r.class == Keyed && a.at > first.at+keyedWindow+socketGrace && !a.conn.Disturbed(): // else it may have left in time
-			l.addViolationLocked(RuleRepeat, a.at, r, "a keyed request ran again %v after its window", a.at-first.at-keyedWindow)
+			h.addViolationLocked(RuleRepeat, a.at, r, "request that may not be repeated was executed twice")
+		case r.class == Keyed && a.at > first.at+keyedWindow+socketGrace && !a.conn.Disturbed():
+			// A call on a disturbed connection may have been sent in time and held back by the proxy.
+			h.addViolationLocked(RuleRepeat, a.at, r, "keyed request was executed again %v after its window", a.at-first.at-keyedWindow)
 		default:
 			continue
 		}
@@ -220,34 +228,36 @@
 	}
 }
 
-// checkUntried fails a run on which over half of the requests that restarts found untried, with half of their time
-// left, were given up without a call; so, too, of those alone that may not be repeated.
-func (l *history) checkUntried(restarts map[int][]interval) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	type share struct{ found, givenUp int }
-	var all, once share
-	for _, r := range l.ordered {
-		for _, s := range restarts[r.node] {
-			if !r.accepted() || r.answeredAt > s.from || (r.deliveredAt > 0 && r.deliveredAt < s.from) || (r.noticedAt > 0 && r.noticedAt < s.from) ||
-				r.deadline-s.to < (r.deadline-r.sentAt)/2 || (len(r.attempts) > 0 && r.attempts[0].at < s.from) {
+// checkUntried adds a violation if more than half, and more than two, of the requests that a restart found without an
+// attempt and with at least half of their time left were ended early without one. The requests that may not be repeated
+// are checked separately as well.
+func (h *history) checkUntried(restarts map[int][]interval) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	type tally struct{ found, abandoned int }
+	var all, once tally
+	for _, r := range h.ordered {
+		for _, restart := range restarts[r.node] {
+			if !r.accepted() || r.answeredAt > restart.from || (r.deliveredAt > 0 && r.deliveredAt < restart.from) ||
+				(r.noticedAt > 0 && r.noticedAt < restart.from) || r.deadline-restart.to < (r.deadline-r.sentAt)/2 ||
+				(len(r.attempts) > 0 && r.attempts[0].at < restart.from) {
 				continue
 			}
-			untried := 0
+			abandoned := 0
 			if len(r.attempts) == 0 && r.noticedAt > 0 && r.noticedAt < r.deadline-(r.deadline-r.sentAt)/5 {
-				untried = 1
+				abandoned = 1
 			}
-			all.found, all.givenUp = all.found+1, all.givenUp+untried
+			all.found, all.abandoned = all.found+1, all.abandoned+abandoned
 			if r.class == Once {
-				once.found, once.givenUp = once.found+1, once.givenUp+untried
+				once.found, once.abandoned = once.found+1, once.abandoned+abandoned
 			}
 		}
 	}
-	l.counts["found untried by a restart"] += all.found
-	l.counts["found untried and given up early"] += all.givenUp
-	for name, s := range map[string]share{"requests": all, "requests that may not be repeated": once} {
-		if s.givenUp > 2 && s.givenUp*2 > s.found {
-			l.addViolationLocked(RuleUntried, l.now(), nil, "%s", fmt.Sprintf("%d of %d untried %s were given up without a call", s.givenUp,
+	h.counts["without an attempt at a restart"] += all.found
+	h.counts["without an attempt at a restart, ended early without one"] += all.abandoned
+	for name, s := range map[string]tally{"requests": all, "requests that may not be repeated": once} {
+		if s.abandoned > 2 && s.abandoned*2 > s.found {
+			h.addViolationLocked(RuleUntried, h.now(), nil, "%s", fmt.Sprintf("%d of %d %s without an attempt at a restart were ended early without one", s.abandoned,
 				s.found, name))
 		}
 	}
