--- a/lab/soak/client.go
+++ b/lab/soak/client.go
@@ -16,21 +16,21 @@
 	"jaspersill/lab/faultproxy"
 )
 
-// client hands in requests at one node, one after another, on a connection that it keeps for as long as it stands.
+// client sends requests to one node, one at a time, on a connection that it reuses while it is open.
 type client struct {
 	history      *history
 	random       *rand.Rand
 	node         int
 	destinations int
-	bodySize     int // bytes at most
+	bodySize     int // bytes
 	address      string
 	proxy        *faultproxy.Proxy
 	conn         net.Conn
 	reader       *bufio.Reader
-	responses    int  // answers heard on the connection
-	closing      bool // the node said that it closes the connection
+	responses    int  // number of responses read on the connection
+	closing      bool // the node announced that it closes the connection
 
-	crowded bool // its node is full of others: the page lets new connections be shut unread then
+	crowded bool // its node is at its socket limit, where the protocol permits it to close new connections unread
 }
 
 const (
@@ -38,19 +38,20 @@
 	minDeadline           = 300 * time.Millisecond
 	maxDeadline           = 3 * time.Second
 	unavailableRetryDelay = 50 * time.Millisecond
-	lingerTime            = 1200 * time.Millisecond // more than a path holds a piece back
+	lingerTime            = 1200 * time.Millisecond // longer than the proxy holds back a chunk
 )
 
-// run hands in a request each so often until ctx ends. accepts tells whether new connections go to the node.
-func (c *client) run(ctx context.Context, every time.Duration, accepts func() bool) {
+// run sends requests at random intervals, whose mean is interval, until ctx ends. isAccepting reports whether the platform
+// directs new connections to the node.
+func (c *client) run(ctx context.Context, interval time.Duration, isAccepting func() bool) {
 	defer c.closeConn()
 	for ctx.Err() == nil {
-		sleep(ctx, time.Duration(c.random.Int64N(int64(2*every))))
+		sleep(ctx, time.Duration(c.random.Int64N(int64(2*interval))))
 		if ctx.Err() != nil {
 			return
 		}
 		if c.conn == nil {
-			if !accepts() || c.connect() != nil {
+			if !isAccepting() || c.connect() != nil {
 				sleep(ctx, unavailableRetryDelay)
 				continue
 			}
@@ -82,15 +83,16 @@
 	}
 }
 
-// submit hands in one request. Where a close of the resting connection crosses it, it is sent once more on a new one.
+// submit sends one request. If the node closed the idle connection at the same time, it sends the request once more on a
+// new one.
 func (c *client) submit() {
 	class := []Class{Repeatable, Once, Keyed}[c.random.IntN(3)]
 	id := fmt.Sprintf("%016x", c.random.Uint64())
-	left := minDeadline + time.Duration(c.random.Int64N(int64(maxDeadline-minDeadline)))
+	timeout := minDeadline + time.Duration(c.random.Int64N(int64(maxDeadline-minDeadline)))
 	dest := c.random.IntN(c.destinations)
-	r := c.history.recordRequest(id, class, c.node, dest, left)
+	r := c.history.recordRequest(id, class, c.node, dest, timeout)
 	text := fmt.Sprintf("POST /api HTTP/1.1\r\nHost: x\r\nReq-Id: %s\r\nReq-Kind: %s\r\nReq-Owner: acme\r\nReq-Deadline-Ms: %d\r\n"+
-		"Idempotency-Key: key-%s\r\nX-Envelope: dest=%d\r\nContent-Length: %d\r\n\r\n%s", id, class, left.Milliseconds(), id, dest,
+		"Idempotency-Key: key-%s\r\nX-Envelope: dest=%d\r\nContent-Length: %d\r\n\r\n%s", id, class, timeout.Milliseconds(), id, dest,
 		c.bodySize, strings.Repeat("b", c.bodySize))
 	status, err := c.exchange(text)
 	if c.disturbed() {
@@ -103,10 +105,10 @@
 		return
 	}
 	if errors.Is(err, errNoResponse) && (c.responses > 0 || c.crowded) {
-		c.history.count("sent once more")
+		c.history.count("retransmitted by the client")
 		c.closeConn()
 		if c.connect() != nil {
-			c.history.recordResponse(r, 0, "") // nobody is there
+			c.history.recordResponse(r, 0, "") // the node is not listening
 			return
 		}
 		status, err = c.exchange(text)
@@ -124,7 +126,7 @@
 			c.closeConn()
 		}
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		c.history.count("gave up waiting")
+		c.history.count("timed out at the client")
 		c.history.recordResponse(r, 0, "")
 		c.closeConn()
 	default:
@@ -133,13 +135,13 @@
 	}
 }
 
-// disturbed tells whether a fault has struck the connection on its way.
+// disturbed reports whether a fault was injected into the connection.
 func (c *client) disturbed() bool {
 	return c.conn != nil && c.proxy.ConnFromClient(c.conn.LocalAddr()).Disturbed()
 }
 
-// finishDisturbed notes what came of a request on a connection that was disturbed, and uses it no more: which answer
-// belongs to which request cannot be told there.
+// finishDisturbed records the result of a request on a disturbed connection and abandons the connection, because
+// responses on it can no longer be matched to requests.
 func (c *client) finishDisturbed(r *request, status int, err error) {
 	c.history.count("on a disturbed connection")
 	c.history.recordDisturbedRequest(r)
@@ -147,16 +149,16 @@
 		status = 0
 	}
 	c.history.recordResponse(r, status, "")
-	if conn := c.conn; conn != nil { // what the path still holds back may reach the node
+	if conn := c.conn; conn != nil { // lets chunks that the proxy holds back reach the node
 		c.conn = nil
 		time.AfterFunc(lingerTime, func() { conn.Close() })
 	}
 }
 
-// errNoResponse is a connection that ended before the first byte of an answer.
-var errNoResponse = errors.New("the connection ended with no answer")
+// errNoResponse reports that a connection was closed before the first byte of a response.
+var errNoResponse = errors.New("connection closed before a response")
 
-// exchange writes a request and reads its answer.
+// exchange writes a request and reads its response.
 func (c *client) exchange(text string) (status int, err error) {
 	c.conn.SetDeadline(time.Now().Add(responseTimeout))
 	if _, err := io.WriteString(c.conn, text); err != nil {
@@ -173,7 +175,7 @@
 		_, err = io.Copy(io.Discard, response.Body)
 	}
 	if err != nil {
-		return 0, fmt.Errorf("an answer that is not whole: %w", err)
+		return 0, fmt.Errorf("incomplete response: %w", err)
 	}
 	if response.Close {
 		c.closing = true
@@ -181,7 +183,7 @@
 	return response.StatusCode, nil
 }
 
-// holdIdleConnections holds many connections to a node that say nothing, or begin a request and never end it.
+// holdIdleConnections keeps connections to a node open, half of them silent and half with an incomplete request.
 func holdIdleConnections(ctx context.Context, address string, size int) {
 	var conns []net.Conn
 	defer func() {
--- a/lab/soak/discovery.go
+++ b/lab/soak/discovery.go
@@ -13,9 +13,9 @@
 	"time"
 )
 
-const watchKeepalive = 2 * time.Second // between the empty lines of a watch: the protocol's
+const watchKeepalive = 2 * time.Second // interval of a watch's empty lines, set by the protocol
 
-// discovery serves the list of endpoints and takes the notices, at an address for each node.
+// discovery emulates the platform: it serves the endpoint list and receives notices, on a separate address for each node.
 type discovery struct {
 	history   *history
 	endpoints []*endpoint
@@ -25,14 +25,14 @@
 	mu       sync.Mutex
 	sequence int
 	draining map[int]bool
-	silent   map[int]bool // nodes whose open watches have fallen silent
+	silent   map[int]bool // nodes whose open watches are stalled
 	down     bool
 	changed  chan struct{} // closed at each change
 	conns    map[net.Conn]struct{}
 }
 
-func newDiscovery(l *history, endpoints []*endpoint, nodes int) (*discovery, error) {
-	d := &discovery{history: l, endpoints: endpoints, sequence: 1, draining: map[int]bool{}, silent: map[int]bool{},
+func newDiscovery(h *history, endpoints []*endpoint, nodes int) (*discovery, error) {
+	d := &discovery{history: h, endpoints: endpoints, sequence: 1, draining: map[int]bool{}, silent: map[int]bool{},
 		changed: make(chan struct{}), conns: map[net.Conn]struct{}{}}
 	for node := range nodes {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -67,7 +67,7 @@
 	d.changed = make(chan struct{})
 }
 
-// drain marks an endpoint as one that wants nothing new.
+// drain marks an endpoint as draining.
 func (d *discovery) drain(endpoint int) {
 	d.update(func() {
 		d.sequence++
@@ -75,10 +75,10 @@
 	})
 }
 
-// silenceWatches has the open watches of a node tell nothing any more.
+// silenceWatches stops all output on the open watches of a node.
 func (d *discovery) silenceWatches(node int) { d.update(func() { d.silent[node] = true }) }
 
-// setDown takes discovery down or up again. Notices are taken all the while.
+// setDown takes discovery down or brings it up again. Notices are received at all times.
 func (d *discovery) setDown(down bool) {
 	d.update(func() { d.down = down })
 	if !down {
@@ -150,7 +150,7 @@
 	for line := range strings.Lines(string(body)) {
 		var n struct{ ID, Status string }
 		if err := json.Unmarshal([]byte(line), &n); err != nil {
-			d.history.addViolation(RuleAnswer, "a notice that cannot be read: %q", line)
+			d.history.addViolation(RuleAnswer, "malformed notice: %q", line)
 			_, err = io.WriteString(conn, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 			return err
 		}
@@ -160,7 +160,7 @@
 	return err
 }
 
-// list is the whole list as a node gets it, and what ends its being the newest.
+// list returns the full endpoint list for a node, and a channel that is closed when the list changes.
 func (d *discovery) list(node int) (string, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -176,13 +176,13 @@
 	return `{"seq":` + strconv.Itoa(d.sequence) + `,"whole":true,"hosts":[` + strings.Join(hosts, ",") + "]}\n", d.changed
 }
 
-// recordDrains notes which endpoints a node knows by now to be draining.
+// recordDrains records that a node has been sent the endpoints that are draining now.
 func (d *discovery) recordDrains(node int, conn net.Conn) {
-	by := d.network.discovery[node].ConnToTarget(conn.RemoteAddr())
+	proxyConn := d.network.discovery[node].ConnToTarget(conn.RemoteAddr())
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for number := range d.draining {
-		d.endpoints[number].recordDrain(node, by)
+		d.endpoints[number].recordDrain(node, proxyConn)
 	}
 }
 
@@ -193,13 +193,13 @@
 	if _, err := io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"); err != nil {
 		return
 	}
-	say := func(line string) error {
+	send := func(line string) error {
 		_, err := fmt.Fprintf(conn, "%x\r\n%s\r\n", len(line), line)
 		return err
 	}
 	newest := ""
-	alive := time.NewTicker(watchKeepalive)
-	defer alive.Stop()
+	keepalive := time.NewTicker(watchKeepalive)
+	defer keepalive.Stop()
 	for {
 		text, changed := d.list(node)
 		d.mu.Lock()
@@ -209,19 +209,19 @@
 		case down:
 			return
 		case silent:
-			io.Copy(io.Discard, conn) // until the node opens another
+			io.Copy(io.Discard, conn) // until the node closes the watch
 			return
 		case text != newest:
 			newest = text
-			if say(text) != nil {
+			if send(text) != nil {
 				return
 			}
 			d.recordDrains(node, conn)
 		}
 		select {
 		case <-changed:
-		case <-alive.C:
-			if say("\n") != nil {
+		case <-keepalive.C:
+			if send("\n") != nil {
 				return
 			}
 		}
--- a/lab/soak/endpoint.go
+++ b/lab/soak/endpoint.go
@@ -21,21 +21,22 @@
 	"jaspersill/lab/faultproxy"
 )
 
-// assumedToldAfter is the time after which a change counts as told, whether or not it arrived.
+// assumedToldAfter is the time after which a node counts as informed of a change, even if every message that announced
+// it was disturbed.
 const assumedToldAfter = 6 * time.Second
 
-// mode is how an endpoint behaves.
+// mode is the behavior of an endpoint.
 type mode string
 
 const (
 	healthy     mode = "healthy"
 	slow        mode = "slow"
-	failing     mode = "failing"     // it answers 500
-	limited     mode = "limited"     // it answers 429 with a time to wait
-	hanging     mode = "hanging"     // it reads and does not answer
-	resetting   mode = "resetting"   // it resets connections that have brought a request
-	garbling    mode = "garbling"    // its answers cannot be read
-	unavailable mode = "unavailable" // an outage: it resets, and returns cold
+	failing     mode = "failing"     // answers 500
+	limited     mode = "limited"     // answers 429 with a Retry-After header
+	hanging     mode = "hanging"     // reads and never answers
+	resetting   mode = "resetting"   // resets each connection on its next request
+	garbling    mode = "garbling"    // sends malformed responses
+	unavailable mode = "unavailable" // an outage: resets connections, and needs a slow start afterwards
 )
 
 const (
@@ -43,7 +44,7 @@
 	slowResponseDelay   = 300 * time.Millisecond
 	retryAfter          = 800 * time.Millisecond
 	endpointIdleTimeout = 4 * time.Second
-	resetDelay          = 100 * time.Millisecond // a reset takes no time on loopback, but for a proxy on a busy machine
+	resetDelay          = 100 * time.Millisecond // immediate on loopback, except through a proxy on a busy machine
 	maxCallBytes        = 1 << 20
 )
 
@@ -52,10 +53,10 @@
 	number, dest int
 	history      *history
 	listener     net.Listener
-	capacity     float64 // calls a second that it reports
-	remote       bool    // it answers as a partner at some distance does, and refuses a share
+	capacity     float64 // reported in Srv-Load, calls per second
+	remote       bool    // answers with the latency of a remote host, and refuses a share of the calls
 	refusalRate  float64
-	proxies      []*faultproxy.Proxy // that lead to it, by node
+	proxies      []*faultproxy.Proxy // leading to this endpoint, by node
 
 	mu          sync.Mutex
 	mode        mode
@@ -63,19 +64,20 @@
 	conns       map[net.Conn]struct{}
 	closed      bool
 	retryWaits  map[int]retryWait // by node
-	sawOutage   map[int]bool      // nodes that met the last outage
+	sawOutage   map[int]bool      // nodes that sent calls during the last outage
 	recoveredAt time.Duration
-	arrivals    []arrival // since it is back
+	arrivals    []arrival // calls since recoveredAt
 	drains      map[int]drainNotice
 }
 
-// retryWait is a wait that a node was told, and the connection that told it: a disturbed one may not have.
+// retryWait is a Retry-After sent to a node, and the connection that carried it. On a disturbed connection it may not have
+// arrived.
 type retryWait struct {
 	interval
 	conn *faultproxy.Connection
 }
 
-// drainNotice is when a node was told that the endpoint drains, and the connection that told it.
+// drainNotice is when a node was informed that the endpoint is draining, and the connection that carried the message.
 type drainNotice struct {
 	at   time.Duration
 	conn *faultproxy.Connection
@@ -86,12 +88,12 @@
 	node int
 }
 
-func newEndpoint(number, dest int, l *history, p *plan, random *rand.Rand) (*endpoint, error) {
+func newEndpoint(number, dest int, h *history, p *plan, random *rand.Rand) (*endpoint, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	e := &endpoint{number: number, dest: dest, history: l, listener: listener, capacity: endpointCapacity, mode: healthy,
+	e := &endpoint{number: number, dest: dest, history: h, listener: listener, capacity: endpointCapacity, mode: healthy,
 		remote: p.remote, refusalRate: p.refusalRate,
 		random: random, conns: map[net.Conn]struct{}{}, retryWaits: map[int]retryWait{}, sawOutage: map[int]bool{},
 		drains: map[int]drainNotice{}}
@@ -124,7 +126,7 @@
 	}
 }
 
-// setMode sets how it behaves from now on.
+// setMode changes the endpoint's behavior and resets the slow-start check at the start and end of an outage.
 func (e *endpoint) setMode(m mode) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -138,20 +140,20 @@
 	e.mode = m
 }
 
-// recordDrain notes that a node was told that the endpoint drains.
-func (e *endpoint) recordDrain(node int, by *faultproxy.Connection) {
+// recordDrain records that a node was informed that the endpoint is draining.
+func (e *endpoint) recordDrain(node int, conn *faultproxy.Connection) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if told, before := e.drains[node]; !before || told.conn.Disturbed() {
+	if notice, informed := e.drains[node]; !informed || notice.conn.Disturbed() {
 		at := e.history.now()
-		if before {
-			at = min(at, told.at+assumedToldAfter)
+		if informed {
+			at = min(at, notice.at+assumedToldAfter)
 		}
-		e.drains[node] = drainNotice{at, by}
+		e.drains[node] = drainNotice{at, conn}
 	}
 }
 
-// proxyConn is the connection through a proxy that a call came on.
+// proxyConn finds the proxied connection that an accepted connection belongs to. It returns nil if there is none.
 func (e *endpoint) proxyConn(conn net.Conn) *faultproxy.Connection {
 	for _, proxy := range e.proxies {
 		if c := proxy.ConnToTarget(conn.RemoteAddr()); c != nil {
@@ -190,13 +192,13 @@
 	}
 }
 
-// part is one request of a call, and which of its attempts it is.
+// part is one request of a call.
 type part struct {
 	request *request
-	attempt int
+	attempt int // index into request.attempts
 }
 
-// requestIDs are the requests that a call carries.
+// requestIDs returns the IDs of the requests in a call.
 func requestIDs(call *http.Request, body []byte) (list []string) {
 	if !strings.HasSuffix(call.URL.Path, "/bulk") {
 		return []string{call.Header.Get("Req-Id")}
@@ -217,19 +219,20 @@
 	return list
 }
 
-// handleCall plays one call. It tells what was delivered, and whether the connection stays open.
+// handleCall handles one call. It returns the requests that it answered with success, and whether the connection stays
+// open.
 func (e *endpoint) handleCall(conn net.Conn, in *bufio.Reader, call *http.Request, body []byte) (delivered []part, open bool) {
 	var parts []part
-	path := e.proxyConn(conn)
+	proxyConn := e.proxyConn(conn)
 	for _, id := range requestIDs(call, body) {
-		r := e.history.recordAttempt(id, e.number, path)
+		r := e.history.recordAttempt(id, e.number, proxyConn)
 		if r == nil {
 			fmt.Fprint(conn, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 			return nil, false
 		}
 		parts = append(parts, part{r, e.history.attemptCount(r) - 1})
 	}
-	note := func(outcome string, ran, delivered bool) {
+	record := func(outcome string, ran, delivered bool) {
 		for _, p := range parts {
 			e.history.recordOutcome(p.request, p.attempt, outcome, ran, delivered)
 		}
@@ -238,45 +241,45 @@
 		return nil, false
 	}
 	node := parts[0].request.node
-	m, delay, refused := e.admit(node, path)
+	m, delay, refused := e.admit(node, proxyConn)
 	report := fmt.Sprintf("Srv-Load: x0=0.5,x1=%g\r\n", e.capacity)
 	switch m {
 	case failing:
-		note("500", true, false)
+		record("500", true, false)
 		_, err := fmt.Fprintf(conn, "HTTP/1.1 500 Error\r\n%sContent-Length: 0\r\n\r\n", report)
 		return nil, err == nil
 	case limited:
-		note("429", false, false)
+		record("429", false, false)
 		_, err := fmt.Fprintf(conn, "HTTP/1.1 429 Wait\r\n%sRetry-After: %.3f\r\nContent-Length: 0\r\n\r\n", report,
 			retryAfter.Seconds())
-		e.recordRetryAfter(node, path)
+		e.recordRetryAfter(node, proxyConn)
 		return nil, err == nil
 	case hanging:
-		note("hangs", true, false)
+		record("no response", true, false)
 		conn.SetReadDeadline(time.Time{})
 		io.Copy(io.Discard, conn)
 		return nil, false
 	case resetting, unavailable:
-		note("reset", true, false)
+		record("connection reset", true, false)
 		if tcp, ok := conn.(*net.TCPConn); ok {
 			tcp.SetLinger(0)
 		}
 		return nil, false
 	case garbling:
-		note("garbled", true, false)
+		record("malformed response", true, false)
 		io.WriteString(conn, "HTTP/1.1 2\x00\x01\r\nContent-Length: 9999999\r\n\r\n?")
 		return nil, false
 	}
 	if refused {
 		time.Sleep(delay)
-		note("503", false, false)
+		record("503", false, false)
 		_, err := fmt.Fprintf(conn, "HTTP/1.1 503 Full\r\n%sContent-Length: 0\r\n\r\n", report)
 		return nil, err == nil
 	}
-	note("runs", true, false)
+	record("executing", true, false)
 	time.Sleep(delay)
 	if !isOpen(conn, in) {
-		note("given up by the node", true, false)
+		record("abandoned by the node", true, false)
 		return nil, false
 	}
 	lines := ""
@@ -286,12 +289,12 @@
 		}
 	}
 	_, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", report, len(lines), lines)
-	note("200", true, err == nil)
+	record("200", true, err == nil)
 	return parts, err == nil
 }
 
-// isOpen tells whether the other side still holds a connection open. It may have sent its next call already, if it took
-// another answer for that to this one.
+// isOpen reports whether the peer has not closed a connection. Buffered input means that it is open: the peer has sent
+// its next call already, because it took another response for the one to this call.
 func isOpen(conn net.Conn, in *bufio.Reader) (open bool) {
 	raw, err := conn.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -308,8 +311,8 @@
 	return open
 }
 
-// wasReset tells whether the last answer on a connection that the other side has ended came back unread: it had ended
-// the connection before.
+// wasReset reports whether the peer of a closed connection answered the last response with a reset, because it had closed
+// the connection before and did not read it.
 func wasReset(conn net.Conn) (unread bool) {
 	time.Sleep(resetDelay)
 	raw, err := conn.(syscall.Conn).SyscallConn()
@@ -323,7 +326,7 @@
 	return unread
 }
 
-func (e *endpoint) recordRetryAfter(node int, by *faultproxy.Connection) {
+func (e *endpoint) recordRetryAfter(node int, conn *faultproxy.Connection) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.history.now()
@@ -331,16 +334,17 @@
 	if before.conn.Disturbed() {
 		before = retryWait{}
 	}
-	e.retryWaits[node] = retryWait{interval{now, max(now+retryAfter, before.to)}, by}
+	e.retryWaits[node] = retryWait{interval{now, max(now+retryAfter, before.to)}, conn}
 }
 
-// admit holds a call to the rules on draining, waiting and slow start, and tells how it is to be answered. A call on a
-// disturbed connection may have been held on its way, so when it left is not known.
-func (e *endpoint) admit(node int, path *faultproxy.Connection) (m mode, delay time.Duration, refused bool) {
+// admit checks a call against the rules on draining, Retry-After and slow start, and decides how to answer it. A call on a
+// disturbed connection is not checked against the first two, because the proxy may have held it back and its send time is
+// unknown.
+func (e *endpoint) admit(node int, conn *faultproxy.Connection) (m mode, delay time.Duration, refused bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.history.now()
-	if !path.Disturbed() {
+	if !conn.Disturbed() {
 		e.checkArrival(node, now)
 	}
 	if e.mode == unavailable {
@@ -360,50 +364,52 @@
 	return e.mode, delay, refused
 }
 
-// checkArrival holds a call to the rules on draining and waiting; the lock is held.
+// checkArrival checks a call against the rules on draining and Retry-After. The caller holds e.mu.
 func (e *endpoint) checkArrival(node int, now time.Duration) {
-	if told, drains := e.drains[node]; drains {
-		at := told.at
-		if told.conn.Disturbed() {
+	if notice, informed := e.drains[node]; informed {
+		at := notice.at
+		if notice.conn.Disturbed() {
 			at += assumedToldAfter
 		}
 		if now > at+drainGrace+socketGrace+processingGrace {
-			e.history.addViolation(RuleDrain, "node %d sent to endpoint %d %v after it was told that it drains", node, e.number, now-at)
+			e.history.addViolation(RuleDrain, "node %d sent to endpoint %d %v after being informed that it is draining", node,
+				e.number, now-at)
 		}
 	}
-	if w, told := e.retryWaits[node]; told && !w.conn.Disturbed() && now > w.from+retryAfterGrace && now < w.to-socketGrace {
-		e.history.addViolation(RuleRetryAfter, "node %d sent to endpoint %d %v before the wait that it was told is over", node, e.number,
-			w.to-now)
+	if wait, told := e.retryWaits[node]; told && !wait.conn.Disturbed() && now > wait.from+retryAfterGrace &&
+		now < wait.to-socketGrace {
+		e.history.addViolation(RuleRetryAfter, "node %d sent to endpoint %d %v before its Retry-After had passed", node, e.number,
+			wait.to-now)
 	}
 }
 
-// checkSlowStart holds the calls of the rule's window to what an endpoint that returns cold can do then, which grows until
-// it is warm; the lock is held.
+// checkSlowStart checks the number of calls within fallAfter against the limit for an endpoint that recovers from an
+// outage, which grows from coldShare of its capacity until rampTime has passed. The caller holds e.mu.
 func (e *endpoint) checkSlowStart(now time.Duration) {
 	middle := max(0, now-fallAfter/2-e.recoveredAt)
 	share := coldShare + (1-coldShare)*middle.Seconds()/rampTime.Seconds()
 	n := fallMultiple * share * e.capacity * fallAfter.Seconds()
-	most := n + 2*math.Sqrt(n) + 2
+	limit := n + 2*math.Sqrt(n) + 2
 	if n < 30 {
-		most = n + 3*math.Sqrt(n) + 3
+		limit = n + 3*math.Sqrt(n) + 3
 	}
-	calls, informed := 0, 0
+	calls, sawOutage := 0, 0
 	for _, a := range e.arrivals {
 		if now-a.at < fallAfter {
 			calls++
 			if e.sawOutage[a.node] {
-				informed++
+				sawOutage++
 			}
 		}
 	}
-	if float64(calls) > most && informed*3 > calls*2 {
-		e.history.addViolation(RuleSlowStart, "endpoint %d, back for %v, got %d calls in %v, %d of nodes that met its outage: at most %.0f",
-			e.number, now-e.recoveredAt, calls, fallAfter, informed, most)
+	if float64(calls) > limit && sawOutage*3 > calls*2 {
+		e.history.addViolation(RuleSlowStart, "endpoint %d, recovered %v ago, got %d calls in %v, %d of them from nodes that "+
+			"saw its outage: limit %.0f", e.number, now-e.recoveredAt, calls, fallAfter, sawOutage, limit)
 		e.recoveredAt = 0
 	}
 }
 
-// forgetNode drops the wait that a process was told: a restart ends it.
+// forgetNode drops what a node learned from this endpoint's responses, because a restart loses it.
 func (e *endpoint) forgetNode(node int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/lab/soak/plan.go
+++ b/lab/soak/plan.go
@@ -10,33 +10,33 @@
 	"jaspersill/lab/sysfault"
 )
 
-// plan is what a seed says that happens in a run.
+// plan is the schedule of a run, drawn from its seed.
 type plan struct {
 	destinations            int
 	endpointsPerDestination int
 	bodySize                int
-	remote                  bool    // endpoints answer as partners at some distance do
-	refusalRate             float64 // share of the calls that a steady endpoint refuses
-	crowded                 []bool
+	remote                  bool    // endpoints answer with the latency of a remote host
+	refusalRate             float64 // share of the calls that a remote endpoint refuses
+	crowded                 []bool  // by node: idle connections use up its sockets
 	steps                   []step
 	random                  *rand.Rand
 	length                  time.Duration
 }
 
-// step is one thing that is done to the system, at a time from the first request.
+// step is one action on the system, at a time after the clients start.
 type step struct {
 	at time.Duration
 	do func(context.Context, *run)
 }
 
-// failure is one way in which a kind of call fails.
+// failure is one way in which a system call can fail.
 type failure struct {
 	call  sysfault.Call
 	errno syscall.Errno
 	short bool
 }
 
-// failures are what Linux documents for the calls that a node makes. Which of them a run meets is drawn.
+// failures are errors that Linux documents for the system calls of a node. Each run draws from them.
 var failures = []failure{
 	{sysfault.FileWrite, syscall.ENOSPC, false},
 	{sysfault.FileWrite, syscall.EIO, false},
@@ -74,12 +74,12 @@
 	groupSlow    = "slow"
 	groupKills   = "kills"
 	groupCalls   = "calls"
-	groupAnswers = "answers" // answers of endpoints come twice
-	groupNotices = "notices" // answers of the platform come twice
-	groupPaths   = "paths"   // bytes between all ends are disturbed
+	groupAnswers = "answers" // responses of endpoints arrive twice
+	groupNotices = "notices" // responses of the platform arrive twice
+	groupPaths   = "paths"   // all network connections are disturbed
 )
 
-// FaultGroups lists the kinds of faults that can be played alone.
+// FaultGroups lists the groups of faults that a run can be limited to.
 func FaultGroups() []string {
 	return []string{groupDisk, groupSockets, groupSlow, groupKills, groupCalls, groupAnswers, groupNotices, groupPaths}
 }
@@ -121,50 +121,50 @@
 	return p
 }
 
-func (p *plan) randomDuration(most time.Duration) time.Duration {
-	return time.Duration(p.random.Int64N(int64(most)))
+func (p *plan) randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(p.random.Int64N(int64(limit)))
 }
 
 func (p *plan) addStep(at time.Duration, do func(context.Context, *run)) {
 	p.steps = append(p.steps, step{at, do})
 }
 
-// addCallFaults draws the faults of one node's calls: several, which may overlap.
-func (p *plan) addCallFaults(node int, only string) {
-	if only == groupKills {
+// addCallFaults draws several faults of one node's system calls, which may overlap.
+func (p *plan) addCallFaults(node int, group string) {
+	if group == groupKills {
 		return
 	}
 	for range 1 + p.random.IntN(4) {
-		at, long := p.randomDuration(p.length*3/4), 100*time.Millisecond+p.randomDuration(900*time.Millisecond)
+		at, duration := p.randomDuration(p.length*3/4), 100*time.Millisecond+p.randomDuration(900*time.Millisecond)
 		f := failures[p.random.IntN(len(failures))]
-		for !inGroup(only, f.call) {
+		for !inGroup(group, f.call) {
 			f = failures[p.random.IntN(len(failures))]
 		}
 		fault := sysfault.Fault{Call: f.call, Errno: f.errno, Short: f.short}
 		if p.random.IntN(3) == 0 {
 			fault.Probability = 0.1 + 0.6*p.random.Float64()
 		}
-		if only == groupSlow || (only == "" && p.random.IntN(6) == 0) {
+		if group == groupSlow || (group == "" && p.random.IntN(6) == 0) {
 			fault = sysfault.Fault{Call: sysfault.FileWrite, Delay: 50*time.Millisecond + p.randomDuration(950*time.Millisecond)}
-			long = 200 * time.Millisecond
+			duration = 200 * time.Millisecond
 		}
-		outage := only != groupSlow && isFileCall(f.call) && p.random.IntN(3) == 0
+		outage := group != groupSlow && isFileCall(f.call) && p.random.IntN(3) == 0
 		withTruncate := f.call == sysfault.FileWrite && p.random.IntN(2) == 0
 		killAfter := time.Duration(-1)
 		switch {
-		case f.short && p.random.IntN(2) == 0: // right behind a record that was written in part
+		case f.short && p.random.IntN(2) == 0: // immediately after a partially written record
 			killAfter = 5 * time.Millisecond
 		case p.random.IntN(4) == 0: // while the calls still fail
-			killAfter = p.randomDuration(long)
+			killAfter = p.randomDuration(duration)
 		}
 		p.addStep(at, func(ctx context.Context, r *run) {
-			r.injectFault(node, fault, long)
+			r.injectFault(node, fault, duration)
 			if withTruncate {
-				r.injectFault(node, sysfault.Fault{Call: sysfault.FileTruncate, Errno: syscall.EIO}, long)
+				r.injectFault(node, sysfault.Fault{Call: sysfault.FileTruncate, Errno: syscall.EIO}, duration)
 			}
-			if outage { // nothing can be written, taken back or begun
-				r.injectFault(node, sysfault.Fault{Call: sysfault.FileWrite, Errno: syscall.EIO}, long)
-				r.injectFault(node, sysfault.Fault{Call: sysfault.FileOpen, Errno: syscall.EIO}, long)
+			if outage { // nothing can be written, rolled back or created
+				r.injectFault(node, sysfault.Fault{Call: sysfault.FileWrite, Errno: syscall.EIO}, duration)
+				r.injectFault(node, sysfault.Fault{Call: sysfault.FileOpen, Errno: syscall.EIO}, duration)
 			}
 			if killAfter >= 0 {
 				sleep(ctx, killAfter)
@@ -174,9 +174,9 @@
 	}
 }
 
-// inGroup tells whether calls of a kind fail where only one kind of fault is inGroup.
-func inGroup(only string, c sysfault.Call) bool {
-	return only == "" || only == groupCalls || only == groupSlow || (only == groupDisk) == isFileCall(c)
+// inGroup reports whether a fault group contains failures of a kind of system call.
+func inGroup(group string, c sysfault.Call) bool {
+	return group == "" || group == groupCalls || group == groupSlow || (group == groupDisk) == isFileCall(c)
 }
 
 func isFileCall(c sysfault.Call) bool {
@@ -188,20 +188,22 @@
 	return false
 }
 
-// addSignals draws what a node is told: a kill, an orderly end or signals in series.
+// addSignals draws the signals of a node: at most one kill or termination, and a few reloads.
 func (p *plan) addSignals(node int) {
 	at := p.length/8 + p.randomDuration(p.length/2)
 	var faults []sysfault.Fault
-	if p.random.IntN(3) == 0 { // the start fails too, for a moment
+	if p.random.IntN(3) == 0 { // system calls also fail for a short time during the restart
 		f := failures[p.random.IntN(len(failures))]
 		faults = append(faults, sysfault.Fault{Call: f.call, Errno: f.errno, Probability: 0.5 + 0.5*p.random.Float64()})
 	}
-	long := 100*time.Millisecond + p.randomDuration(900*time.Millisecond)
+	duration := 100*time.Millisecond + p.randomDuration(900*time.Millisecond)
 	switch p.random.IntN(5) {
 	case 0, 1:
-		p.addStep(at, func(ctx context.Context, r *run) { r.restartWithFaults(ctx, node, faults, long, (*process).kill) })
+		p.addStep(at, func(ctx context.Context, r *run) { r.restartWithFaults(ctx, node, faults, duration, (*process).kill) })
 	case 2, 3:
-		p.addStep(at, func(ctx context.Context, r *run) { r.restartWithFaults(ctx, node, faults, long, (*process).terminate) })
+		p.addStep(at, func(ctx context.Context, r *run) {
+			r.restartWithFaults(ctx, node, faults, duration, (*process).terminate)
+		})
 	}
 	for range p.random.IntN(4) {
 		p.addStep(p.randomDuration(p.length), func(ctx context.Context, r *run) {
@@ -211,9 +213,11 @@
 	}
 }
 
-// addKill kills a node some seconds into the run, as in the report's plays.
+// addKill kills a node between 3/4 and 7/8 of the run's length, as the runs of the original fault report did.
 func (p *plan) addKill(node int) {
-	p.addStep(p.length*3/4+p.randomDuration(p.length/8), func(ctx context.Context, r *run) { r.restart(ctx, node, nil, (*process).kill) })
+	p.addStep(p.length*3/4+p.randomDuration(p.length/8), func(ctx context.Context, r *run) {
+		r.restart(ctx, node, nil, (*process).kill)
+	})
 }
 
 func (p *plan) addEndpointFaults() {
@@ -222,18 +226,19 @@
 		if p.random.IntN(3) == 0 {
 			continue
 		}
-		at, long, m := p.randomDuration(p.length*2/3), 200*time.Millisecond+p.randomDuration(2*time.Second), modes[p.random.IntN(len(modes))]
+		at, duration, m := p.randomDuration(p.length*2/3), 200*time.Millisecond+p.randomDuration(2*time.Second),
+			modes[p.random.IntN(len(modes))]
 		p.addStep(at, func(ctx context.Context, r *run) {
-			r.history.logAction("endpoint %d: %s for %v", number, m, long.Round(time.Millisecond))
+			r.history.logAction("endpoint %d: %s for %v", number, m, duration.Round(time.Millisecond))
 			r.endpoints[number].setMode(m)
-			sleep(ctx, long)
+			sleep(ctx, duration)
 			r.endpoints[number].setMode(healthy)
 		})
 	}
 	if p.endpointsPerDestination > 1 && p.random.IntN(2) == 0 {
 		number := p.random.IntN(p.destinations * p.endpointsPerDestination)
 		p.addStep(p.randomDuration(p.length), func(_ context.Context, r *run) {
-			r.history.logAction("endpoint %d: drains", number)
+			r.history.logAction("endpoint %d: draining", number)
 			r.discovery.drain(number)
 		})
 	}
@@ -243,7 +248,7 @@
 	for node := range nodes {
 		if p.random.IntN(3) == 0 {
 			p.addStep(p.randomDuration(p.length), func(_ context.Context, r *run) {
-				r.history.logAction("node %d: its watch falls silent", node)
+				r.history.logAction("node %d: its discovery watch stalls", node)
 				r.discovery.silenceWatches(node)
 			})
 		}
@@ -258,52 +263,55 @@
 	}
 }
 
-// injectFault has calls of a node injectFault for a time.
-func (r *run) injectFault(node int, f sysfault.Fault, long time.Duration) {
+// injectFault puts a fault in force on a node's system calls for the given time, and records what the checks have to
+// allow for.
+func (r *run) injectFault(node int, f sysfault.Fault, duration time.Duration) {
 	text := f.Errno.Error()
 	if f.Delay > 0 {
 		text = fmt.Sprintf("slow by %v", f.Delay.Round(time.Millisecond))
 	}
-	r.history.logAction("node %d: %s: %s for %v, share %.2f, short %v", node, f.Call, text, long.Round(time.Millisecond), f.Probability, f.Short)
-	f.Until = time.Now().Add(long)
+	r.history.logAction("node %d: %s: %s for %v, probability %.2f, short %v", node, f.Call, text, duration.Round(time.Millisecond),
+		f.Probability, f.Short)
+	f.Until = time.Now().Add(duration)
 	if f.Call == sysfault.SocketWrite && f.Probability == 0 {
-		r.history.recordWriteOutage(node, long)
+		r.history.recordWriteOutage(node, duration)
 	}
 	if f.Call == sysfault.SocketRead && f.Probability == 0 {
-		r.history.recordReadOutage(node, long)
+		r.history.recordReadOutage(node, duration)
 	}
 	if (f.Call == sysfault.SocketOpen || f.Call == sysfault.Connect) && f.Probability == 0 {
-		r.history.recordConnectOutage(node, long)
+		r.history.recordConnectOutage(node, duration)
 	}
 	if isFileCall(f.Call) {
-		r.history.recordDiskFault(node, long+f.Delay)
+		r.history.recordDiskFault(node, duration+f.Delay)
 	}
 	r.processes[node].addFault(f)
 }
 
-func (r *run) restartWithFaults(ctx context.Context, node int, faults []sysfault.Fault, long time.Duration, end func(*process)) {
+func (r *run) restartWithFaults(ctx context.Context, node int, faults []sysfault.Fault, duration time.Duration, stop func(*process)) {
 	for i := range faults {
-		r.history.logAction("node %d: its next start meets %s: %s for %v", node, faults[i].Call, faults[i].Errno.Error(),
-			long.Round(time.Millisecond))
+		r.history.logAction("node %d: fault during its next start: %s: %s for %v", node, faults[i].Call, faults[i].Errno.Error(),
+			duration.Round(time.Millisecond))
 	}
 	r.restart(ctx, node, func() []sysfault.Fault {
 		for i := range faults {
-			faults[i].Until = time.Now().Add(long)
+			faults[i].Until = time.Now().Add(duration)
 		}
 		return faults
-	}, end)
+	}, stop)
 }
 
-// restart ends a node and starts it again on the same folder. One restart of a node goes on at a time.
-func (r *run) restart(ctx context.Context, node int, faults func() []sysfault.Fault, end func(*process)) {
+// restart stops a node and starts it again on the same state folder. It does nothing while another restart of the node
+// is in progress.
+func (r *run) restart(ctx context.Context, node int, faults func() []sysfault.Fault, stop func(*process)) {
 	p := r.processes[node]
 	if !p.restarting.CompareAndSwap(false, true) {
 		return
 	}
 	defer p.restarting.Store(false)
 	r.readViolations(ctx, p)
-	r.history.logAction("node %d: is ended", node)
-	end(p)
+	r.history.logAction("node %d: stopping", node)
+	stop(p)
 	from := r.history.now()
 	for _, e := range r.endpoints {
 		e.forgetNode(node)
@@ -314,16 +322,16 @@
 		atStart = faults()
 	}
 	if err := p.start(atStart); err != nil {
-		r.history.addViolation(RuleCrash, "node %d does not start again: %v", node, err)
+		r.history.addViolation(RuleCrash, "node %d failed to restart: %v", node, err)
 		return
 	}
 	if err := p.awaitReady(ctx); err != nil {
 		if ctx.Err() == nil {
-			r.history.addViolation(RuleCrash, "node %d does not serve again: %v", node, err)
+			r.history.addViolation(RuleCrash, "node %d was not ready after its restart: %v", node, err)
 		}
 		return
 	}
-	r.history.logAction("node %d: is ready again", node)
+	r.history.logAction("node %d: ready", node)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.restarts[node] = append(r.restarts[node], interval{from, r.history.now()})
--- a/lab/soak/process.go
+++ b/lab/soak/process.go
@@ -21,10 +21,10 @@
 	"jaspersill/lab/sysfault"
 )
 
-// What the platform does and asks of a process.
+// Timing of the platform, and settings of the nodes and endpoints.
 const (
-	killAfterTerm           = 3700 * time.Millisecond // the earliest time from SIGTERM to SIGKILL
-	newConnectionsAfterTerm = 300 * time.Millisecond  // new connections go on coming so long after SIGTERM
+	killAfterTerm           = 3700 * time.Millisecond // shortest time from SIGTERM to SIGKILL
+	newConnectionsAfterTerm = 300 * time.Millisecond  // new connections still arrive for this long after SIGTERM
 	restartDelay            = 600 * time.Millisecond
 	readyTimeout            = 10 * time.Second
 	connectMillis           = 500
@@ -42,7 +42,7 @@
 	crowdedSocketLimit      = 160
 )
 
-// process is one delivery node that is started, signalled, killed and started again on one folder.
+// process is one delivery node, whose state folder outlives its restarts.
 type process struct {
 	number     int
 	program    string
@@ -58,18 +58,18 @@
 	cmd          *exec.Cmd
 	supervisor   *sysfault.Supervisor
 	exited       chan struct{}
-	accepting    bool // new connections go to it
-	exitExpected bool // it was asked to end
+	accepting    bool // the platform directs new connections to it
+	exitExpected bool // it was signalled to exit
 	settings     map[string]any
 	restarting   atomic.Bool
 }
 
-func newProcess(number int, options *Options, l *history, paths *network, crowded bool) (*process, error) {
+func newProcess(number int, options *Options, h *history, proxies *network, crowded bool) (*process, error) {
 	name := "n" + strconv.Itoa(number)
-	p := &process{number: number, program: options.Program, history: l,
+	p := &process{number: number, program: options.Program, history: h,
 		configFile: filepath.Join(options.Folder, name+".json"), folder: filepath.Join(options.Folder, name),
 		logFile: filepath.Join(options.Folder, name+".log")}
-	// An address of its own on the loopback network, since a port of 127.0.0.1 may be given away between two starts.
+	// Each node has its own loopback address, because a port of 127.0.0.1 may be taken by another process during a restart.
 	listener, err := net.Listen("tcp", loopbackAddress(options.Seed, number))
 	if err != nil {
 		return nil, err
@@ -83,15 +83,15 @@
 	p.peerListen = datagrams.LocalAddr().String()
 	datagrams.Close()
 	var peers []any
-	for _, d := range paths.peers {
+	for _, d := range proxies.peers {
 		peers = append(peers, d.Address())
 	}
 	sockets := socketLimit
 	if crowded {
 		sockets = crowdedSocketLimit
 	}
-	p.settings = map[string]any{"name": name, "listen": p.listen, "discovery": paths.discovery[number].Address(),
-		"peer_listen": p.peerListen, "peers": peers, "peers_all": paths.peers[number].Address(),
+	p.settings = map[string]any{"name": name, "listen": p.listen, "discovery": proxies.discovery[number].Address(),
+		"peer_listen": p.peerListen, "peers": peers, "peers_all": proxies.peers[number].Address(),
 		"seed":   fmt.Sprintf("%016x", options.Seed*1000+uint64(number)+1),
 		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": sockets, "disk_mb": 8},
 		"known":  map[string]any{"seq": 0, "whole": true, "hosts": []any{}}, "settings": settings(options.Nodes, number)}
@@ -101,7 +101,7 @@
 	return p, p.writeConfig()
 }
 
-// settings is the part of the configuration that the platform calls so.
+// settings returns the "settings" object of a node's configuration.
 func settings(nodes, me int) map[string]any {
 	class := func(name Class, semantics string) map[string]any {
 		return map[string]any{"name": name, "semantics": semantics, "group": "all", "aim_ms": 500,
@@ -134,7 +134,7 @@
 	return os.Rename(next, p.configFile)
 }
 
-// start starts the process; faults are in force from its first call on.
+// start starts the process with faults in force from its first system call.
 func (p *process) start(faults []sysfault.Fault) error {
 	log, err := os.OpenFile(p.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -154,23 +154,23 @@
 	for _, f := range faults {
 		s.Add(f)
 	}
-	ended := make(chan struct{})
-	p.cmd, p.supervisor, p.exited, p.exitExpected = c, s, ended, false
+	exited := make(chan struct{})
+	p.cmd, p.supervisor, p.exited, p.exitExpected = c, s, exited, false
 	go func() {
 		c.Wait()
 		p.history.recordExit(p.number)
 		p.mu.Lock()
 		if !p.exitExpected {
-			p.history.addViolation(RuleCrash, "node %d ended unasked: %v", p.number, c.ProcessState)
+			p.history.addViolation(RuleCrash, "node %d exited unexpectedly: %v", p.number, c.ProcessState)
 		}
 		p.accepting = false
 		p.mu.Unlock()
-		close(ended)
+		close(exited)
 	}()
 	return nil
 }
 
-// awaitReady waits until the process serves.
+// awaitReady waits until the process reports that it is ready.
 func (p *process) awaitReady(ctx context.Context) error {
 	client := http.Client{Timeout: time.Second}
 	defer client.CloseIdleConnections()
@@ -187,20 +187,20 @@
 			}
 		}
 		p.mu.Lock()
-		ended := p.exited
+		exited := p.exited
 		p.mu.Unlock()
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-ended:
-			return errors.New("it ended while it started")
+		case <-exited:
+			return errors.New("exited during startup")
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
-	return fmt.Errorf("it is not ready after %v", readyTimeout)
+	return fmt.Errorf("not ready after %v", readyTimeout)
 }
 
-// violations reads how many violations the process has counted, by what its metrics say of them.
+// violations reads the process's metrics and returns the lines with a nonzero count of violations.
 func (p *process) violations(ctx context.Context) (lines []string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
@@ -224,7 +224,7 @@
 	return lines, err
 }
 
-// violationsMetric counts what a node itself sees of its own faults.
+// violationsMetric counts the violations that a node detects in itself.
 const violationsMetric = "jaspersill_violations_total"
 
 func (p *process) isAccepting() bool {
@@ -241,43 +241,43 @@
 	}
 }
 
-// reload has the process read its configuration again.
+// reload makes the process read its configuration again.
 func (p *process) reload() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.cmd.Process.Signal(syscall.SIGHUP)
 }
 
-// kill ends the process at once and waits until it is gone.
+// kill kills the process and waits until it has exited.
 func (p *process) kill() {
 	p.mu.Lock()
 	p.exitExpected, p.accepting = true, false
-	command, ended := p.cmd, p.exited
+	cmd, exited := p.cmd, p.exited
 	p.mu.Unlock()
 	p.history.recordUnavailable(p.number)
-	command.Process.Kill()
-	<-ended
+	cmd.Process.Kill()
+	<-exited
 }
 
-// terminate asks the process to end, and kills it at the earliest time that the platform does.
+// terminate asks the process to exit, and kills it after the shortest time that the platform allows.
 func (p *process) terminate() {
 	p.mu.Lock()
 	p.exitExpected = true
-	command, ended := p.cmd, p.exited
+	cmd, exited := p.cmd, p.exited
 	p.mu.Unlock()
 	p.history.recordUnavailable(p.number)
-	command.Process.Signal(syscall.SIGTERM)
+	cmd.Process.Signal(syscall.SIGTERM)
 	time.AfterFunc(newConnectionsAfterTerm, func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		if p.cmd == command {
+		if p.cmd == cmd {
 			p.accepting = false
 		}
 	})
 	select {
-	case <-ended:
+	case <-exited:
 	case <-time.After(killAfterTerm):
-		command.Process.Kill()
-		<-ended
+		cmd.Process.Kill()
+		<-exited
 	}
 }
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -1,7 +1,7 @@
-// Package soak plays real delivery nodes on loopback under faults that overlap in time, drawn from a seed: failing,
-// short and slow system calls, signals in series, kills, endpoints and discovery that fail in many ways, and crowds
-// of clients. A ledger outside the nodes knows what each client heard, each endpoint received and the platform was
-// told, and holds every request to the rules.
+// Package soak runs real delivery nodes on loopback under overlapping faults that are drawn from a seed: failing, short
+// and slow system calls, sequences of signals, kills, failing endpoints and discovery, and large numbers of idle client
+// connections. A history kept outside the nodes records what each client, each endpoint and the platform received, and
+// every request is checked against the rules after the run.
 package soak
 
 import (
@@ -17,27 +17,27 @@
 	"time"
 )
 
-// Options is what a run is told.
+// Options configures a run.
 type Options struct {
 	Seed       uint64
 	Program    string        // of the delivery node
 	Folder     string        // for configurations, state folders and logs
-	Nodes      int           // processes
-	Length     time.Duration // for which clients hand in requests
-	Only       string        // a kind of fault that is played alone, or empty for all
-	PathFaults bool          // the bytes between the ends are disturbed beside all else
+	Nodes      int           // number of node processes
+	Length     time.Duration // how long clients send requests
+	Only       string        // one of FaultGroups; if empty, all kinds of faults but answers, notices and paths
+	PathFaults bool          // also inject faults into the network connections
 }
 
-// Report is what became of a run.
+// Report is the result of a run.
 type Report struct {
 	Seed       uint64
 	Requests   int
 	Counts     map[string]int
 	Violations []Violation
-	Actions    []string // what was done to the system, in order
+	Actions    []string // signals, restarts and injected faults, in order
 }
 
-// Summary tells the counts in one line.
+// Summary formats the counts as one line.
 func (r *Report) Summary() string {
 	var parts []string
 	for _, name := range slices.Sorted(maps.Keys(r.Counts)) {
@@ -55,7 +55,7 @@
 	largeBodySize   = 6000 // bytes
 )
 
-// run is one run under way.
+// run is the state of a run in progress.
 type run struct {
 	options   Options
 	plan      *plan
@@ -66,10 +66,11 @@
 	network   network
 
 	mu       sync.Mutex
-	restarts map[int][]interval // by node, from the kill until it was ready again
+	restarts map[int][]interval // by node, from its exit until it was ready again
 }
 
-// Run plays one run and judges it. The error is for a run that could not be played.
+// Run executes one run and checks it. It returns an error only if the run could not be executed; violations are in the
+// report.
 func Run(ctx context.Context, options Options) (*Report, error) {
 	r := &run{options: options, history: newHistory(), restarts: map[int][]interval{}}
 	r.plan = newPlan(options)
@@ -81,18 +82,18 @@
 		return nil, err
 	}
 	var done sync.WaitGroup
-	playing, stop := context.WithTimeout(ctx, options.Length)
+	running, stop := context.WithTimeout(ctx, options.Length)
 	defer stop()
-	r.history.logAction("the clients begin")
+	r.history.logAction("clients start")
 	for _, s := range r.plan.steps {
 		done.Go(func() {
-			sleep(playing, s.at)
-			if playing.Err() == nil {
+			sleep(running, s.at)
+			if running.Err() == nil {
 				s.do(ctx, r)
 			}
 		})
 	}
-	r.startClients(playing, &done)
+	r.startClients(running, &done)
 	done.Wait()
 	sleep(ctx, settleTime)
 	if err := ctx.Err(); err != nil {
@@ -103,13 +104,13 @@
 	}
 	r.history.check(keyedWindow)
 	r.history.checkUntried(r.restarts)
-	l := r.history
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if struck := r.network.faultCount(); struck > 0 {
-		l.counts["disturbed on the way"] = struck
+	h := r.history
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if faults := r.network.faultCount(); faults > 0 {
+		h.counts["network faults"] = faults
 	}
-	return &Report{Seed: options.Seed, Requests: len(l.ordered), Counts: l.counts, Violations: l.violations, Actions: l.actions}, nil
+	return &Report{Seed: options.Seed, Requests: len(h.ordered), Counts: h.counts, Violations: h.violations, Actions: h.actions}, nil
 }
 
 func (r *run) setUp() error {
@@ -175,7 +176,7 @@
 	}
 }
 
-// readViolations takes in what a node counted of its own faults.
+// readViolations records the violations that a node counted in its metrics.
 func (r *run) readViolations(ctx context.Context, p *process) {
 	lines, err := p.violations(ctx)
 	if err != nil {
@@ -205,7 +206,7 @@
 	r.network.close()
 }
 
-// Logs names the nodes' logs of a run.
+// Logs returns the paths of the nodes' logs in the folder of a run.
 func Logs(folder string) []string {
 	names, _ := filepath.Glob(filepath.Join(folder, "*.log"))
 	return names
