--- a/lab/soak/checks.go
+++ b/lab/soak/checks.go
@@ -45,7 +45,8 @@
 		}
 		s.refused++
 		if s.refused >= maxConsecutiveRefusals && r.answeredAt-s.since >= maxRefusalTime {
-			h.addViolationLocked(RuleRecovery, r.answeredAt, r, "node %d refused %d consecutive requests over %v", r.node, s.refused, r.answeredAt-s.since)
+			h.addViolationLocked(RuleRecovery, r.answeredAt, r, "node %d refused %d consecutive requests over %v", r.node,
+				s.refused, r.answeredAt-s.since)
 			streaks[r.node] = &streak{}
 		}
 	}
@@ -257,8 +258,8 @@
 	h.counts["without an attempt at a restart, ended early without one"] += all.abandoned
 	for name, s := range map[string]tally{"requests": all, "requests that may not be repeated": once} {
 		if s.abandoned > 2 && s.abandoned*2 > s.found {
-			h.addViolationLocked(RuleUntried, h.now(), nil, "%s", fmt.Sprintf("%d of %d %s without an attempt at a restart were ended early without one", s.abandoned,
-				s.found, name))
+			h.addViolationLocked(RuleUntried, h.now(), nil, "%s", fmt.Sprintf("%d of %d %s without an attempt at a restart were ended "+
+				"early without one", s.abandoned, s.found, name))
 		}
 	}
 }
--- a/lab/soak/history.go
+++ b/lab/soak/history.go
@@ -316,8 +316,8 @@
 		list = append(list, entry{r.answeredAt, fmt.Sprintf("its client read status %d %s", r.status, r.responseErr)})
 	}
 	for _, a := range r.attempts {
-		list = append(list, entry{a.at, fmt.Sprintf("endpoint %d read a call: %s, executed %v, connection disturbed %v", a.endpoint, a.outcome, a.ran,
-			a.conn.Disturbed())})
+		list = append(list, entry{a.at, fmt.Sprintf("endpoint %d read a call: %s, executed %v, connection disturbed %v",
+			a.endpoint, a.outcome, a.ran, a.conn.Disturbed())})
 	}
 	if r.deliveredAt > 0 {
 		list = append(list, entry{r.deliveredAt, "delivered"})
--- a/lab/soak/paths.go
+++ b/lab/soak/paths.go
@@ -10,15 +10,16 @@
 	"jaspersill/lab/faultproxy"
 )
 
-// network are the fault proxies between the ends of a run: every connection of a node goes through one.
+// network holds the fault proxies of a run. Except for the idle connections of crowded nodes and the readiness and metrics
+// requests, all network traffic of a node passes through them.
 type network struct {
-	endpoints [][]*faultproxy.Proxy // by node and endpoint
-	discovery []*faultproxy.Proxy   // by node
-	clients   []*faultproxy.Proxy   // by node
-	peers     []*faultproxy.DatagramProxy
+	endpoints [][]*faultproxy.Proxy       // by node and endpoint
+	discovery []*faultproxy.Proxy         // by node
+	clients   []*faultproxy.Proxy         // by node
+	peers     []*faultproxy.DatagramProxy // by sending node
 }
 
-// openClientProxies opens a proxy for each pair of ends. Clients reach nodes, and nodes reach all else, only through them.
+// openClientProxies opens the proxies through which clients reach the nodes.
 func (r *run) openClientProxies() error {
 	seed := r.options.Seed
 	for node, p := range r.processes {
@@ -31,7 +32,7 @@
 	return nil
 }
 
-// openNodeProxies opens the proxies that a node reaches the endpoints, discovery and its peers through.
+// openNodeProxies opens the proxies through which a node reaches the endpoints, discovery and its peers.
 func (r *run) openNodeProxies(node int, discovery string) error {
 	seed := r.options.Seed*1000 + uint64(node)
 	toDiscovery, err := faultproxy.Listen("127.0.0.1:0", discovery, seed+500)
@@ -57,7 +58,7 @@
 	return nil
 }
 
-// connectPeers has the datagrams of each node reach all the others.
+// connectPeers makes each node's datagrams go to all other nodes.
 func (r *run) connectPeers() error {
 	for node, datagrams := range r.network.peers {
 		var others []*net.UDPAddr
@@ -76,36 +77,36 @@
 	return nil
 }
 
-// proxies are all proxies of connections.
-func (p *network) proxies() []*faultproxy.Proxy {
-	return slices.Concat(append([][]*faultproxy.Proxy{p.discovery, p.clients}, p.endpoints...)...)
+// proxies returns all TCP proxies.
+func (n *network) proxies() []*faultproxy.Proxy {
+	return slices.Concat(append([][]*faultproxy.Proxy{n.discovery, n.clients}, n.endpoints...)...)
 }
 
-// faultCount is how many pieces were disturbed.
-func (p *network) faultCount() (total int) {
-	for _, proxy := range p.proxies() {
+// faultCount returns how many chunks of TCP connections had a fault injected.
+func (n *network) faultCount() (total int) {
+	for _, proxy := range n.proxies() {
 		total += proxy.FaultCount()
 	}
 	return total
 }
 
-func (p *network) close() {
-	for _, proxy := range p.proxies() {
+func (n *network) close() {
+	for _, proxy := range n.proxies() {
 		proxy.Close()
 	}
-	for _, datagrams := range p.peers {
+	for _, datagrams := range n.peers {
 		datagrams.Close()
 	}
 }
 
-// loopbackAddress is an address of the loopbackAddress network that belongs to one node of a run, with any port.
+// loopbackAddress returns an address in 127.0.0.0/8 that belongs to one node of a run, with port 0.
 func loopbackAddress(seed uint64, node int) string {
 	return fmt.Sprintf("127.%d.%d.%d:0", 1+seed%250, node/200+1, node%200+1)
 }
 
-// delayRanges are the ranges from which the delay of a repeated answer is drawn for a run.
-var delayRanges = []struct{ least, most time.Duration }{
-	{0, 0}, // in the same segment
+// delayRanges are the ranges from which the delays of network faults are drawn.
+var delayRanges = []struct{ minimum, maximum time.Duration }{
+	{0, 0}, // a repeated chunk follows in the same write
 	{time.Millisecond, 15 * time.Millisecond},
 	{2 * time.Millisecond, 40 * time.Millisecond},
 	{30 * time.Millisecond, 60 * time.Millisecond},
@@ -114,61 +115,63 @@
 }
 
 const (
-	maxRepeatRate        = 0.3 // of the answers
+	maxRepeatRate        = 0.3 // share of the responses
 	defaultRefusalRate   = 0.05
 	remoteResponseDelay  = 56 * time.Millisecond
 	remoteResponseJitter = 48 * time.Millisecond
 )
 
-// addRepeatedResponses draws a run in which nothing but repeated answers goes wrong: of endpoints, or of the platform to
-// notices, of which the next on that connection is then lost.
+// addRepeatedResponses adds repeated responses, of endpoints or of the platform to notices, as the only faults of a run.
+// With notices, connections to the platform are also reset on requests after the first, so that a notice may be lost
+// behind a response that was repeated.
 func (p *plan) addRepeatedResponses(nodes int, notices bool) {
 	delay := delayRanges[p.random.IntN(len(delayRanges))]
-	share := maxRepeatRate * (0.2 + 0.8*p.random.Float64())
+	probability := maxRepeatRate * (0.2 + 0.8*p.random.Float64())
 	p.endpointsPerDestination = 2 + p.random.IntN(2)
 	p.remote = true
 	if notices {
 		p.refusalRate = 0.6
 	}
 	p.addStep(0, func(_ context.Context, r *run) {
-		r.history.logAction("%.0f of 100 answers come twice, after %v to %v; to notices: %v", 100*share, delay.least, delay.most, notices)
+		r.history.logAction("%.0f %% of the responses are repeated after %v to %v; to notices: %v", 100*probability,
+			delay.minimum, delay.maximum, notices)
 		for node := range nodes {
 			if notices {
-				r.network.discovery[node].Add(faultproxy.Fault{Kind: faultproxy.Repeat, Direction: faultproxy.Responses, Probability: share,
-					MinDelay: 2 * time.Millisecond, MaxDelay: 10 * time.Millisecond})
-				r.network.discovery[node].Add(faultproxy.Fault{Kind: faultproxy.Reset, Direction: faultproxy.Requests, Probability: share, FirstChunk: 2})
+				r.network.discovery[node].Add(faultproxy.Fault{Kind: faultproxy.Repeat, Direction: faultproxy.Responses,
+					Probability: probability, MinDelay: 2 * time.Millisecond, MaxDelay: 10 * time.Millisecond})
+				r.network.discovery[node].Add(faultproxy.Fault{Kind: faultproxy.Reset, Direction: faultproxy.Requests,
+					Probability: probability, FirstChunk: 2})
 				continue
 			}
 			for _, proxy := range r.network.endpoints[node] {
-				proxy.Add(faultproxy.Fault{Kind: faultproxy.Repeat, Direction: faultproxy.Responses, Probability: share, MinDelay: delay.least,
-					MaxDelay: delay.most})
+				proxy.Add(faultproxy.Fault{Kind: faultproxy.Repeat, Direction: faultproxy.Responses, Probability: probability,
+					MinDelay: delay.minimum, MaxDelay: delay.maximum})
 			}
 		}
 	})
 }
 
-// pathFaults are the faults of a path by its direction. A request that a path repeats or alters on its way to an endpoint
-// has effects that no node can answer for, and an answer that a path repeats on its way to a client misleads the client:
-// these are left out.
+// pathFaults are the kinds of faults for each path. Repeated or altered requests to endpoints are left out, because no node
+// can prevent their effects; so are repeated or altered responses to clients, because they mislead the client.
 var pathFaults = map[string][]faultproxy.Kind{
 	pathEndpointRequests: {faultproxy.Hold, faultproxy.Split, faultproxy.Merge, faultproxy.Truncate, faultproxy.Drip,
 		faultproxy.Reset, faultproxy.HalfClose},
-	pathEndpointAnswers: faultproxy.Kinds(),
+	pathEndpointResponses: faultproxy.Kinds(),
 	pathDiscovery: {faultproxy.Repeat, faultproxy.Hold, faultproxy.Split, faultproxy.Merge, faultproxy.Truncate, faultproxy.Drip,
 		faultproxy.Reset, faultproxy.HalfClose},
-	pathClientRequests: {faultproxy.Repeat, faultproxy.Hold, faultproxy.Split, faultproxy.Drip, faultproxy.Truncate, faultproxy.Reset},
-	pathClientAnswers:  {faultproxy.Hold, faultproxy.Split, faultproxy.Drip, faultproxy.Truncate, faultproxy.Reset},
+	pathClientRequests:  {faultproxy.Repeat, faultproxy.Hold, faultproxy.Split, faultproxy.Drip, faultproxy.Truncate, faultproxy.Reset},
+	pathClientResponses: {faultproxy.Hold, faultproxy.Split, faultproxy.Drip, faultproxy.Truncate, faultproxy.Reset},
 }
 
 const (
-	pathEndpointRequests = "requests to endpoints"
-	pathEndpointAnswers  = "answers of endpoints"
-	pathDiscovery        = "the platform"
-	pathClientRequests   = "requests of clients"
-	pathClientAnswers    = "answers to clients"
+	pathEndpointRequests  = "requests to endpoints"
+	pathEndpointResponses = "responses of endpoints"
+	pathDiscovery         = "the platform"
+	pathClientRequests    = "requests of clients"
+	pathClientResponses   = "responses to clients"
 )
 
-// addPathFaults draws faults of the bytes between all ends, each for a time.
+// addPathFaults draws temporary faults of the network connections, and perhaps faults of the peers' datagrams.
 func (p *plan) addPathFaults(nodes int) {
 	for node := range nodes {
 		for range 1 + p.random.IntN(3) {
@@ -176,49 +179,49 @@
 		}
 	}
 	if p.random.IntN(2) == 0 {
-		share, most := 0.1+0.4*p.random.Float64(), p.randomDuration(2*time.Second)
+		probability, maxDelay := 0.1+0.4*p.random.Float64(), p.randomDuration(2*time.Second)
 		p.addStep(0, func(_ context.Context, r *run) {
-			r.history.logAction("%.0f of 100 datagrams are dropped, as many repeated, delays up to %v", 100*share, most)
+			r.history.logAction("%.0f %% of the datagrams are dropped, as many repeated, delays up to %v", 100*probability, maxDelay)
 			for _, datagrams := range r.network.peers {
-				datagrams.SetFaults(share, most)
+				datagrams.SetFaults(probability, maxDelay)
 			}
 		})
 	}
 }
 
 func (p *plan) addPathFault(node int) {
-	names := []string{pathEndpointAnswers, pathEndpointAnswers, pathEndpointRequests, pathDiscovery, pathDiscovery,
-		pathClientRequests, pathClientAnswers}
-	name := names[p.random.IntN(len(names))]
-	kinds := pathFaults[name]
-	at, long := p.randomDuration(p.length*3/4), 200*time.Millisecond+p.randomDuration(2*time.Second)
+	paths := []string{pathEndpointResponses, pathEndpointResponses, pathEndpointRequests, pathDiscovery, pathDiscovery,
+		pathClientRequests, pathClientResponses}
+	path := paths[p.random.IntN(len(paths))]
+	kinds := pathFaults[path]
+	at, duration := p.randomDuration(p.length*3/4), 200*time.Millisecond+p.randomDuration(2*time.Second)
 	delay := delayRanges[p.random.IntN(len(delayRanges))]
-	fault := faultproxy.Fault{Kind: kinds[p.random.IntN(len(kinds))], Probability: 0.05 + 0.4*p.random.Float64(), MinDelay: delay.least,
-		MaxDelay: delay.most}
-	answers := p.random.IntN(2) == 0
+	fault := faultproxy.Fault{Kind: kinds[p.random.IntN(len(kinds))], Probability: 0.05 + 0.4*p.random.Float64(),
+		MinDelay: delay.minimum, MaxDelay: delay.maximum}
+	responses := p.random.IntN(2) == 0
 	p.addStep(at, func(_ context.Context, r *run) {
-		fault.Until = time.Now().Add(long)
-		r.history.logAction("node %d: %s: %s for %v, share %.2f, delay %v to %v", node, name, fault.Kind, long.Round(time.Millisecond),
-			fault.Probability, fault.MinDelay, fault.MaxDelay)
-		switch name {
-		case pathEndpointAnswers, pathEndpointRequests:
-			fault.Direction = directionOf(name == pathEndpointAnswers)
+		fault.Until = time.Now().Add(duration)
+		r.history.logAction("node %d: %s: %s for %v, probability %.2f, delay %v to %v", node, path, fault.Kind,
+			duration.Round(time.Millisecond), fault.Probability, fault.MinDelay, fault.MaxDelay)
+		switch path {
+		case pathEndpointResponses, pathEndpointRequests:
+			fault.Direction = directionOf(path == pathEndpointResponses)
 			for _, proxy := range r.network.endpoints[node] {
 				proxy.Add(fault)
 			}
 		case pathDiscovery:
-			fault.Direction = directionOf(answers)
-			r.history.recordPlatformFault(node, long+fault.MaxDelay)
+			fault.Direction = directionOf(responses)
+			r.history.recordPlatformFault(node, duration+fault.MaxDelay)
 			r.network.discovery[node].Add(fault)
 		default:
-			fault.Direction = directionOf(name == pathClientAnswers)
+			fault.Direction = directionOf(path == pathClientResponses)
 			r.network.clients[node].Add(fault)
 		}
 	})
 }
 
-func directionOf(answers bool) faultproxy.Direction {
-	if answers {
+func directionOf(responses bool) faultproxy.Direction {
+	if responses {
 		return faultproxy.Responses
 	}
 	return faultproxy.Requests
