--- a/lab/faultproxy/datagrams.go
+++ b/lab/faultproxy/datagrams.go
@@ -9,18 +9,19 @@
 
 const maxDatagram = 2048
 
-// DatagramProxy forwards the datagrams of one sender to all receivers, from an address that stands for that sender.
+// DatagramProxy forwards the datagrams of one sender to all receivers. They come from the proxy's address, which stands
+// for the sender.
 type DatagramProxy struct {
 	socket *net.UDPConn
 
 	mu          sync.Mutex
 	random      *rand.Rand
 	receivers   []*net.UDPAddr
-	probability float64       // of the datagrams, for each kind of fault
-	maxDelay    time.Duration // of a delay
+	probability float64 // for each datagram and kind of fault
+	maxDelay    time.Duration
 }
 
-// ListenDatagrams opens a forwarder for one sender on loopback.
+// ListenDatagrams opens a proxy for one sender on loopback.
 func ListenDatagrams(seed uint64) (*DatagramProxy, error) {
 	socket, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -31,25 +32,25 @@
 	return d, nil
 }
 
-// Address is where the sender sends to, and what receivers know it by.
+// Address returns the address that the sender sends to, and from which receivers get its datagrams.
 func (d *DatagramProxy) Address() string { return d.socket.LocalAddr().String() }
 
-// SetReceivers has all that comes go to these receivers from now on.
+// SetReceivers sets where later datagrams are forwarded to.
 func (d *DatagramProxy) SetReceivers(receivers []*net.UDPAddr) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.receivers = receivers
 }
 
-// SetFaults has a share of the datagrams repeated, and as many dropped; delays are drawn up to most, so that later ones
-// overtake.
-func (d *DatagramProxy) SetFaults(share float64, most time.Duration) {
+// SetFaults makes datagrams be repeated, dropped and delayed, each with the given probability. Delays are shorter than
+// maxDelay and cause reordering.
+func (d *DatagramProxy) SetFaults(probability float64, maxDelay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.probability, d.maxDelay = share, most
+	d.probability, d.maxDelay = probability, maxDelay
 }
 
-// Close ends the forwarding.
+// Close stops the proxy.
 func (d *DatagramProxy) Close() { d.socket.Close() }
 
 func (d *DatagramProxy) run() {
@@ -59,19 +60,19 @@
 		if err != nil {
 			return
 		}
-		text := append([]byte(nil), buffer[:n]...)
+		datagram := append([]byte(nil), buffer[:n]...)
 		d.mu.Lock()
 		receivers := d.receivers
 		d.mu.Unlock()
 		for _, to := range receivers {
 			for _, delay := range d.drawDelays() {
-				time.AfterFunc(delay, func() { d.socket.WriteToUDP(text, to) })
+				time.AfterFunc(delay, func() { d.socket.WriteToUDP(datagram, to) })
 			}
 		}
 	}
 }
 
-// drawDelays draws when copies of a datagram go out: none for one that is dropped.
+// drawDelays returns one delay for each copy of a datagram to send, and none if it is dropped.
 func (d *DatagramProxy) drawDelays() (list []time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/lab/faultproxy/faultproxy.go
+++ b/lab/faultproxy/faultproxy.go
@@ -1,10 +1,10 @@
-// Package faultproxy stands between two ends on loopback and disturbs what passes: bytes of a TCP connection are
-// repeated, held back, split, merged, cut off, dripped or altered, one direction is ended, connections are reset;
-// datagrams are repeated, delayed, reordered and dropped. Which pieces are disturbed is drawn from a seed.
+// Package faultproxy provides proxies on loopback that inject network faults. Data on a TCP connection is repeated, held
+// back, split, merged, truncated, dripped or altered, one direction is closed, or the connection is reset. Datagrams are
+// repeated, delayed, reordered or dropped. Which data is affected is drawn from a seed.
 //
-// The proxy knows no protocol. It disturbs pieces: what one read returned, which on loopback is what the sender wrote
-// in one call. The endpoint of a disturbed connection can ask whether it was disturbed, so that an oracle can tell a
-// fault of the path from one of its ends.
+// The proxy does not parse any protocol. A fault applies to a chunk: the result of one read, which on loopback is usually
+// what the sender wrote in one call. Both ends can ask whether a connection was disturbed, so that a test can tell an
+// injected fault from a fault of the program under test.
 package faultproxy
 
 import (
@@ -19,20 +19,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// Kind is a way of disturbing a piece.
+// Kind is a kind of fault.
 type Kind string
 
 // The kinds of faults.
 const (
-	Repeat    Kind = "repeat"   // the piece goes out a second time, after the delay
-	Hold      Kind = "hold"     // the piece goes out after the delay, and so do those behind it
-	Split     Kind = "split"    // the piece goes out in two, the second after the delay
-	Merge     Kind = "merge"    // the piece waits for the next one for as long as the delay, and goes out with it
-	Truncate  Kind = "truncate" // only a part of the piece goes out, and the direction ends
-	Drip      Kind = "drip"     // the piece goes out byte by byte, over the delay
-	Alter     Kind = "alter"    // a byte of the piece is changed
-	Reset     Kind = "reset"    // the connection is reset in place of the piece
-	HalfClose Kind = "end-one"  // the piece goes out, and then the direction ends while the other goes on
+	Repeat    Kind = "repeat"   // the chunk is sent again after the delay
+	Hold      Kind = "hold"     // the chunk and all chunks behind it are held back for the delay
+	Split     Kind = "split"    // the chunk is sent in two parts, the second after the delay
+	Merge     Kind = "merge"    // the chunk waits up to the delay for the next one and is sent with it
+	Truncate  Kind = "truncate" // only a part of the chunk is sent, and the direction is closed
+	Drip      Kind = "drip"     // the chunk is sent byte by byte over the delay
+	Alter     Kind = "alter"    // one bit of the chunk is flipped
+	Reset     Kind = "reset"    // the connection is reset instead of sending the chunk
+	HalfClose Kind = "end-one"  // the chunk is sent and its direction is closed, while the other one stays open
 )
 
 // Kinds lists the kinds of faults.
@@ -40,31 +40,31 @@
 	return []Kind{Repeat, Hold, Split, Merge, Truncate, Drip, Alter, Reset, HalfClose}
 }
 
-// Direction is a direction of a connection, seen from the side that connects.
+// Direction is a direction of a connection.
 type Direction uint8
 
 // The directions.
 const (
-	Requests  Direction = iota // from the connecting side to the target
-	Responses                  // from the target
+	Requests  Direction = iota // from the client to the target
+	Responses                  // from the target to the client
 )
 
-// Fault is one kind of fault and when it strikes.
+// Fault is a kind of fault and the conditions under which it is injected.
 type Fault struct {
 	Kind               Kind
 	Direction          Direction
-	Probability        float64       // of the pieces, 0 to 1
+	Probability        float64       // for each chunk, 0 to 1
 	MinDelay, MaxDelay time.Duration // the delay is drawn from this range
-	Until              time.Time     // the fault ends then; zero for never
+	Until              time.Time     // end of the fault, zero for none
 
-	// FirstChunk strikes only from this piece of a connection's direction on, counted from 1; 0 for any.
+	// FirstChunk is the first chunk of a connection's direction that the fault applies to, counted from 1; 0 means all.
 	FirstChunk int
 }
 
-// maxChunk is the most that one read takes: a request or an answer of the largest size goes through in one piece.
+// maxChunk is the size of the read buffer. A request or response of the largest size fits into one chunk.
 const maxChunk = 80 << 10
 
-// Proxy is one address that leads to a target.
+// Proxy listens on one address and forwards connections to a target.
 type Proxy struct {
 	listener net.Listener
 	target   string
@@ -73,13 +73,13 @@
 	random   *rand.Rand
 	faults   []Fault
 	open     map[*Connection]struct{}
-	byTarget map[string]*Connection // newest, by the address from which the target sees it
-	byClient map[string]*Connection // newest, by the address of its client
+	byTarget map[string]*Connection // newest, by the proxy's address on its connection to the target
+	byClient map[string]*Connection // newest, by the client's address
 	closed   bool
-	faulted  int // pieces
+	faulted  int // chunks
 }
 
-// Listen opens a proxy on an address of the loopback network that leads to a target.
+// Listen opens a proxy on a loopback address that forwards connections to a target.
 func Listen(address, target string, seed uint64) (*Proxy, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -91,7 +91,7 @@
 	return p, nil
 }
 
-// Address is where the proxy listens.
+// Address returns the address that the proxy listens on.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
 // Add puts a fault in force.
@@ -101,21 +101,21 @@
 	p.faults = append(p.faults, f)
 }
 
-// ConnToTarget finds an open connection by the address from which the target sees it, nil for none.
+// ConnToTarget returns the open connection that the target accepted from the given remote address, or nil.
 func (p *Proxy) ConnToTarget(address net.Addr) *Connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.byTarget[address.String()]
 }
 
-// ConnFromClient finds the newest connection by its client's address. It is nil for one that the target has not taken.
+// ConnFromClient returns the newest connection from the given client address, or nil if the target did not accept it.
 func (p *Proxy) ConnFromClient(address net.Addr) *Connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.byClient[address.String()]
 }
 
-// FaultCount is how many pieces faults have struck.
+// FaultCount returns the number of chunks that had a fault injected.
 func (p *Proxy) FaultCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -143,18 +143,18 @@
 	}
 }
 
-// relay carries one connection until both directions have ended.
-func (p *Proxy) relay(near *net.TCPConn) {
+// relay forwards one connection until both directions are closed.
+func (p *Proxy) relay(client *net.TCPConn) {
 	p.mu.Lock()
-	delete(p.byClient, near.RemoteAddr().String()) // of an earlier connection from that address
+	delete(p.byClient, client.RemoteAddr().String()) // an earlier connection from the same address
 	p.mu.Unlock()
-	far, err := net.Dial("tcp", p.target)
+	target, err := net.Dial("tcp", p.target)
 	if err != nil {
-		near.SetLinger(0)
-		near.Close()
+		client.SetLinger(0)
+		client.Close()
 		return
 	}
-	c := &Connection{proxy: p, client: near, target: far.(*net.TCPConn)}
+	c := &Connection{proxy: p, client: client, target: target.(*net.TCPConn)}
 	if !p.register(c) {
 		c.reset()
 		return
@@ -168,7 +168,7 @@
 	c.client.Close()
 	c.target.Close()
 	delete(p.open, c)
-	if address := c.target.LocalAddr().String(); p.byTarget[address] == c { // the port will be another connection's
+	if address := c.target.LocalAddr().String(); p.byTarget[address] == c { // the port may be reused by another connection
 		delete(p.byTarget, address)
 	}
 }
@@ -185,13 +185,14 @@
 	return true
 }
 
-// drawFault picks the fault that strikes a piece, if any, and its delay.
-func (p *Proxy) drawFault(d Direction, piece int) (f Fault, delay time.Duration, strikes bool) {
+// drawFault returns the fault to inject into a chunk and its delay, and false for none.
+func (p *Proxy) drawFault(d Direction, chunk int) (f Fault, delay time.Duration, found bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
 	for _, f := range p.faults {
-		if f.Direction != d || piece < f.FirstChunk || (!f.Until.IsZero() && now.After(f.Until)) || p.random.Float64() >= f.Probability {
+		if f.Direction != d || chunk < f.FirstChunk || (!f.Until.IsZero() && now.After(f.Until)) ||
+			p.random.Float64() >= f.Probability {
 			continue
 		}
 		p.faulted++
@@ -216,13 +217,13 @@
 	client, target *net.TCPConn
 	disturbed      atomic.Bool
 
-	requestsEnded atomic.Bool // the client sends nothing more
+	requestsEnded atomic.Bool // the client has closed its sending direction
 }
 
-// Disturbed tells whether a fault has struck the connection. Nil counts as undisturbed.
+// Disturbed reports whether a fault was injected into the connection. It returns false for nil.
 func (c *Connection) Disturbed() bool { return c != nil && c.disturbed.Load() }
 
-// reset ends both sides at once.
+// reset resets the connections on both sides.
 func (c *Connection) reset() {
 	c.client.SetLinger(0)
 	c.target.SetLinger(0)
@@ -236,13 +237,13 @@
 	direction  Direction
 	from, to   *net.TCPConn
 	chunks     int
-	pending    []byte // held for the next piece
+	pending    []byte // held back by a Merge fault
 
-	mu    sync.Mutex // orders writes: repeated pieces go out between others
+	mu    sync.Mutex // serializes writes, because repeated chunks are sent from timers
 	ended bool
 }
 
-// run carries pieces until the direction ends. What breaks on one side breaks on the other.
+// run forwards chunks until the direction is closed. A reset on one side resets the other.
 func (s *stream) run() {
 	buffer := make([]byte, maxChunk)
 	for {
@@ -256,7 +257,7 @@
 				s.connection.requestsEnded.Store(true)
 			}
 			s.closeWrite()
-			if s.direction == Requests && isReset(s.from) { // an answer on its way met the end
+			if s.direction == Requests && isReset(s.from) { // a response reached a socket that was already closed
 				s.connection.reset()
 			}
 			return
@@ -267,109 +268,108 @@
 	}
 }
 
-// forward sends one piece on. It tells false if the direction ends with it.
+// forward forwards one chunk. It returns false if the direction is closed afterwards.
 func (s *stream) forward(read []byte) bool {
 	s.chunks++
-	piece := append(s.pending, read...)
+	chunk := append(s.pending, read...)
 	s.pending = nil
-	fault, delay, strikes := s.connection.proxy.drawFault(s.direction, s.chunks)
-	if !strikes {
-		return s.write(piece)
+	fault, delay, found := s.connection.proxy.drawFault(s.direction, s.chunks)
+	if !found {
+		return s.write(chunk)
 	}
 	s.connection.disturbed.Store(true)
 	switch fault.Kind {
 	case Repeat:
-		return s.repeat(piece, delay)
+		return s.repeat(chunk, delay)
 	case Hold:
 		time.Sleep(delay)
 	case Split:
-		at := s.connection.proxy.randomIndex(len(piece))
-		if !s.write(piece[:at]) {
+		at := s.connection.proxy.randomIndex(len(chunk))
+		if !s.write(chunk[:at]) {
 			return false
 		}
 		time.Sleep(delay)
-		piece = piece[at:]
+		chunk = chunk[at:]
 	case Merge:
-		s.pending = append([]byte(nil), piece...)
+		s.pending = append([]byte(nil), chunk...)
 		s.merge(delay)
 		return true
 	case Truncate:
-		s.write(piece[:s.connection.proxy.randomIndex(len(piece))])
+		s.write(chunk[:s.connection.proxy.randomIndex(len(chunk))])
 		s.closeWrite()
 		return false
 	case Drip:
-		return s.drip(piece, delay)
+		return s.drip(chunk, delay)
 	case Alter:
-		piece = append([]byte(nil), piece...)
-		piece[s.connection.proxy.randomIndex(len(piece))] ^= 0x01
+		chunk = append([]byte(nil), chunk...)
+		chunk[s.connection.proxy.randomIndex(len(chunk))] ^= 0x01
 	case Reset:
 		s.connection.reset()
 		return false
 	case HalfClose:
-		s.write(piece)
+		s.write(chunk)
 		s.closeWrite()
 		return false
 	}
-	return s.write(piece)
+	return s.write(chunk)
 }
 
-// repeat sends a piece twice, in one write where there is no delay.
-func (s *stream) repeat(piece []byte, delay time.Duration) bool {
-	copied := append([]byte(nil), piece...)
+// repeat sends a chunk twice, in one write if there is no delay.
+func (s *stream) repeat(chunk []byte, delay time.Duration) bool {
+	copied := append([]byte(nil), chunk...)
 	if delay == 0 {
 		return s.write(append(copied, copied...))
 	}
-	if !s.write(piece) {
+	if !s.write(chunk) {
 		return false
 	}
 	time.AfterFunc(delay, func() { s.write(copied) })
 	return true
 }
 
-// merge sends what waits for the next piece if none comes in time.
+// merge sends the pending chunk together with the next one, or alone if none arrives within the delay.
 func (s *stream) merge(delay time.Duration) {
 	s.from.SetReadDeadline(time.Now().Add(delay))
 	buffer := make([]byte, maxChunk)
 	n, _ := s.from.Read(buffer)
 	s.from.SetReadDeadline(time.Time{})
-	piece := append(s.pending, buffer[:n]...)
+	chunk := append(s.pending, buffer[:n]...)
 	s.pending = nil
-	s.write(piece)
+	s.write(chunk)
 }
 
-func (s *stream) drip(piece []byte, over time.Duration) bool {
-	rest := over / time.Duration(len(piece))
-	for i := range piece {
-		if !s.write(piece[i : i+1]) {
+func (s *stream) drip(chunk []byte, over time.Duration) bool {
+	pause := over / time.Duration(len(chunk))
+	for i := range chunk {
+		if !s.write(chunk[i : i+1]) {
 			return false
 		}
-		time.Sleep(rest)
+		time.Sleep(pause)
 	}
 	return true
 }
 
-func (s *stream) write(piece []byte) bool {
+func (s *stream) write(chunk []byte) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ended {
 		return false
 	}
-	if _, err := s.to.Write(piece); err != nil {
+	if _, err := s.to.Write(chunk); err != nil {
 		s.connection.reset()
 		return false
 	}
 	if s.direction == Responses && s.connection.requestsEnded.Load() && isReset(s.to) {
-		s.connection.reset() // the client has closed: the answer reached nobody
+		s.connection.reset() // the client has closed the connection and does not read the response
 		return false
 	}
 	return true
 }
 
-// resetDelay is more than it takes on loopback, on a busy machine too, until what was written to a closed socket comes
-// back as a reset.
+// resetDelay is longer than a write to a closed socket takes on loopback to cause a reset, even on a busy machine.
 const resetDelay = 20 * time.Millisecond
 
-// isReset tells whether the other side of a connection has reset it.
+// isReset reports whether the peer has reset a connection.
 func isReset(conn *net.TCPConn) (reset bool) {
 	time.Sleep(resetDelay)
 	raw, err := conn.SyscallConn()
@@ -383,7 +383,7 @@
 	return reset
 }
 
-// closeWrite tells the other side that nothing more comes in this direction.
+// closeWrite closes the direction towards the receiving side.
 func (s *stream) closeWrite() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/lab/faultproxy/faultproxy_test.go
+++ b/lab/faultproxy/faultproxy_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Guards against a proxy that disturbs nothing, or more than it was told.
-func TestEachFaultDoesWhatItSays(t *testing.T) {
+// Guards against a proxy that injects no fault, or a different one than requested.
+func TestEachFaultIsInjected(t *testing.T) {
 	const sent = "0123456789"
 	for kind, want := range map[Kind]func(got []byte) bool{
 		"":        func(got []byte) bool { return string(got) == sent },
@@ -32,7 +32,7 @@
 			if err != nil {
 				return
 			}
-			io.ReadFull(conn, make([]byte, 1)) // its client is connected, and does not meet a reset before
+			io.ReadFull(conn, make([]byte, 1)) // waits until the client is connected, so that a reset comes after that
 			io.WriteString(conn, sent)
 			time.Sleep(100 * time.Millisecond)
 			conn.Close()
@@ -62,7 +62,7 @@
 	}
 }
 
-// Guards against datagrams that pass undisturbed, or reach nobody.
+// Guards against a proxy that forwards all datagrams undisturbed, or none.
 func TestDatagramsAreRepeatedAndDropped(t *testing.T) {
 	receiver, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -88,19 +88,19 @@
 		time.Sleep(time.Millisecond)
 	}
 	receiver.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
-	for one := make([]byte, 1); ; {
-		if _, err := receiver.Read(one); err != nil {
+	for datagram := make([]byte, 1); ; {
+		if _, err := receiver.Read(datagram); err != nil {
 			break
 		}
-		counts[one[0]]++
+		counts[datagram[0]]++
 	}
-	twice := 0
+	repeated := 0
 	for _, n := range counts {
 		if n > 1 {
-			twice++
+			repeated++
 		}
 	}
-	if len(counts) == 0 || len(counts) == sent || twice == 0 {
-		t.Errorf("%d of %d came, %d of them twice", len(counts), sent, twice)
+	if len(counts) == 0 || len(counts) == sent || repeated == 0 {
+		t.Errorf("%d of %d datagrams received, %d of them twice", len(counts), sent, repeated)
 	}
 }
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -13,7 +13,7 @@
 
 var program string
 
-// TestMain builds the delivery node that the runs are played with.
+// TestMain builds the delivery node that the tests run.
 func TestMain(m *testing.M) {
 	sysfault.ExecUnderFilterIfRequested()
 	folder, err := os.MkdirTemp("", "soak-")
@@ -32,7 +32,7 @@
 	os.Exit(code)
 }
 
-// Guards against requests that are lost, ended twice or sent after their end while faults of the machine, the
+// Guards against requests that are lost, completed twice or sent after their final answer while faults of the machine, the
 // endpoints and discovery overlap.
 func TestRulesAreKeptWhileFaultsOverlap(t *testing.T) {
 	for _, run := range []Options{
@@ -41,41 +41,42 @@
 		{Seed: 4, Nodes: 4, Length: 8 * time.Second, Only: groupSockets},
 		{Seed: 3, Nodes: 4, Length: 6 * time.Second, Only: groupSlow},
 	} {
-		play(t, run)
+		runSoak(t, run)
 	}
 }
 
-// Guards against an oracle that sees nothing: each of these ledgers breaks exactly one rule.
-func TestTheLedgerSeesEachBrokenRule(t *testing.T) {
+// Guards against checks that overlook violations. Each of these histories breaks one rule, or none where a fault excuses
+// what it shows.
+func TestChecksDetectEachViolation(t *testing.T) {
 	const second = time.Second
 	accepted := func() *request {
 		return &request{id: "x", class: Once, sentAt: second, answeredAt: second, status: 202, deadline: 3 * second, deliveredAt: 2 * second,
 			attempts: []attempt{{at: second, ran: true}}}
 	}
 	for _, c := range []struct {
-		name  string
-		rule  Rule
-		spoil func(r *request, l *history)
+		name   string
+		rule   Rule
+		change func(r *request, h *history)
 	}{
-		{"all is well", "", func(*request, *history) {}},
-		{"no complete answer", RuleAnswer, func(r *request, _ *history) { r.status, r.responseErr = 0, "cut off" }},
-		{"a wrong answer", RuleAnswer, func(r *request, _ *history) { r.status = 400 }},
-		{"no end", RuleFinal, func(r *request, _ *history) { r.deliveredAt = 0 }},
-		{"a late end", RuleFinal, func(r *request, _ *history) { r.deliveredAt, r.noticedAt = 0, 4*second }},
-		{"a late end, but writes failed until then", "", func(r *request, l *history) {
+		{"no violation", "", func(*request, *history) {}},
+		{"incomplete response", RuleAnswer, func(r *request, _ *history) { r.status, r.responseErr = 0, "incomplete response: unexpected EOF" }},
+		{"invalid status", RuleAnswer, func(r *request, _ *history) { r.status = 400 }},
+		{"no final answer", RuleFinal, func(r *request, _ *history) { r.deliveredAt = 0 }},
+		{"late final answer", RuleFinal, func(r *request, _ *history) { r.deliveredAt, r.noticedAt = 0, 4*second }},
+		{"late final answer, but writes failed until then", "", func(r *request, h *history) {
 			r.deliveredAt, r.noticedAt = 0, 4*second
-			l.writeOutages[0] = []interval{{2 * second, 4 * second}}
+			h.writeOutages[0] = []interval{{2 * second, 4 * second}}
 		}},
-		{"a late end, and no connection could be opened until then", RuleFinal, func(r *request, l *history) {
+		{"late final answer, and no connection could be opened until then", RuleFinal, func(r *request, h *history) {
 			r.deliveredAt, r.noticedAt = 0, 4*second
-			l.connectOutages[0] = []interval{{2 * second, 4 * second}}
+			h.connectOutages[0] = []interval{{2 * second, 4 * second}}
 		}},
-		{"a late end, but the platform had ended all connections and none could be opened", "", func(r *request, l *history) {
+		{"late final answer, but the platform had closed all connections and none could be opened", "", func(r *request, h *history) {
 			r.deliveredAt, r.noticedAt = 0, 4*second
-			l.connectOutages[0] = []interval{{2 * second, 4 * second}}
-			l.platformDisconnects = []time.Duration{3 * second}
+			h.connectOutages[0] = []interval{{2 * second, 4 * second}}
+			h.platformDisconnects = []time.Duration{3 * second}
 		}},
-		{"forwarded though refused", RuleAfterEnd, func(r *request, _ *history) { r.status = 503 }},
+		{"forwarded after its refusal", RuleAfterEnd, func(r *request, _ *history) { r.status = 503 }},
 		{"forwarded after its notice", RuleAfterEnd, func(r *request, _ *history) {
 			r.deliveredAt, r.noticedAt = 0, 2*second
 			r.attempts[0].at = 2*second + second/2
@@ -85,38 +86,38 @@
 			r.class = Keyed
 			r.attempts = append(r.attempts, attempt{at: 5 * second / 2})
 		}},
-		{"forwarded after a delivery that its node could not read before it died", "", func(r *request, l *history) {
+		{"forwarded after a delivery that its node could not read before it exited", "", func(r *request, h *history) {
 			r.class = Keyed
 			r.attempts = append(r.attempts, attempt{at: 5 * second / 2})
-			l.readOutages[0] = []interval{{second, 22 * second / 10}}
-			l.exits[0] = []time.Duration{23 * second / 10}
+			h.readOutages[0] = []interval{{second, 22 * second / 10}}
+			h.exits[0] = []time.Duration{23 * second / 10}
 		}},
-		{"forwarded after a delivery that its node had time to read and write down before it died", RuleAfterEnd,
-			func(r *request, l *history) {
+		{"forwarded after a delivery that its node had time to read and store before it exited", RuleAfterEnd,
+			func(r *request, h *history) {
 				r.class, r.deadline = Keyed, 4*second
 				r.attempts = append(r.attempts, attempt{at: 7 * second / 2})
-				l.readOutages[0] = []interval{{second, 22 * second / 10}}
-				l.exits[0] = []time.Duration{3 * second}
+				h.readOutages[0] = []interval{{second, 22 * second / 10}}
+				h.exits[0] = []time.Duration{3 * second}
 			}},
-		{"ran twice", RuleRepeat, func(r *request, _ *history) {
+		{"executed twice", RuleRepeat, func(r *request, _ *history) {
 			r.attempts = append(r.attempts, attempt{at: second + second/10, ran: true})
 		}},
-		{"ran again after its window", RuleRepeat, func(r *request, _ *history) {
+		{"executed again after its window", RuleRepeat, func(r *request, _ *history) {
 			r.class, r.deliveredAt = Keyed, 5*second/2
 			r.attempts = append(r.attempts, attempt{at: 5 * second / 2, ran: true})
 			r.attempts[0].at = second / 2
 		}},
 	} {
-		l := newHistory()
+		h := newHistory()
 		r := accepted()
-		l.ordered = []*request{r}
-		c.spoil(r, l)
-		l.check(keyedWindow)
+		h.ordered = []*request{r}
+		c.change(r, h)
+		h.check(keyedWindow)
 		switch {
-		case c.rule == "" && len(l.violations) > 0:
-			t.Errorf("%s: %v", c.name, l.violations)
-		case c.rule != "" && (len(l.violations) == 0 || l.violations[0].Rule != c.rule):
-			t.Errorf("%s: %v, want %s", c.name, l.violations, c.rule)
+		case c.rule == "" && len(h.violations) > 0:
+			t.Errorf("%s: %v", c.name, h.violations)
+		case c.rule != "" && (len(h.violations) == 0 || h.violations[0].Rule != c.rule):
+			t.Errorf("%s: %v, want %s", c.name, h.violations, c.rule)
 		}
 	}
 }
