--- a/lab/sysfault/launch.go
+++ b/lab/sysfault/launch.go
@@ -1,8 +1,8 @@
-// Package sysfault runs a program of this repository as a child process whose system calls can be made to fail.
+// Package sysfault runs a program as a child process and injects faults into its system calls.
 //
-// The child installs a seccomp filter on itself that hands a few kinds of system calls to its parent, which lets
-// each go on, fails it with an errno, shortens it or delays it. No special rights are needed, and nothing outside
-// the child is touched. It works on Linux on amd64.
+// The child installs a seccomp filter that notifies its parent of certain system calls. The parent lets each of them
+// proceed, fails it with an errno, shortens it or delays it. This needs no privileges and affects no other process. It
+// works only on Linux on amd64.
 package sysfault
 
 import (
@@ -17,13 +17,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// launcherEnv marks a process that is to install the filter and become the program named in its arguments.
+// launcherEnv tells a process to install the filter and execute the program named in its arguments.
 const launcherEnv = "JASPERSILL_LAB_UNDER_FILTER"
 
-const parentSocket = 3 // where the launcher finds its socket to the parent
+const parentSocket = 3 // the launcher's descriptor of the socket to its parent
 
-// ExecUnderFilterIfRequested turns this process into the program in its arguments when Command started it. A program
-// that calls Command calls this first in its main function.
+// ExecUnderFilterIfRequested executes the program named in the arguments under the filter if Start started this process,
+// and returns otherwise. A program that calls Start has to call it first in its main function.
 func ExecUnderFilterIfRequested() {
 	if os.Getenv(launcherEnv) == "" {
 		return
@@ -37,26 +37,27 @@
 	runtime.LockOSThread()
 	os.Unsetenv(launcherEnv)
 	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
-		return fmt.Errorf("no new privileges: %w", err)
+		return fmt.Errorf("set no_new_privs: %w", err)
 	}
-	signal.Ignore(syscall.SIGHUP) // as a shell does that is told to before it becomes the program
+	signal.Ignore(syscall.SIGHUP) // as under nohup: the program starts with SIGHUP ignored
 	environment := os.Environ()
 	arguments := os.Args[1:]
 	listener, err := installFilter()
 	if err != nil {
-		return fmt.Errorf("install the filter: %w", err)
+		return fmt.Errorf("install the seccomp filter: %w", err)
 	}
 	if err := unix.Sendmsg(parentSocket, []byte{0}, unix.UnixRights(listener), nil, 0); err != nil {
-		return fmt.Errorf("hand over the filter: %w", err)
+		return fmt.Errorf("send the seccomp listener to the parent: %w", err)
 	}
 	unix.Close(listener)
 	unix.Close(parentSocket)
 	return syscall.Exec(arguments[0], arguments, environment)
 }
 
-// installFilter hands the calls of trapped to whoever holds the descriptor it returns.
+// installFilter installs a seccomp filter for the calls in interceptedCalls. It returns the descriptor on which the
+// supervisor is notified of them.
 func installFilter() (int, error) {
-	const (
+	const ( // in struct seccomp_data
 		offsetOfNumber       = 0
 		offsetOfArchitecture = 4
 	)
@@ -86,7 +87,7 @@
 	return int(listener), nil
 }
 
-// Start starts a command, which must not have extra files, under a new supervisor.
+// Start starts a command under a new supervisor. The command must not have ExtraFiles.
 func Start(command *exec.Cmd) (*Supervisor, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -97,7 +98,7 @@
 		return nil, err
 	}
 	defer unix.Close(pair[0])
-	childSide := os.NewFile(uintptr(pair[1]), "hand-over")
+	childSide := os.NewFile(uintptr(pair[1]), "seccomp-socket")
 	defer childSide.Close()
 	command.Args = append([]string{self, command.Path}, command.Args[1:]...)
 	command.Path = self
@@ -114,7 +115,7 @@
 	if err != nil {
 		command.Process.Kill()
 		command.Wait()
-		return nil, fmt.Errorf("receive the filter: %w", err)
+		return nil, fmt.Errorf("receive the seccomp listener: %w", err)
 	}
 	s := &Supervisor{listener: listener, done: make(chan struct{})}
 	go s.run()
@@ -132,7 +133,7 @@
 		return 0, err
 	}
 	if len(messages) != 1 {
-		return 0, fmt.Errorf("the launcher ended early: %d control messages", len(messages))
+		return 0, fmt.Errorf("launcher exited early: got %d control messages, want 1", len(messages))
 	}
 	descriptors, err := unix.ParseUnixRights(&messages[0])
 	if err != nil {
--- a/lab/sysfault/supervisor.go
+++ b/lab/sysfault/supervisor.go
@@ -14,10 +14,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Call is a kind of system call that can be made to fail.
+// Call is a kind of system call that faults can be injected into.
 type Call string
 
-// The kinds of calls. A read or write is told by what its descriptor stands for.
+// The kinds of calls. Reads and writes are distinguished by what their descriptor refers to.
 const (
 	FileWrite    Call = "file-write"
 	FileRead     Call = "file-read"
@@ -48,17 +48,17 @@
 	unix.SYS_CONNECT:   Connect,
 }
 
-// Fault is what happens to calls of one kind while it is in force.
+// Fault describes what happens to calls of one kind until a given time.
 type Fault struct {
 	Call        Call
-	Errno       syscall.Errno // 0 with Delay for a call that is only slow
-	Probability float64       // of the calls, 0 for all
-	Short       bool          // a write goes out in part before the next one fails
+	Errno       syscall.Errno // 0 for a call that is only delayed
+	Probability float64       // for each call; 0 means every call
+	Short       bool          // half of the first write is written, and the next call fails
 	Delay       time.Duration
 	Until       time.Time
 }
 
-// Supervisor decides on the calls of one child process.
+// Supervisor injects faults into the system calls of one child process.
 type Supervisor struct {
 	listener int
 	done     chan struct{}
@@ -69,24 +69,25 @@
 	faults []Fault
 }
 
-// LimitFileFaults names the folder to whose files file faults are limited: no program can load without reading others.
+// LimitFileFaults sets the folder whose files are subject to file faults. Without a folder there are no file faults,
+// because a program has to read other files to load.
 func (s *Supervisor) LimitFileFaults(folder string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.folder = folder
 }
 
-// Add puts a fault in force until its time is up.
+// Add puts a fault in force until its Until time.
 func (s *Supervisor) Add(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = append(s.faults, f)
 }
 
-// FaultCount counts the calls that were failed, shortened or delayed.
+// FaultCount returns the number of calls that were failed, shortened or delayed.
 func (s *Supervisor) FaultCount() int64 { return s.faulted.Load() }
 
-// Wait returns once the child has ended.
+// Wait waits until the child has exited.
 func (s *Supervisor) Wait() { <-s.done }
 
 // notification and response are the kernel's seccomp_notif and seccomp_notif_resp.
@@ -125,7 +126,7 @@
 		}
 		var n notification
 		if err := s.ioctl(unix.SECCOMP_IOCTL_NOTIF_RECV, unsafe.Pointer(&n)); err != nil {
-			continue // the call ended meanwhile
+			continue // the call was interrupted or its thread exited
 		}
 		s.decide(&n)
 	}
@@ -145,7 +146,7 @@
 	s.respond(response{id: id, flags: unix.SECCOMP_USER_NOTIF_FLAG_CONTINUE})
 }
 
-// decide lets a call go on or does to it what a fault in force says.
+// decide lets a call proceed or injects the fault in force.
 func (s *Supervisor) decide(n *notification) {
 	fault := s.faultFor(n)
 	if fault == nil {
@@ -192,7 +193,7 @@
 	return nil
 }
 
-// classify tells what a call does; the lock is held.
+// classify returns the kind of a call. The caller holds s.mu.
 func (s *Supervisor) classify(n *notification) Call {
 	call := interceptedCalls[int(n.number)]
 	switch call {
@@ -218,11 +219,11 @@
 	return call
 }
 
-// readString reads a string that ends with a zero byte out of another process.
+// readString reads a NUL-terminated string from the memory of another process.
 func readString(pid int, address uintptr) string {
 	text := make([]byte, 0, 256)
 	for len(text) < unix.PathMax {
-		part := make([]byte, 256-int(address%256)) // never across a page
+		part := make([]byte, 256-int(address%256)) // never crosses a page boundary
 		local := []unix.Iovec{{Base: &part[0], Len: uint64(len(part))}}
 		remote := []unix.RemoteIovec{{Base: address, Len: len(part)}}
 		size, err := unix.ProcessVMReadv(pid, local, remote, 0)
@@ -238,7 +239,8 @@
 	return string(text)
 }
 
-// shorten writes half of what a call is to write in the child's place. The next call of the kind fails.
+// shorten writes the first half of a write call's data on behalf of the child and reports the short count to it. Later
+// calls are no longer shortened, so that the next one fails.
 func (s *Supervisor) shorten(n *notification) bool {
 	size := int(n.arguments[2]) / 2
 	if n.number != unix.SYS_WRITE || size == 0 {
@@ -268,7 +270,7 @@
 	return true
 }
 
-// duplicateDescriptor takes a copy of a descriptor of another process.
+// duplicateDescriptor duplicates a descriptor of another process into this one.
 func duplicateDescriptor(thread, descriptor int) (int, error) {
 	process, err := unix.PidfdOpen(threadGroupLeader(thread), 0)
 	if err != nil {
@@ -278,7 +280,7 @@
 	return unix.PidfdGetfd(process, descriptor, 0)
 }
 
-// threadGroupLeader is the process that a thread belongs to.
+// threadGroupLeader returns the ID of the process that a thread belongs to.
 func threadGroupLeader(thread int) int {
 	status, err := os.ReadFile("/proc/" + strconv.Itoa(thread) + "/status")
 	if err != nil {
