--- a/lab/soak/client.go
+++ b/lab/soak/client.go
@@ -41,12 +41,12 @@
 	lingerTime            = 1200 * time.Millisecond // longer than the proxy holds back a chunk
 )
 
-// run sends requests at random intervals, whose mean is interval, until ctx ends. isAccepting reports whether the platform
-// directs new connections to the node.
-func (c *client) run(ctx context.Context, interval time.Duration, isAccepting func() bool) {
+// run sends requests at random intervals until ctx ends. isAccepting reports whether the platform directs new connections
+// to the node.
+func (c *client) run(ctx context.Context, meanInterval time.Duration, isAccepting func() bool) {
 	defer c.closeConn()
 	for ctx.Err() == nil {
-		sleep(ctx, time.Duration(c.random.Int64N(int64(2*interval))))
+		sleep(ctx, time.Duration(c.random.Int64N(int64(2*meanInterval))))
 		if ctx.Err() != nil {
 			return
 		}
--- a/lab/soak/endpoint.go
+++ b/lab/soak/endpoint.go
@@ -66,8 +66,8 @@
 	retryWaits  map[int]retryWait // by node
 	sawOutage   map[int]bool      // nodes that sent calls during the last outage
 	recoveredAt time.Duration
-	arrivals    []arrival // calls since recoveredAt
-	drains      map[int]drainNotice
+	arrivals    []arrival           // calls since recoveredAt
+	drains      map[int]drainNotice // by node
 }
 
 // retryWait is a Retry-After sent to a node, and the connection that carried it. On a disturbed connection it may not have
