--- a/lab/soak/plan.go
+++ b/lab/soak/plan.go
@@ -288,7 +288,8 @@
 	r.processes[node].addFault(f)
 }
 
-func (r *run) restartWithFaults(ctx context.Context, node int, faults []sysfault.Fault, duration time.Duration, stop func(*process)) {
+func (r *run) restartWithFaults(ctx context.Context, node int, faults []sysfault.Fault, duration time.Duration,
+	stop func(*process)) {
 	for i := range faults {
 		r.history.logAction("node %d: fault during its next start: %s: %s for %v", node, faults[i].Call, faults[i].Errno.Error(),
 			duration.Round(time.Millisecond))
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -50,8 +50,8 @@
 func TestChecksDetectEachViolation(t *testing.T) {
 	const second = time.Second
 	accepted := func() *request {
-		return &request{id: "x", class: Once, sentAt: second, answeredAt: second, status: 202, deadline: 3 * second, deliveredAt: 2 * second,
-			attempts: []attempt{{at: second, ran: true}}}
+		return &request{id: "x", class: Once, sentAt: second, answeredAt: second, status: 202, deadline: 3 * second,
+			deliveredAt: 2 * second, attempts: []attempt{{at: second, ran: true}}}
 	}
 	for _, c := range []struct {
 		name   string
@@ -59,7 +59,9 @@
 		change func(r *request, h *history)
 	}{
 		{"no violation", "", func(*request, *history) {}},
-		{"incomplete response", RuleAnswer, func(r *request, _ *history) { r.status, r.responseErr = 0, "incomplete response: unexpected EOF" }},
+		{"incomplete response", RuleAnswer, func(r *request, _ *history) {
+			r.status, r.responseErr = 0, "incomplete response: unexpected EOF"
+		}},
 		{"invalid status", RuleAnswer, func(r *request, _ *history) { r.status = 400 }},
 		{"no final answer", RuleFinal, func(r *request, _ *history) { r.deliveredAt = 0 }},
 		{"late final answer", RuleFinal, func(r *request, _ *history) { r.deliveredAt, r.noticedAt = 0, 4*second }},
@@ -81,7 +83,10 @@
 			r.deliveredAt, r.noticedAt = 0, 2*second
 			r.attempts[0].at = 2*second + second/2
 		}},
-		{"forwarded after its deadline", RuleAfterEnd, func(r *request, _ *history) { r.attempts[0].at, r.deliveredAt = 4*second, 0; r.noticedAt = 3 * second }},
+		{"forwarded after its deadline", RuleAfterEnd, func(r *request, _ *history) {
+			r.attempts[0].at, r.deliveredAt = 4*second, 0
+			r.noticedAt = 3 * second
+		}},
 		{"forwarded after its delivery", RuleAfterEnd, func(r *request, _ *history) {
 			r.class = Keyed
 			r.attempts = append(r.attempts, attempt{at: 5 * second / 2})
