--- a/cmd/jaspersill-lab/real.go
+++ b/cmd/jaspersill-lab/real.go
@@ -15,8 +15,8 @@
 	"github.com/spf13/cobra"
 
 	"jaspersill/lab/arrival"
+	"jaspersill/lab/emulator"
 	"jaspersill/lab/load"
-	"jaspersill/lab/loopback"
 	"jaspersill/lab/report"
 	"jaspersill/lab/run"
 	"jaspersill/lab/scenario"
@@ -108,12 +108,12 @@
 			return result, err
 		}
 	}
-	s, err := loopback.Open(day, seed, 0, nil)
+	s, err := emulator.Open(day, seed, 0, nil)
 	if err != nil {
 		return result, err
 	}
 	defer s.Close()
-	nodes, err := loopback.Configure(s, folder, "", 0, 1)
+	nodes, err := emulator.ConfigureNodes(s, folder, "", 0, 1)
 	if err == nil {
 		err = nodes.Start(ctx, r.program)
 	}
@@ -121,8 +121,8 @@
 		return result, err
 	}
 	times := hdrhistogram.New(1e5, 1e12, 3)
-	s.Latency(func(_ int, took int64) { times.RecordValue(max(1e5, took)) })
-	result.Sum = s.Play(ctx, nodes, arrival.New(day, seed), seed)
+	s.OnDelivery(func(_ int, took int64) { times.RecordValue(max(1e5, took)) })
+	result.Sum = s.Run(ctx, nodes, arrival.New(day, seed), seed)
 	nodes.Stop()
 	for i, q := range run.Percentiles {
 		result.Latency[i] = float64(times.ValueAtQuantile(q)) / 1e6
@@ -150,13 +150,13 @@
 					fmt.Fprintf(w, time.Now().Format("15:04:05.000 ")+format+"\n", args...)
 				}
 			}
-			s, err := loopback.Open(day, seed, 0, tell)
+			s, err := emulator.Open(day, seed, 0, tell)
 			if err != nil {
 				return err
 			}
 			defer s.Close()
-			s.Anyone()
-			nodes, err := loopback.Configure(s, folder, listen, 0, 1)
+			s.AcceptUnknownEvents()
+			nodes, err := emulator.ConfigureNodes(s, folder, listen, 0, 1)
 			if err != nil {
 				return err
 			}
@@ -171,7 +171,7 @@
 					nodes.Address(i),
 				)
 			}
-			s.Begin(c.Context(), nil)
+			s.Start(c.Context(), nil)
 			<-c.Context().Done()
 			return nil
 		}}
@@ -222,18 +222,18 @@
 				plan.Heard = heard.hear
 			}
 			if own = len(args) == 0; own {
-				s, err := loopback.Open(day, 1, 0, nil)
+				s, err := emulator.Open(day, 1, 0, nil)
 				if err != nil {
 					return err
 				}
 				defer s.Close()
-				s.Anyone()
+				s.AcceptUnknownEvents()
 				folder, err := os.MkdirTemp("", "lab-")
 				if err != nil {
 					return err
 				}
 				defer os.RemoveAll(folder)
-				nodes, err := loopback.Configure(s, folder, "", 0, cores)
+				nodes, err := emulator.ConfigureNodes(s, folder, "", 0, cores)
 				if err == nil {
 					err = nodes.Start(c.Context(), program)
 				}
@@ -244,7 +244,7 @@
 				time.Sleep(300 * time.Millisecond) // its list is there
 				plan.Address = nodes.Address(0)
 				defer func() {
-					fmt.Fprintf(c.OutOrStdout(), "the node: %s\n", usage(nodes.Pid(0)))
+					fmt.Fprintf(c.OutOrStdout(), "the node: %s\n", usage(nodes.PID(0)))
 				}()
 			} else {
 				plan.Address = args[0]
--- a/lab/loopback/node_bench_test.go
+++ b/lab/emulator/node_bench_test.go
@@ -1,4 +1,4 @@
-package loopback
+package emulator
 
 import (
 	"context"
@@ -26,8 +26,8 @@
 		b.Fatal(err)
 	}
 	defer s.Close()
-	s.Anyone()
-	text, err := json.Marshal(Told(day, 0))
+	s.AcceptUnknownEvents()
+	text, err := json.Marshal(NodeSettings(day, 0))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -36,7 +36,7 @@
 		b.Fatal(err)
 	}
 	told.Directory.RequiresWatch = true
-	listen, err := free("tcp")
+	listen, err := freeAddress("tcp")
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 		told.Fleet,
 		0,
 	)
-	n, err := node.Open(node.Config{Listen: listen, Directory: s.Directory(0), StateFolder: b.TempDir()},
+	n, err := node.Open(node.Config{Listen: listen, Directory: s.DirectoryAddress(0), StateFolder: b.TempDir()},
 		node.Limits{DiskMB: 64, Sockets: 4096}, node.ClientTimeouts{}, told, module)
 	if err != nil {
 		b.Fatal(err)
--- a/lab/policy/policy.go
+++ b/lab/policy/policy.go
@@ -285,7 +285,7 @@
 		}
 	}
 	careful := t.Safety == delivery.NonIdempotent && e.deadline-p.now > t.MaxAge/2
-	best := p.world.Partners().Best(p.now, e.dest, p.world.Work(p.node, evt), careful,
+	best := p.world.Partners().BestEndpoint(p.now, e.dest, p.world.Work(p.node, evt), careful,
 		func(ep int32) bool { return p.world.Linked(p.node, ep) })
 	if best < 0 {
 		return -1
--- a/lab/run/run.go
+++ b/lab/run/run.go
@@ -97,7 +97,7 @@
 		})
 	}
 	r.Sum = w.Run()
-	r.Stats, r.Falls, r.Latency = w.Stats, len(w.Partners().Falls), percentiles(all)
+	r.Stats, r.Falls, r.Latency = w.Stats, len(w.Partners().Overloads), percentiles(all)
 	for i, u := range l.Utility() {
 		if i < len(r.Seconds) {
 			r.Seconds[i].Utility = u
--- a/lab/world/calls.go
+++ b/lab/world/calls.go
@@ -2,8 +2,8 @@
 
 import (
 	"jaspersill/delivery"
+	"jaspersill/lab/destination"
 	"jaspersill/lab/ledger"
-	"jaspersill/lab/partner"
 )
 
 // newCall opens a call of a node to an endpoint.
@@ -18,7 +18,7 @@
 	c := &w.calls[i]
 	*c = call{node: s.me, nodeLife: s.life, ep: ep, own: own, sends: c.sends[:0], began: w.now, used: true}
 	w.Stats.Calls++
-	w.partners.Coming(ep, 1)
+	w.partners.AddInTransit(ep, 1)
 	return i
 }
 
@@ -52,16 +52,16 @@
 	}
 	w.Stats.Links++
 	switch w.partners.Connect(w.now, c.ep) {
-	case partner.Connected:
+	case destination.Connected:
 		c.linked, c.epoch = true, p.Epoch
 		w.planCall(w.now+3*delay+int64(w.day.Partners[p.Kind].Handshake), reaches, i)
-	case partner.NotConnected:
-		w.partners.Coming(c.ep, -1)
-		c.fate = partner.Fate{How: delivery.ConnectFailed}
+	case destination.ConnectRefused:
+		w.partners.AddInTransit(c.ep, -1)
+		c.fate = destination.CallResult{Outcome: delivery.ConnectFailed}
 		w.planCall(w.now+2*delay, answers, i)
-	case partner.NoSign:
-		w.partners.Coming(c.ep, -1)
-		c.fate = partner.Fate{How: delivery.ConnectFailed}
+	case destination.ConnectUnanswered:
+		w.partners.AddInTransit(c.ep, -1)
+		c.fate = destination.CallResult{Outcome: delivery.ConnectFailed}
 		w.planCall(w.now+connectMost, answers, i)
 	}
 }
@@ -70,13 +70,13 @@
 func (w *World) reach(i int32) {
 	c := &w.calls[i]
 	c.pending--
-	w.partners.Coming(c.ep, -1)
+	w.partners.AddInTransit(c.ep, -1)
 	if c.over { // it was called off on the way; closed before its last byte came, it did not run
 		w.free(i)
 		return
 	}
 	if c.epoch != w.partners.Endpoints[c.ep].Epoch { // its process died meanwhile
-		c.fate, c.reached = partner.Fate{How: delivery.Reset}, true
+		c.fate, c.reached = destination.CallResult{Outcome: delivery.Reset}, true
 		w.planCall(w.now+int64(w.day.Fleet.Delay), answers, i)
 		return
 	}
@@ -87,38 +87,38 @@
 	}
 	c.came = w.now
 	work += work / 4 * int64(len(c.sends)-1) // several in one call take less than each alone
-	falls := len(w.partners.Falls)
-	fate := w.partners.Arrive(
+	falls := len(w.partners.Overloads)
+	fate := w.partners.StartCall(
 		w.now,
 		c.ep,
-		w.seats[c.node].informed(w.partners.LaneOf(c.ep)),
+		w.seats[c.node].informed(w.partners.GroupOf(c.ep)),
 		work,
 		len(c.sends),
 	)
 	c = &w.calls[i]
 	c.fate, c.ran = fate, fate.Ran
-	if len(w.partners.Falls) > falls {
+	if len(w.partners.Overloads) > falls {
 		c.ran = false
-		w.fell(w.partners.Falls[len(w.partners.Falls)-1])
+		w.fell(w.partners.Overloads[len(w.partners.Overloads)-1])
 		return
 	}
 	switch {
-	case !c.fate.Answers(): // until its node gives it up
-	case c.fate.Ran || c.fate.Done > w.now:
+	case !c.fate.Answered(): // until its node gives it up
+	case c.fate.Ran || c.fate.DoneAt > w.now:
 		for n := range c.sends {
 			c.sends[n].known = c.fate.Ran && w.ledger.Reach(w.now, c.sends[n].evt)
 		}
-		w.planCall(c.fate.Done, done, i)
+		w.planCall(c.fate.DoneAt, done, i)
 	default:
 		w.planCall(w.now+int64(w.day.Fleet.Delay), answers, i)
 	}
 }
 
 // fell tells the ledger that a destination was pushed over, and breaks the connections there.
-func (w *World) fell(f partner.Fall) {
+func (w *World) fell(f destination.Overload) {
 	w.ledger.Fell(w.now, f.Dest, f.Offered, f.Informed, f.Allowed)
 	w.note("fell", -1, f.Dest, int64(f.Offered))
-	w.reset(func(c *call) bool { return w.partners.LaneOf(c.ep) == f.Lane })
+	w.reset(func(c *call) bool { return w.partners.GroupOf(c.ep) == f.Group })
 }
 
 // reset breaks the connections of calls that are out.
@@ -126,7 +126,7 @@
 	for i := range w.calls {
 		c := &w.calls[i]
 		if c.used && !c.over && c.linked && which(c) {
-			c.fate = partner.Fate{How: delivery.Reset}
+			c.fate = destination.CallResult{Outcome: delivery.Reset}
 			c.reached = true
 			c.epoch = ^uint32(0)
 			w.planCall(w.now+int64(w.day.Fleet.Delay), answers, int32(i))
@@ -138,7 +138,7 @@
 func (w *World) finish(i int32) {
 	c := &w.calls[i]
 	c.pending--
-	runs, leaves := w.partners.Finish(c.ep, c.epoch)
+	runs, leaves := w.partners.FinishCall(c.ep, c.epoch)
 	if c.ran {
 		for _, o := range c.sends {
 			w.ledger.Run(w.now, c.came, o.evt, runs, o.known)
@@ -146,7 +146,7 @@
 		}
 	}
 	if leaves && !c.over && runs {
-		w.planCall(w.now+c.fate.After+int64(w.day.Fleet.Delay), answers, i)
+		w.planCall(w.now+c.fate.AnswerDelay+int64(w.day.Fleet.Delay), answers, i)
 		return
 	}
 	w.free(i)
@@ -168,12 +168,12 @@
 	}
 	c.over = true
 	f := &c.fate
-	lane := w.partners.LaneOf(c.ep)
-	s.saw(lane, c.began, f.How)
-	if f.How == delivery.Refused && f.Wait > 0 {
-		w.ledger.Wait(w.now, c.node, lane, f.Wait)
+	lane := w.partners.GroupOf(c.ep)
+	s.saw(lane, c.began, f.Outcome)
+	if f.Outcome == delivery.Refused && f.RetryAfter > 0 {
+		w.ledger.Wait(w.now, c.node, lane, f.RetryAfter)
 	}
-	if c.linked && (f.How == delivery.Acked || f.How == delivery.Errored || f.How == delivery.Refused) &&
+	if c.linked && (f.Outcome == delivery.Acked || f.Outcome == delivery.Errored || f.Outcome == delivery.Refused) &&
 		c.epoch == w.partners.Endpoints[c.ep].Epoch {
 		s.idle[c.own] = append(s.idle[c.own], link{w.now, c.epoch})
 	} else {
@@ -184,13 +184,13 @@
 		if e := &w.events[o.evt]; e.life != o.life {
 			continue
 		} else if o.gaveUp {
-			if f.How == delivery.Acked && e.end == ledger.Open {
+			if f.Outcome == delivery.Acked && e.end == ledger.Open {
 				s.over(o.evt, ledger.Acked, 0)
 				s.hear(piece{what: newWithdrawn, evt: o.evt})
 			}
 			continue
 		}
-		w.outcome(s, c, o, f.How, f.Wait, f.Left, f.Limit)
+		w.outcome(s, c, o, f.Outcome, f.RetryAfter, f.LimitLeft, f.Limit)
 	}
 	w.free(i)
 }
@@ -268,7 +268,7 @@
 				how = delivery.Unsent
 			}
 		}
-		s.saw(w.partners.LaneOf(c.ep), c.began, how)
+		s.saw(w.partners.GroupOf(c.ep), c.began, how)
 		w.outcome(s, c, o, how, 0, 0, 0)
 		w.free(i)
 		return
--- a/lab/world/seat.go
+++ b/lab/world/seat.go
@@ -245,7 +245,7 @@
 	e.out++
 	e.current = number
 	e.refs++
-	w.ledger.Begin(w.now, evt, ep, w.partners.LaneOf(ep))
+	w.ledger.Begin(w.now, evt, ep, w.partners.GroupOf(ep))
 	w.note("send", s.me, evt, int64(ep))
 	most := w.day.Partners[w.partners.Endpoints[ep].Kind].PerCall
 	c := int32(-1)
--- a/lab/world/troubles.go
+++ b/lab/world/troubles.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 
 	"jaspersill/delivery"
-	"jaspersill/lab/partner"
+	"jaspersill/lab/destination"
 	"jaspersill/lab/scenario"
 )
 
@@ -16,12 +16,12 @@
 }
 
 // kindModes are the troubles that are a mode of an endpoint.
-var kindModes = map[string]partner.Mode{
-	"refuse": partner.Refusing,
-	"silent": partner.Silent,
-	"hang":   partner.Hung,
-	"shut":   partner.Shut,
-	"fail":   partner.Failing,
+var kindModes = map[string]destination.Mode{
+	"refuse": destination.Down,
+	"silent": destination.Unreachable,
+	"hang":   destination.Hanging,
+	"shut":   destination.Unavailable,
+	"fail":   destination.Failing,
 }
 
 // Whom is the stream of chance from which is drawn whom troubles meet.
@@ -165,8 +165,8 @@
 }
 
 // Together is what some of a day's troubles, all in force, make of an endpoint.
-func Together(troubles []scenario.Trouble, inForce []int) partner.Trouble {
-	p := partner.Trouble{Slow: 1, Late: 1}
+func Together(troubles []scenario.Trouble, inForce []int) destination.Faults {
+	p := destination.Faults{SlowFactor: 1, LateFactor: 1}
 	for _, i := range inForce {
 		t := &troubles[i]
 		share, times := t.Share, t.Times
@@ -177,20 +177,20 @@
 			times = 1
 		}
 		p.Mode = max(p.Mode, kindModes[t.Kind])
-		p.Warm = p.Warm || t.Warm
+		p.ReturnsWarm = p.ReturnsWarm || t.Warm
 		switch t.Kind {
 		case "shut":
-			p.Opens = max(p.Opens, int64(t.At+t.For))
+			p.AvailableAt = max(p.AvailableAt, int64(t.At+t.For))
 		case "fail":
-			p.Fail = max(p.Fail, share)
+			p.FailShare = max(p.FailShare, share)
 		case "slow":
-			p.Slow *= times
+			p.SlowFactor *= times
 		case "lose":
-			p.Lose = 1 - (1-p.Lose)*(1-share)
+			p.LoseShare = 1 - (1-p.LoseShare)*(1-share)
 		case "spoil":
-			p.Spoil = 1 - (1-p.Spoil)*(1-share)
+			p.UnreadableShare = 1 - (1-p.UnreadableShare)*(1-share)
 		case "late":
-			p.LateMost, p.Late = max(p.LateMost, share), max(p.Late, times)
+			p.LateShare, p.LateFactor = max(p.LateShare, share), max(p.LateFactor, times)
 		}
 	}
 	return p
@@ -198,7 +198,7 @@
 
 // meet puts in force what all the troubles make of an endpoint.
 func (w *World) meet(ep int32) {
-	if w.partners.Meet(w.now, ep, Together(w.day.Troubles, w.bySlot[ep])) {
+	if w.partners.SetFaults(w.now, ep, Together(w.day.Troubles, w.bySlot[ep])) {
 		w.reset(func(c *call) bool { return c.ep == ep })
 	}
 }
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -14,8 +14,8 @@
 	"jaspersill/delivery"
 	"jaspersill/door"
 	"jaspersill/lab/arrival"
+	"jaspersill/lab/destination"
 	"jaspersill/lab/ledger"
-	"jaspersill/lab/partner"
 	"jaspersill/lab/scenario"
 )
 
@@ -64,7 +64,7 @@
 	left          int // sends that nobody gave up
 	began         int64
 	epoch         uint32
-	fate          partner.Fate
+	fate          destination.CallResult
 	linked        bool // it has a connection
 	reached       bool
 	ran           bool  // it takes effect if its endpoint lives until it is done
@@ -93,7 +93,7 @@
 	now      int64
 	end      int64
 	queue    queue
-	partners *partner.Model
+	partners *destination.Model
 	ledger   *ledger.Ledger
 	seats    []*seat
 
@@ -143,7 +143,7 @@
 // all else: the nodes' own chance, the front's choice, what is lost. Two runs of one seed and two lucks
 // differ by chance alone. trace takes a line for each thing that happens, and may be nil.
 func New(day *scenario.Scenario, seed, luck uint64, launch Launch, trace io.Writer) *World {
-	w := &World{day: day, launch: launch, end: int64(day.Length), partners: partner.New(day, seed, luck),
+	w := &World{day: day, launch: launch, end: int64(day.Length), partners: destination.New(day, seed, luck),
 		ledger: ledger.New(day), source: arrival.New(day, seed), whom: rand.New(rand.NewPCG(seed, Whom)),
 		draws: rand.New(rand.NewPCG(seed, 0xd4a5+luck))}
 	if trace != nil {
@@ -172,7 +172,7 @@
 func (w *World) Ledger() *ledger.Ledger { return w.ledger }
 
 // Partners is the true state of the destinations.
-func (w *World) Partners() *partner.Model { return w.partners }
+func (w *World) Partners() *destination.Model { return w.partners }
 
 // Now is the run's time in ns.
 func (w *World) Now() int64 { return w.now }
@@ -302,7 +302,7 @@
 			s.plan(w.now)
 		}
 	case leaves:
-		w.partners.Leave(h.a)
+		w.partners.Remove(h.a)
 		w.reset(func(c *call) bool { return c.ep == h.a })
 		w.listChange(h.a, delivery.Gone)
 	case seconds:
