--- a/lab/destination/destination.go
+++ b/lab/destination/destination.go
@@ -1,7 +1,6 @@
-// Package partner models destinations and their endpoints: how long they work, what they refuse, how they
-// fail and how they come back. It keeps no clock and does no I/O: the caller says what time it is, so that
-// the same model runs in virtual time and behind real sockets. It is not safe for use by several goroutines
-// at once.
+// Package destination models destinations and their endpoints: processing times, rate limits, failures and recovery.
+// It has no clock and does no I/O: the caller passes the current time, so that the same model runs in virtual time and
+// behind real sockets. Times are in nanoseconds. A Model is not safe for concurrent use.
 package destination
 
 import (
@@ -13,53 +12,54 @@
 )
 
 const (
-	burstSeconds       = 0.25             // seconds of a plain rate that may come at once
-	bucketWidth        = int64(1e8)       // ns in which offered calls are counted for the rule on cold returns
-	overloadDeviations = 2.0              // deviations of chance that push nobody over: the platform's figure
-	overloadSpareCalls = 2                // and so many calls beyond
-	minRetryAfter      = int64(100e6)     // ns; a told wait is at least this
-	never              = int64(1<<63 - 1) // an answer that does not come
-	unreadableDelay    = int64(1e6)       // ns that a spoilt answer takes longer
-	errorRanShare      = 0.5              // of calls that end with an error, this part took effect
+	burstSeconds       = 0.25             // size of the token bucket behind a limit without windows
+	bucketWidth        = int64(1e8)       // ns; interval in which calls to a cold group are counted
+	overloadDeviations = 2.0              // tolerated standard deviations of random arrivals; set by the platform
+	overloadSpareCalls = 2                // calls tolerated beyond these
+	minRetryAfter      = int64(100e6)     // ns; lower bound of the retry-after times that are sent
+	never              = int64(1<<63 - 1) // time of an answer that is never sent
+	unreadableDelay    = int64(1e6)       // ns by which an unreadable answer is later
+	errorRanShare      = 0.5              // share of the calls ending with an error that took effect
 )
 
-// Mode is what an endpoint does with calls.
+// Mode is how an endpoint treats connections and calls.
 type Mode uint8
 
-// From the best to the worst: of several troubles the worst counts.
+// The modes are ordered by severity: of several active faults the most severe one applies.
 const (
-	Up Mode = iota
-	Failing
-	Unavailable
-	Hanging
-	Down
-	Unreachable
+	Up          Mode = iota
+	Failing          // a share of the calls ends with an error
+	Unavailable      // refuses all calls, with the time when it becomes available
+	Hanging          // accepts calls but neither runs nor answers them
+	Down             // the process is gone: connections are refused
+	Unreachable      // nothing is answered, connection attempts included
 )
 
-// Endpoint is one endpoint as it truly is.
+// Endpoint is the actual state of an endpoint, whatever the directory or the nodes believe.
 type Endpoint struct {
 	Dest, Kind      int32
 	WorkFactor      float64
 	Mode            Mode
-	Epoch           uint32 // grows whenever its process dies: calls begun before are gone
+	Epoch           uint32 // incremented when the process dies; calls of earlier epochs are lost
 	Draining        bool
 	Gone            bool
-	OpenConnections int // connections
-	inTransit       int // calls on their way
+	OpenConnections int
+	inTransit       int // calls that have left a node and not arrived
 
 	slowFactor, failShare, loseShare, unreadableShare, lateShare, lateFactor float64
 	availableAt                                                              int64
-	workerFreeAt                                                             []int64 // when each worker is free
-	queuedStarts                                                             []int64 // when waiting calls begin, in order
+	workerFreeAt                                                             []int64 // by worker
+	queuedStarts                                                             []int64 // when queued calls start, in order
 	group                                                                    int32
 }
 
-// EndpointGroup is what shares a limit and an outage: a destination, or one endpoint where they are routes apart.
+// EndpointGroup is a set of endpoints that share a rate limit and outages: those of a destination, or a single endpoint
+// where each has a limit of its own.
 type EndpointGroup struct {
 	Kind     int32
 	Limit    float64
 	Dest     int32
-	Capacity float64 // calls a second when warm
+	Capacity float64 // calls per second when warm
 
 	tokens          float64
 	tokensUpdatedAt int64
@@ -71,64 +71,65 @@
 	reportedLeft, reportedAt float64
 	down                     bool
 	outageStart, outageEnd   int64
-	warmupStart              int64 // 0 for never out
+	warmupStart              int64 // 0 if the group was never out or returned warm
 	overloadedUntil          int64
 	buckets                  []bucket
 }
 
 type bucket struct {
-	at                int64
+	index             int64
 	offered, informed int
 }
 
-// Overload tells that a destination was pushed over while it was cold.
+// Overload is the failure of a destination that got too many calls while it warmed up after an outage.
 type Overload struct {
 	At                int64
 	Group, Dest       int32
-	Offered, Informed int     // calls in the rule's window, and those of nodes that had seen the outage
-	Allowed           float64 // calls that it could have borne
+	Offered, Informed int     // calls in the window of the rule; Informed: from nodes that had seen the outage
+	Allowed           float64 // calls in the window that it would have withstood
 }
 
-// Model is all destinations and their endpoints.
+// Model holds all destinations and their endpoints.
 type Model struct {
 	Endpoints []Endpoint
 	Groups    []EndpointGroup
-	ByDest    [][]int32 // endpoints of each destination, gone ones too
+	ByDest    [][]int32 // endpoints of each destination, including those that are gone
 	Overloads []Overload
 
 	scenario     *scenario.Scenario
 	random       *rand.Rand
-	meanWorkTime float64 // ns, of the day's traffic
-	Refused      []int64 // calls turned away, by kind
-	Offered      []int64 // by kind
+	meanWorkTime float64 // ns, over the traffic of the scenario
+	Refused      []int64 // refused calls, by destination kind
+	Offered      []int64 // calls that arrived, by destination kind
 }
 
-// New draws the destinations of a scenario from a seed, and what they do by chance from the seed and a luck.
-func New(day *scenario.Scenario, seed, luck uint64) *Model {
-	m := &Model{scenario: day, random: rand.New(rand.NewPCG(seed, 0x70a7)),
-		Refused: make([]int64, len(day.Partners)), Offered: make([]int64, len(day.Partners))}
+// New draws the destinations of a scenario from seed, and their random behaviour from seed and luck: runs with the same
+// seed and different luck have the same destinations.
+func New(sc *scenario.Scenario, seed, luck uint64) *Model {
+	m := &Model{scenario: sc, random: rand.New(rand.NewPCG(seed, 0x70a7)),
+		Refused: make([]int64, len(sc.Partners)), Offered: make([]int64, len(sc.Partners))}
 	rate, work := 0.0, 0.0
-	for _, t := range day.Types {
+	for _, t := range sc.Types {
 		rate += t.Rate
 		work += t.Rate * float64(t.Work) * math.Exp(t.Sigma*t.Sigma/2)
 	}
-	if m.meanWorkTime = float64(day.Types[0].Work); rate > 0 {
+	if m.meanWorkTime = float64(sc.Types[0].Work); rate > 0 {
 		m.meanWorkTime = work / rate
 	}
-	for kind := range day.Partners {
-		p := &day.Partners[kind]
+	for kind := range sc.Partners {
+		p := &sc.Partners[kind]
 		for range p.Destinations {
 			dest := int32(len(m.ByDest))
 			m.ByDest = append(m.ByDest, nil)
-			pace := math.Exp(
+			workFactor := math.Exp(
 				math.Log(p.PaceLeast) + m.random.Float64()*(math.Log(p.PaceMost)-math.Log(p.PaceLeast)),
 			)
-			lane := int32(-1)
+			group := int32(-1)
 			for range p.Endpoints {
-				if lane < 0 || p.Routes {
-					lane = m.addGroup(int32(kind), dest)
+				if group < 0 || p.Routes {
+					group = m.addGroup(int32(kind), dest)
 				}
-				m.addEndpoint(int32(kind), dest, lane, pace)
+				m.addEndpoint(int32(kind), dest, group, workFactor)
 			}
 		}
 	}
@@ -138,58 +139,58 @@
 
 func (m *Model) addGroup(kind, dest int32) int32 {
 	p := &m.scenario.Partners[kind]
-	l := EndpointGroup{Kind: kind, Dest: dest, Limit: p.Limit, tokens: burst(p.Limit),
+	g := EndpointGroup{Kind: kind, Dest: dest, Limit: p.Limit, tokens: burst(p.Limit),
 		windowOffset: int64(
 			m.random.Float64() * float64(p.Span),
 		), buckets: make([]bucket, int64(m.scenario.Rules.FallAfter)/bucketWidth+1)}
-	m.Groups = append(m.Groups, l)
+	m.Groups = append(m.Groups, g)
 	return int32(len(m.Groups) - 1)
 }
 
-// addEndpoint adds one endpoint and returns its number.
-func (m *Model) addEndpoint(kind, dest, lane int32, pace float64) int32 {
+// addEndpoint adds an endpoint and returns its index.
+func (m *Model) addEndpoint(kind, dest, group int32, workFactor float64) int32 {
 	p := &m.scenario.Partners[kind]
 	ep := int32(len(m.Endpoints))
 	m.Endpoints = append(
 		m.Endpoints,
-		Endpoint{Dest: dest, Kind: kind, WorkFactor: pace, group: lane, slowFactor: 1, lateFactor: 1,
+		Endpoint{Dest: dest, Kind: kind, WorkFactor: workFactor, group: group, slowFactor: 1, lateFactor: 1,
 			workerFreeAt: make([]int64, p.Workers)},
 	)
 	m.ByDest[dest] = append(m.ByDest[dest], ep)
-	m.updateCapacity(lane)
+	m.updateCapacity(group)
 	return ep
 }
 
-// updateCapacity counts anew what a lane can do when warm: its limit, or its endpoints' work.
-func (m *Model) updateCapacity(lane int32) {
-	l, work := &m.Groups[lane], 0.0
-	for _, ep := range m.ByDest[l.Dest] {
-		if e := &m.Endpoints[ep]; e.group == lane && !e.Gone {
+// updateCapacity recomputes the capacity of a warm group: its limit or what its workers can process, whichever is less.
+func (m *Model) updateCapacity(group int32) {
+	g, work := &m.Groups[group], 0.0
+	for _, ep := range m.ByDest[g.Dest] {
+		if e := &m.Endpoints[ep]; e.group == group && !e.Gone {
 			work += float64(len(e.workerFreeAt)) * 1e9 / (m.meanWorkTime * e.WorkFactor)
 		}
 	}
-	if l.Capacity = work; l.Limit > 0 {
-		l.Capacity = min(work, l.Limit)
+	if g.Capacity = work; g.Limit > 0 {
+		g.Capacity = min(work, g.Limit)
 	}
 }
 
-// GroupOf is the lane of an endpoint.
+// GroupOf returns the group of an endpoint.
 func (m *Model) GroupOf(ep int32) int32 { return m.Endpoints[ep].group }
 
 func burst(rate float64) float64 { return max(1, rate*burstSeconds) }
 
-// Replace lets an endpoint drain and adds one in its place; it returns the new one's number.
+// Replace starts to drain an endpoint and adds one in its place. It returns the index of the new one.
 func (m *Model) Replace(ep int32) int32 {
 	e := m.Endpoints[ep]
 	m.Endpoints[ep].Draining = true
-	lane := e.group
+	group := e.group
 	if m.scenario.Partners[e.Kind].Routes {
-		lane = m.addGroup(e.Kind, e.Dest)
+		group = m.addGroup(e.Kind, e.Dest)
 	}
-	return m.addEndpoint(e.Kind, e.Dest, lane, e.WorkFactor)
+	return m.addEndpoint(e.Kind, e.Dest, group, e.WorkFactor)
 }
 
-// Remove ends an endpoint that drained: its process is gone.
+// Remove ends the process of an endpoint that was drained.
 func (m *Model) Remove(ep int32) {
 	e := &m.Endpoints[ep]
 	e.Gone = true
@@ -198,36 +199,36 @@
 	m.updateCapacity(e.group)
 }
 
-// Faults is what the troubles of the moment make of an endpoint; the zero value, but for its factors of 1,
-// is none.
+// Faults is the combined effect of the active faults on an endpoint. Without faults the factors are 1 and the other
+// fields zero.
 type Faults struct {
 	Mode                                             Mode
-	SlowFactor, LateFactor                           float64 // factors
-	FailShare, LoseShare, UnreadableShare, LateShare float64 // shares of calls
-	AvailableAt                                      int64   // when a shut one opens
-	ReturnsWarm                                      bool    // it comes back at full strength
+	SlowFactor, LateFactor                           float64 // of the processing time
+	FailShare, LoseShare, UnreadableShare, LateShare float64 // shares of the calls
+	AvailableAt                                      int64   // end of Unavailable
+	ReturnsWarm                                      bool    // no warm-up after the outage
 }
 
-// SetFaults puts an endpoint's troubles in force from now on. It tells whether the endpoint's process died by it.
-func (m *Model) SetFaults(now int64, ep int32, t Faults) (died bool) {
+// SetFaults replaces the faults of an endpoint. It reports whether the endpoint's process died.
+func (m *Model) SetFaults(now int64, ep int32, f Faults) (died bool) {
 	e := &m.Endpoints[ep]
 	if e.Gone {
 		return false
 	}
 	e.slowFactor, e.lateFactor, e.failShare, e.loseShare, e.unreadableShare, e.lateShare = max(
-		t.SlowFactor,
+		f.SlowFactor,
 		0.01,
 	), max(
-		t.LateFactor,
+		f.LateFactor,
 		1,
-	), t.FailShare, t.LoseShare, t.UnreadableShare, t.LateShare
-	e.availableAt = t.AvailableAt
-	died = t.Mode == Down && e.Mode != Down
+	), f.FailShare, f.LoseShare, f.UnreadableShare, f.LateShare
+	e.availableAt = f.AvailableAt
+	died = f.Mode == Down && e.Mode != Down
 	if died {
 		m.killProcess(e)
 	}
-	e.Mode = t.Mode
-	m.updateOutage(now, e.group, t.ReturnsWarm)
+	e.Mode = f.Mode
+	m.updateOutage(now, e.group, f.ReturnsWarm)
 	return died
 }
 
@@ -238,344 +239,355 @@
 	e.queuedStarts = e.queuedStarts[:0]
 }
 
-// updateOutage sees whether a lane as a whole is out: all its endpoints are, or it was pushed over.
-func (m *Model) updateOutage(now int64, lane int32, warm bool) {
-	l, down := &m.Groups[lane], true
-	for _, ep := range m.ByDest[l.Dest] {
-		if e := &m.Endpoints[ep]; e.group == lane && !e.Gone &&
+// updateOutage starts an outage of a group when all its endpoints are out, and ends it when one of them is back.
+func (m *Model) updateOutage(now int64, group int32, returnsWarm bool) {
+	g, down := &m.Groups[group], true
+	for _, ep := range m.ByDest[g.Dest] {
+		if e := &m.Endpoints[ep]; e.group == group && !e.Gone &&
 			(e.Mode == Up || (e.Mode == Failing && e.failShare < 0.5)) {
 			down = false
 		}
 	}
 	switch {
-	case down && !l.down:
-		l.down, l.outageStart = true, now
-	case !down && l.down:
-		l.down, l.outageEnd = false, now
-		if l.warmupStart = now; warm {
-			l.warmupStart = 0
+	case down && !g.down:
+		g.down, g.outageStart = true, now
+	case !down && g.down:
+		g.down, g.outageEnd = false, now
+		if g.warmupStart = now; returnsWarm {
+			g.warmupStart = 0
 		}
-		clear(l.buckets)
+		clear(g.buckets)
 	}
 }
 
-// Outage tells when a lane's last outage began and ended: 0 for none, far away for one that goes on.
-func (m *Model) Outage(lane int32) (from, to int64) {
-	l := &m.Groups[lane]
-	if l.down {
-		return l.outageStart, never
+// Outage returns the start and the end of the last outage of a group: zeros if there was none, and an end in the far
+// future if it has not ended.
+func (m *Model) Outage(group int32) (from, to int64) {
+	g := &m.Groups[group]
+	if g.down {
+		return g.outageStart, never
 	}
-	return l.outageStart, l.outageEnd
+	return g.outageStart, g.outageEnd
 }
 
-// CapacityShare is the part of its capacity that a lane has now.
-func (m *Model) CapacityShare(now int64, lane int32) float64 {
-	l, r := &m.Groups[lane], &m.scenario.Rules
+// CapacityShare returns the share of its capacity that a group has at a time.
+func (m *Model) CapacityShare(now int64, group int32) float64 {
+	g, r := &m.Groups[group], &m.scenario.Rules
 	switch {
-	case l.down || now < l.overloadedUntil:
+	case g.down || now < g.overloadedUntil:
 		return 0
-	case l.warmupStart == 0 || now >= l.warmupStart+int64(r.WarmAfter):
+	case g.warmupStart == 0 || now >= g.warmupStart+int64(r.WarmAfter):
 		return 1
 	}
-	return r.ColdShare + (1-r.ColdShare)*float64(now-l.warmupStart)/float64(r.WarmAfter)
+	return r.ColdShare + (1-r.ColdShare)*float64(now-g.warmupStart)/float64(r.WarmAfter)
 }
 
-// workSpeed is the strength at which a call is worked on: one that fails most calls is no slower for it.
-func (m *Model) workSpeed(now int64, lane int32) float64 {
-	if m.Groups[lane].down {
+// workSpeed returns the speed at which calls are processed, relative to a warm group. A group that is out because it
+// fails most calls processes them at full speed.
+func (m *Model) workSpeed(now int64, group int32) float64 {
+	if m.Groups[group].down {
 		return 1
 	}
-	return max(m.scenario.Rules.ColdShare, m.CapacityShare(now, lane))
+	return max(m.scenario.Rules.ColdShare, m.CapacityShare(now, group))
 }
 
-// ConnectResult is what comes of a new connection.
+// ConnectResult is the result of a connection attempt.
 type ConnectResult uint8
 
 const (
 	Connected ConnectResult = iota
 	ConnectRefused
-	ConnectUnanswered // it never comes up
+	ConnectUnanswered // no reply: the caller's connect timeout expires
 )
 
 // Connect opens a connection to an endpoint.
 func (m *Model) Connect(now int64, ep int32) ConnectResult {
 	e := &m.Endpoints[ep]
-	most := m.scenario.Partners[e.Kind].Connections
+	maxConnections := m.scenario.Partners[e.Kind].Connections
 	switch {
 	case e.Mode == Unreachable:
 		return ConnectUnanswered
-	case e.Mode == Down, e.Gone, now < m.Groups[e.group].overloadedUntil, most > 0 && e.OpenConnections >= most:
+	case e.Mode == Down, e.Gone, now < m.Groups[e.group].overloadedUntil, maxConnections > 0 && e.OpenConnections >= maxConnections:
 		return ConnectRefused
 	}
 	e.OpenConnections++
 	return Connected
 }
 
-// Close ends a connection of an endpoint's life.
+// Close closes a connection that was opened in an epoch of an endpoint.
 func (m *Model) Close(ep int32, epoch uint32) {
 	if e := &m.Endpoints[ep]; e.Epoch == epoch && e.OpenConnections > 0 {
 		e.OpenConnections--
 	}
 }
 
-// CallResult is what comes of a call that reached an endpoint.
+// CallResult is the result of a call that reached an endpoint.
 type CallResult struct {
 	Outcome          delivery.Outcome
-	Ran              bool  // the events take effect when the work is done
-	DoneAt           int64 // when the work is done, and the answer leaves; far away where none comes
-	AnswerDelay      int64 // the answer leaves so much later than the work is done
-	RetryAfter       int64 // told
+	Ran              bool  // the events take effect at DoneAt
+	DoneAt           int64 // when processing is done; far in the future if no answer is sent
+	AnswerDelay      int64 // from DoneAt until the answer is sent
+	RetryAfter       int64 // as sent with the answer; 0 for none
 	Limit, LimitLeft float64
 }
 
-// Answered tells whether an answer comes at all.
-func (f *CallResult) Answered() bool { return f.DoneAt < never }
+// Answered reports whether the call ends with an answer or a reset.
+func (r *CallResult) Answered() bool { return r.DoneAt < never }
 
-// StartCall takes a call of some events, with the work of each at a partner of usual pace in ns. informed tells
-// that its node has seen the destination fail during its present or last outage.
+// StartCall handles the arrival of a call at an endpoint. work is its processing time in ns at an endpoint with a
+// WorkFactor of 1. informed means that the calling node has seen the destination fail in its current or last outage.
 func (m *Model) StartCall(now int64, ep int32, informed bool, work int64, events int) CallResult {
 	e := &m.Endpoints[ep]
-	l := &m.Groups[e.group]
+	g := &m.Groups[e.group]
 	m.Offered[e.Kind]++
 	m.checkOverload(now, e.group, informed)
 	p := &m.scenario.Partners[e.Kind]
-	f := CallResult{Outcome: delivery.Refused, DoneAt: now}
+	r := CallResult{Outcome: delivery.Refused, DoneAt: now}
 	if p.Reports && p.Limit > 0 {
-		f.Limit, f.LimitLeft = p.Limit, m.reportLimitLeft(now, l, p)
+		r.Limit, r.LimitLeft = p.Limit, m.reportLimitLeft(now, g, p)
 	}
 	switch {
-	case e.Gone, e.Mode == Down, now < l.overloadedUntil:
-		f.Outcome = delivery.Reset
-		return f
+	case e.Gone, e.Mode == Down, now < g.overloadedUntil:
+		r.Outcome = delivery.Reset
+		return r
 	case e.Mode == Unreachable, e.Mode == Hanging:
 		return CallResult{Outcome: delivery.TimedOut, DoneAt: never}
 	case e.Draining:
 		m.Refused[e.Kind]++
-		return f
+		return r
 	case e.Mode == Unavailable:
 		m.Refused[e.Kind]++
-		if f.LimitLeft = 1; e.availableAt > now {
-			f.RetryAfter = e.availableAt - now
+		if r.LimitLeft = 1; e.availableAt > now {
+			r.RetryAfter = e.availableAt - now
 		}
-		return f
+		return r
 	}
-	if p.Limit > 0 && !m.consumeLimit(now, l, p) {
+	if p.Limit > 0 && !m.consumeLimit(now, g, p) {
 		m.Refused[e.Kind]++
 		if m.random.Float64() < p.Told {
-			f.RetryAfter = m.limitRetryAfter(now, l, p)
+			r.RetryAfter = m.limitRetryAfter(now, g, p)
 		}
-		return f
+		return r
 	}
 	for len(e.queuedStarts) > 0 && e.queuedStarts[0] <= now {
 		e.queuedStarts = e.queuedStarts[1:]
 	}
 	if len(e.queuedStarts) >= p.Queue && p.Queue >= 0 {
-		first := 0
+		earliest := 0
 		for i := range e.workerFreeAt {
-			if e.workerFreeAt[i] < e.workerFreeAt[first] {
-				first = i
+			if e.workerFreeAt[i] < e.workerFreeAt[earliest] {
+				earliest = i
 			}
 		}
-		if e.workerFreeAt[first] > now {
+		if e.workerFreeAt[earliest] > now {
 			m.Refused[e.Kind]++
-			return f
+			return r
 		}
 	}
-	first := 0
+	earliest := 0
 	for i := range e.workerFreeAt {
-		if e.workerFreeAt[i] < e.workerFreeAt[first] {
-			first = i
+		if e.workerFreeAt[i] < e.workerFreeAt[earliest] {
+			earliest = i
 		}
 	}
-	start := max(now, e.workerFreeAt[first])
+	start := max(now, e.workerFreeAt[earliest])
 	if start > now {
 		e.queuedStarts = append(e.queuedStarts, start)
 	}
-	f.DoneAt = start + int64(float64(work)*e.WorkFactor*e.slowFactor/m.workSpeed(now, e.group))
-	e.workerFreeAt[first] = f.DoneAt
-	f.Outcome, f.Ran = delivery.Acked, true
+	r.DoneAt = start + int64(float64(work)*e.WorkFactor*e.slowFactor/m.workSpeed(now, e.group))
+	e.workerFreeAt[earliest] = r.DoneAt
+	r.Outcome, r.Ran = delivery.Acked, true
 	if e.failShare > 0 && m.random.Float64() < e.failShare {
-		f.Outcome, f.Ran = delivery.Errored, m.random.Float64() < errorRanShare
+		r.Outcome, r.Ran = delivery.Errored, m.random.Float64() < errorRanShare
 	}
 	switch {
 	case e.loseShare > 0 && m.random.Float64() < e.loseShare:
-		f.Outcome = delivery.Reset
+		r.Outcome = delivery.Reset
 	case e.unreadableShare > 0 && m.random.Float64() < e.unreadableShare:
-		f.Outcome, f.AnswerDelay = delivery.Unreadable, unreadableDelay
+		r.Outcome, r.AnswerDelay = delivery.Unreadable, unreadableDelay
 	case e.lateShare > 0 && m.random.Float64() < e.lateShare:
-		f.AnswerDelay = int64(float64(f.DoneAt-start) * (e.lateFactor - 1))
+		r.AnswerDelay = int64(float64(r.DoneAt-start) * (e.lateFactor - 1))
 	}
-	return f
+	return r
 }
 
-// FinishCall tells whether a call that an endpoint worked on still counts when it is done: it ran, and its answer
-// leaves.
+// FinishCall reports, when the processing of a call is done, whether the call ran, that is whether the process survived
+// it, and whether its answer is sent.
 func (m *Model) FinishCall(ep int32, epoch uint32) (runs, answers bool) {
 	e := &m.Endpoints[ep]
 	alive := e.Epoch == epoch
 	return alive, alive && e.Mode != Unreachable
 }
 
-// consumeLimit counts a call against a limit.
-func (m *Model) consumeLimit(now int64, l *EndpointGroup, p *scenario.Partner) bool {
+// consumeLimit counts a call against the rate limit of a group and reports whether it is within it.
+func (m *Model) consumeLimit(now int64, g *EndpointGroup, p *scenario.Partner) bool {
 	if p.Span > 0 {
-		if at := now - (now+l.windowOffset)%int64(p.Span); at != l.windowStart {
-			l.windowStart, l.windowCount = at, 0
+		if start := now - (now+g.windowOffset)%int64(p.Span); start != g.windowStart {
+			g.windowStart, g.windowCount = start, 0
 		}
-		most := max(1, int(math.Round(p.Limit*float64(p.Span)/1e9)))
-		if l.windowCount >= most {
+		maxCalls := max(1, int(math.Round(p.Limit*float64(p.Span)/1e9)))
+		if g.windowCount >= maxCalls {
 			if p.RefusedCount {
-				l.windowCount++
+				g.windowCount++
 			}
 			return false
 		}
-		l.windowCount++
+		g.windowCount++
 		return true
 	}
-	most := burst(p.Limit)
-	l.tokens = min(most, l.tokens+float64(now-l.tokensUpdatedAt)/1e9*p.Limit)
-	l.tokensUpdatedAt = now
-	if l.tokens < 1 {
+	maxTokens := burst(p.Limit)
+	g.tokens = min(maxTokens, g.tokens+float64(now-g.tokensUpdatedAt)/1e9*p.Limit)
+	g.tokensUpdatedAt = now
+	if g.tokens < 1 {
 		if p.RefusedCount {
-			l.tokens = max(-most, l.tokens-1)
+			g.tokens = max(-maxTokens, g.tokens-1)
 		}
 		return false
 	}
-	l.tokens--
+	g.tokens--
 	return true
 }
 
-// limitRetryAfter is the wait that a refusal tells.
-func (m *Model) limitRetryAfter(now int64, l *EndpointGroup, p *scenario.Partner) int64 {
+// limitRetryAfter returns the retry-after time of a call refused by the rate limit.
+func (m *Model) limitRetryAfter(now int64, g *EndpointGroup, p *scenario.Partner) int64 {
 	if p.Span > 0 {
-		return max(minRetryAfter, l.windowStart+int64(p.Span)-now)
+		return max(minRetryAfter, g.windowStart+int64(p.Span)-now)
 	}
-	return max(minRetryAfter, int64((1-l.tokens)/p.Limit*1e9))
+	return max(minRetryAfter, int64((1-g.tokens)/p.Limit*1e9))
 }
 
-// reportLimitLeft is the share of a limit that is left, as it was at the last reportLimitLeft.
-func (m *Model) reportLimitLeft(now int64, l *EndpointGroup, p *scenario.Partner) float64 {
-	if float64(now)-l.reportedAt < float64(p.ReportAge) && l.reportedAt > 0 {
-		return l.reportedLeft
+// reportLimitLeft returns the share of the rate limit that answers report as left: the value of the last
+// report, which is refreshed once per report interval.
+func (m *Model) reportLimitLeft(now int64, g *EndpointGroup, p *scenario.Partner) float64 {
+	if float64(now)-g.reportedAt < float64(p.ReportAge) && g.reportedAt > 0 {
+		return g.reportedLeft
 	}
-	l.reportedAt = float64(now)
+	g.reportedAt = float64(now)
 	if p.Span > 0 {
-		most := math.Max(1, math.Round(p.Limit*float64(p.Span)/1e9))
-		if now-l.windowStart >= int64(p.Span) {
-			l.reportedLeft = 1
+		maxCalls := math.Max(1, math.Round(p.Limit*float64(p.Span)/1e9))
+		if now-g.windowStart >= int64(p.Span) {
+			g.reportedLeft = 1
 		} else {
-			l.reportedLeft = max(0, 1-float64(l.windowCount)/most)
+			g.reportedLeft = max(0, 1-float64(g.windowCount)/maxCalls)
 		}
 	} else {
-		most := burst(p.Limit)
-		l.reportedLeft = max(0, min(1, (l.tokens+float64(now-l.tokensUpdatedAt)/1e9*p.Limit)/most))
+		maxTokens := burst(p.Limit)
+		g.reportedLeft = max(0, min(1, (g.tokens+float64(now-g.tokensUpdatedAt)/1e9*p.Limit)/maxTokens))
 	}
-	return l.reportedLeft
+	return g.reportedLeft
 }
 
-// checkOverload counts a call at a lane that came back cold, and pushes it over where the rule's figures say so.
-func (m *Model) checkOverload(now int64, lane int32, informed bool) {
-	l, r := &m.Groups[lane], &m.scenario.Rules
-	if l.down || l.warmupStart == 0 || now < l.overloadedUntil || now >= l.warmupStart+int64(r.WarmAfter) {
+// checkOverload counts a call to a group that is warming up, and makes the group fail if the calls exceed what the rule
+// allows.
+func (m *Model) checkOverload(now int64, group int32, informed bool) {
+	g, r := &m.Groups[group], &m.scenario.Rules
+	if g.down || g.warmupStart == 0 || now < g.overloadedUntil || now >= g.warmupStart+int64(r.WarmAfter) {
 		return
 	}
-	at := now / bucketWidth
-	b := &l.buckets[at%int64(len(l.buckets))]
-	if b.at != at {
-		*b = bucket{at: at}
+	index := now / bucketWidth
+	b := &g.buckets[index%int64(len(g.buckets))]
+	if b.index != index {
+		*b = bucket{index: index}
 	}
 	if b.offered++; informed {
 		b.informed++
 	}
-	if now-l.warmupStart < int64(r.FallAfter) {
+	if now-g.warmupStart < int64(r.FallAfter) {
 		return
 	}
-	f := Overload{At: now, Group: lane, Dest: l.Dest}
-	for i := range l.buckets {
-		if b := &l.buckets[i]; b.at > at-int64(len(l.buckets)) && b.at*bucketWidth >= l.warmupStart-bucketWidth {
-			f.Offered += b.offered
-			f.Informed += b.informed
+	o := Overload{At: now, Group: group, Dest: g.Dest}
+	for i := range g.buckets {
+		if b := &g.buckets[i]; b.index > index-int64(len(g.buckets)) && b.index*bucketWidth >= g.warmupStart-bucketWidth {
+			o.Offered += b.offered
+			o.Informed += b.informed
 		}
 	}
-	half := now - int64(r.FallAfter)/2
-	budget := r.FallMultiple * l.Capacity * m.CapacityShare(half, lane) * float64(r.FallAfter) / 1e9
-	f.Allowed = budget + overloadDeviations*math.Sqrt(budget) + overloadSpareCalls
-	if float64(f.Offered) <= f.Allowed {
+	midpoint := now - int64(r.FallAfter)/2
+	budget := r.FallMultiple * g.Capacity * m.CapacityShare(midpoint, group) * float64(r.FallAfter) / 1e9
+	o.Allowed = budget + overloadDeviations*math.Sqrt(budget) + overloadSpareCalls
+	if float64(o.Offered) <= o.Allowed {
 		return
 	}
-	m.Overloads = append(m.Overloads, f)
-	l.overloadedUntil = now + int64(r.FallenFor)
-	l.warmupStart, l.outageStart, l.outageEnd = l.overloadedUntil, now, l.overloadedUntil
-	clear(l.buckets)
-	for _, ep := range m.ByDest[l.Dest] {
-		if e := &m.Endpoints[ep]; e.group == lane {
+	m.Overloads = append(m.Overloads, o)
+	g.overloadedUntil = now + int64(r.FallenFor)
+	g.warmupStart, g.outageStart, g.outageEnd = g.overloadedUntil, now, g.overloadedUntil
+	clear(g.buckets)
+	for _, ep := range m.ByDest[g.Dest] {
+		if e := &m.Endpoints[ep]; e.group == group {
 			m.killProcess(e)
 		}
 	}
 }
 
-// BestEndpoint is the endpoint of a destination that would end a call soonest, as things truly are and with the calls
-// that are on their way to it; -1 where none would begin one at once. linked tells whether a connection to it
-// stands idle; careful leaves out those that lose answers or fail. It is what only a policy could know that
-// sees everything.
-func (m *Model) BestEndpoint(now int64, dest int32, work int64, careful bool, linked func(ep int32) bool) int32 {
+// BestEndpoint returns the endpoint of a destination that would finish a call first, given its actual state and the
+// calls in transit to it, or -1 if none would start the call at once. avoidFaulty excludes endpoints that fail calls or
+// whose answers are lost or unreadable. Only a policy with complete
+// knowledge could choose so.
+func (m *Model) BestEndpoint(
+	now int64,
+	dest int32,
+	work int64,
+	avoidFaulty bool,
+	hasIdleConnection func(ep int32) bool,
+) int32 {
 	best, done := int32(-1), never
-	for _, i := range m.ByDest[dest] {
-		e := &m.Endpoints[i]
-		l, p := &m.Groups[e.group], &m.scenario.Partners[e.Kind]
-		if e.Gone || e.Draining || e.Mode > Failing || now < l.overloadedUntil ||
+	for _, ep := range m.ByDest[dest] {
+		e := &m.Endpoints[ep]
+		g, p := &m.Groups[e.group], &m.scenario.Partners[e.Kind]
+		if e.Gone || e.Draining || e.Mode > Failing || now < g.overloadedUntil ||
 			(e.Mode == Failing && e.failShare > 0.5) ||
-			(careful && (e.loseShare > 0 || e.failShare > 0 || e.unreadableShare > 0)) {
+			(avoidFaulty && (e.loseShare > 0 || e.failShare > 0 || e.unreadableShare > 0)) {
 			continue
 		}
-		if (p.Limit > 0 && !m.withinLimit(now, l, p)) || !m.withinOverload(now, e.group) {
+		if (p.Limit > 0 && !m.withinLimit(now, g, p)) || !m.withinOverload(now, e.group) {
 			continue
 		}
-		if p.Connections > 0 && e.OpenConnections+e.inTransit >= p.Connections && !linked(i) {
+		if p.Connections > 0 && e.OpenConnections+e.inTransit >= p.Connections && !hasIdleConnection(ep) {
 			continue
 		}
-		free := 0
-		for _, at := range e.workerFreeAt {
-			if at <= now {
-				free++
+		freeWorkers := 0
+		for _, freeAt := range e.workerFreeAt {
+			if freeAt <= now {
+				freeWorkers++
 			}
 		}
-		if free <= e.inTransit {
+		if freeWorkers <= e.inTransit {
 			continue
 		}
 		if end := now + int64(float64(work)*e.WorkFactor*e.slowFactor/m.workSpeed(now, e.group)); end < done {
-			best, done = i, end
+			best, done = ep, end
 		}
 	}
 	return best
 }
 
-// AddInTransit notes calls that are on their way to an endpoint, or with -1 one that has come or will not.
+// AddInTransit adds to the calls in transit to an endpoint; -1 stands for a call that has arrived or never will.
 func (m *Model) AddInTransit(ep int32, calls int) {
 	m.Endpoints[ep].inTransit += calls
 	m.Groups[m.Endpoints[ep].group].inTransit += calls
 }
 
-// withinOverload tells whether a cold lane bears one more call by the rule's figures.
-func (m *Model) withinOverload(now int64, lane int32) bool {
-	l, r := &m.Groups[lane], &m.scenario.Rules
-	if l.warmupStart == 0 || now >= l.warmupStart+int64(r.WarmAfter) {
+// withinOverload reports whether one more call keeps a group that is warming up within the overload rule.
+func (m *Model) withinOverload(now int64, group int32) bool {
+	g, r := &m.Groups[group], &m.scenario.Rules
+	if g.warmupStart == 0 || now >= g.warmupStart+int64(r.WarmAfter) {
 		return true
 	}
-	offered := l.inTransit + 1
-	for i := range l.buckets {
-		if b := &l.buckets[i]; b.at > now/bucketWidth-int64(len(l.buckets)) &&
-			b.at*bucketWidth >= l.warmupStart-bucketWidth {
+	offered := g.inTransit + 1
+	for i := range g.buckets {
+		if b := &g.buckets[i]; b.index > now/bucketWidth-int64(len(g.buckets)) &&
+			b.index*bucketWidth >= g.warmupStart-bucketWidth {
 			offered += b.offered
 		}
 	}
-	return float64(offered) <= r.FallMultiple*l.Capacity*r.ColdShare*float64(r.FallAfter)/1e9
+	return float64(offered) <= r.FallMultiple*g.Capacity*r.ColdShare*float64(r.FallAfter)/1e9
 }
 
-func (m *Model) withinLimit(now int64, l *EndpointGroup, p *scenario.Partner) bool {
+// withinLimit reports whether the rate limit of a group allows one more call besides those in transit.
+func (m *Model) withinLimit(now int64, g *EndpointGroup, p *scenario.Partner) bool {
 	if p.Span > 0 {
-		most := max(1, int(math.Round(p.Limit*float64(p.Span)/1e9)))
-		return now-(now+l.windowOffset)%int64(p.Span) != l.windowStart || l.windowCount+l.inTransit < most
+		maxCalls := max(1, int(math.Round(p.Limit*float64(p.Span)/1e9)))
+		return now-(now+g.windowOffset)%int64(p.Span) != g.windowStart || g.windowCount+g.inTransit < maxCalls
 	}
-	return l.tokens+float64(now-l.tokensUpdatedAt)/1e9*p.Limit-float64(l.inTransit) >= 1
+	return g.tokens+float64(now-g.tokensUpdatedAt)/1e9*p.Limit-float64(g.inTransit) >= 1
 }
