--- a/lab/destination/destination.go
+++ b/lab/destination/destination.go
@@ -307,7 +307,8 @@
 	switch {
 	case e.Mode == Unreachable:
 		return ConnectUnanswered
-	case e.Mode == Down, e.Gone, now < m.Groups[e.group].overloadedUntil, maxConnections > 0 && e.OpenConnections >= maxConnections:
+	case e.Mode == Down, e.Gone, now < m.Groups[e.group].overloadedUntil,
+		maxConnections > 0 && e.OpenConnections >= maxConnections:
 		return ConnectRefused
 	}
 	e.OpenConnections++
@@ -521,8 +522,7 @@
 
 // BestEndpoint returns the endpoint of a destination that would finish a call first, given its actual state and the
 // calls in transit to it, or -1 if none would start the call at once. avoidFaulty excludes endpoints that fail calls or
-// whose answers are lost or unreadable. Only a policy with complete
-// knowledge could choose so.
+// whose answers are lost or unreadable. Only a policy with complete knowledge could choose so.
 func (m *Model) BestEndpoint(
 	now int64,
 	dest int32,
--- a/lab/emulator/clients.go
+++ b/lab/emulator/clients.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	clientTimeout        = 400 * time.Millisecond // a client waits so long for an answer: the protocol's
+	clientTimeout        = 400 * time.Millisecond // for the answer to a request; set by the protocol
 	maxClientConnections = 512
 	bodySize             = 200 // bytes
 )
 
-// clients hand in what a source says, in real time.
+// clients submits the events of a source in real time.
 type clients struct {
 	emulator    *Emulator
 	nodes       *Nodes
@@ -30,11 +30,11 @@
 	body        []byte
 }
 
-// Run hands in a source's askings at their times until it ends or ctx does, and waits until the last one's
-// time is up. The day begins with the call.
-func (s *Emulator) Run(ctx context.Context, nodes *Nodes, source arrival.Source, seed uint64) ledger.Summary {
+// Run starts the scenario and submits the events of a source at their times, until the source is exhausted or ctx is
+// cancelled. It returns after the last deadline.
+func (em *Emulator) Run(ctx context.Context, nodes *Nodes, source arrival.Source, seed uint64) ledger.Summary {
 	c := &clients{
-		emulator: s,
+		emulator: em,
 		nodes:    nodes,
 		random:   rand.New(rand.NewPCG(seed, 0xc11e)),
 		body:     make([]byte, bodySize),
@@ -42,7 +42,7 @@
 	for i := range c.body {
 		c.body[i] = byte('a' + i%26)
 	}
-	for i := range s.scenario.Fleet.Nodes {
+	for i := range em.scenario.Fleet.Nodes {
 		c.httpClients = append(
 			c.httpClients,
 			&fasthttp.HostClient{Addr: nodes.Address(i), MaxConns: maxClientConnections, ReadTimeout: clientTimeout,
@@ -53,70 +53,70 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	s.Start(ctx, nodes)
-	last := int64(0)
+	em.Start(ctx, nodes)
+	lastDeadline := int64(0)
 	for {
-		a, more := source.Next()
-		if !more || !s.sleepUntil(ctx, time.Duration(a.At)) {
+		a, ok := source.Next()
+		if !ok || !em.sleepUntil(ctx, time.Duration(a.At)) {
 			break
 		}
-		last = max(last, a.Deadline)
-		a.Deadline += s.now() - a.At // a late start is the lab's fault, not the node's
-		a.At = s.now()
-		s.mu.Lock()
-		s.checker.Ask(a.At, int(a.Type), int(a.Owner))
-		s.mu.Unlock()
+		lastDeadline = max(lastDeadline, a.Deadline)
+		a.Deadline += em.now() - a.At // a late submission is not the fault of the node
+		a.At = em.now()
+		em.mu.Lock()
+		em.checker.Ask(a.At, int(a.Type), int(a.Owner))
+		em.mu.Unlock()
 		c.submit(a, 0)
 	}
-	s.sleepUntil(ctx, time.Duration(last)+500*time.Millisecond)
+	em.sleepUntil(ctx, time.Duration(lastDeadline)+500*time.Millisecond)
 	cancel()
 	c.wg.Wait()
-	return s.Summary()
+	return em.Summary()
 }
 
-// submit hands in an event at one of the nodes that serve.
-func (c *clients) submit(a arrival.Asking, tries int) {
+// submit submits an event to one of the serving nodes, in the background.
+func (c *clients) submit(a arrival.Asking, retries int) {
 	c.wg.Add(1)
 	go func() {
 		defer c.wg.Done()
-		c.trySubmit(a, tries)
+		c.trySubmit(a, retries)
 	}()
 }
 
-func (c *clients) trySubmit(a arrival.Asking, tries int) {
-	s := c.emulator
-	now := s.now()
+func (c *clients) trySubmit(a arrival.Asking, retries int) {
+	em := c.emulator
+	now := em.now()
 	if now >= a.Deadline {
 		return
 	}
-	up := c.nodes.Serving()
-	if len(up) == 0 {
+	serving := c.nodes.Serving()
+	if len(serving) == 0 {
 		time.Sleep(50 * time.Millisecond)
-		c.scheduleRetry(a, tries, 0)
+		c.scheduleRetry(a, retries, 0)
 		return
 	}
 	c.mu.Lock()
-	node := up[c.random.IntN(len(up))]
+	node := serving[c.random.IntN(len(serving))]
 	c.mu.Unlock()
-	s.mu.Lock()
-	id := s.newID()
+	em.mu.Lock()
+	id := em.newID()
 	e := &event{node: int32(node), workTime: a.Work, refs: 1}
-	e.retry = func(comeBack int64) { c.scheduleRetry(a, tries, comeBack) }
-	e.index, _ = s.eventTable.Take(id)
-	s.events[id] = e
-	s.checker.Take(now, e.index, uint64(e.index), e.node, int(a.Type), a.Dest, 0, a.At, a.Deadline)
-	s.mu.Unlock()
+	e.retry = func(retryAfter int64) { c.scheduleRetry(a, retries, retryAfter) }
+	e.index, _ = em.eventTable.Take(id)
+	em.events[id] = e
+	em.checker.Take(now, e.index, uint64(e.index), e.node, int(a.Type), a.Dest, 0, a.At, a.Deadline)
+	em.mu.Unlock()
 
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	t := &s.scenario.Types[a.Type]
+	t := &em.scenario.Types[a.Type]
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.SetRequestURI("/api")
 	req.Header.SetHost(c.httpClients[node].Addr)
 	req.Header.Set("Req-Id", id)
 	req.Header.Set("Req-Kind", t.Name)
-	req.Header.Set("Req-Owner", s.scenario.Owners[a.Owner].Name)
+	req.Header.Set("Req-Owner", em.scenario.Owners[a.Owner].Name)
 	req.Header.Set("Req-Deadline-Ms", strconv.FormatInt((a.Deadline-now)/1e6, 10))
 	req.Header.Set("X-Envelope", "dest="+strconv.Itoa(int(a.Dest)))
 	if t.Safety == "deduplicated" {
@@ -125,46 +125,47 @@
 	req.SetBody(c.body)
 	err := c.httpClients[node].Do(req, resp)
 
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	em.mu.Lock()
+	defer em.mu.Unlock()
 	e.refs--
-	now = s.now()
+	now = em.now()
 	switch status := resp.StatusCode(); {
 	case err == nil && (status == 202 || status == 200):
 	case err == nil && (status == 503 || status == 429):
 		if !e.ended {
 			e.ended = true
-			s.checker.Finish(now, e.index, ledger.Declined)
-			after, _ := strconv.ParseFloat(string(resp.Header.Peek("Retry-After")), 64)
-			c.scheduleRetry(a, tries, int64(after*1e9))
+			em.checker.Finish(now, e.index, ledger.Declined)
+			retryAfterSeconds, _ := strconv.ParseFloat(string(resp.Header.Peek("Retry-After")), 64)
+			c.scheduleRetry(a, retries, int64(retryAfterSeconds*1e9))
 		}
-	default: // no answer in time: what is sent under this id counts for nothing, and the client goes elsewhere
+	default: // no answer in time: sends under this ID are no longer checked, and the client goes to another node
 		if !e.ended {
 			e.abandoned = true
-			s.checker.Abandon(e.index)
-			c.scheduleRetry(a, tries, int64(10*time.Millisecond))
+			em.checker.Abandon(e.index)
+			c.scheduleRetry(a, retries, int64(10*time.Millisecond))
 		}
 	}
-	s.releaseIfDone(e)
+	em.releaseIfDone(e)
 }
 
-// scheduleRetry hands in an event that was turned away, after a time.
-func (c *clients) scheduleRetry(a arrival.Asking, tries int, comeBack int64) {
+// scheduleRetry submits a declined or unanswered event again after retryAfter with jitter; 0 stands for the clients' own
+// retry delay. It does nothing once the retries are used up or the deadline would have passed.
+func (c *clients) scheduleRetry(a arrival.Asking, retries int, retryAfter int64) {
 	k := &c.emulator.scenario.Clients
-	if tries >= k.Again {
+	if retries >= k.Again {
 		return
 	}
-	if comeBack <= 0 {
-		comeBack = int64(k.BackOff)
+	if retryAfter <= 0 {
+		retryAfter = int64(k.BackOff)
 	}
 	c.mu.Lock()
-	comeBack += int64(k.Spread * c.random.Float64() * float64(comeBack))
+	retryAfter += int64(k.Spread * c.random.Float64() * float64(retryAfter))
 	c.mu.Unlock()
-	if c.emulator.now()+comeBack < a.Deadline {
+	if c.emulator.now()+retryAfter < a.Deadline {
 		c.wg.Add(1)
-		time.AfterFunc(time.Duration(comeBack), func() {
+		time.AfterFunc(time.Duration(retryAfter), func() {
 			defer c.wg.Done()
-			c.trySubmit(a, tries+1)
+			c.trySubmit(a, retries+1)
 		})
 	}
 }
--- a/lab/emulator/directory.go
+++ b/lab/emulator/directory.go
@@ -14,7 +14,7 @@
 	"jaspersill/lab/ledger"
 )
 
-// host is an entry of the list.
+// host is an entry of the list of endpoints, in the format of the discovery protocol.
 type host struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -32,13 +32,13 @@
 	Hosts []host `json:"hosts"`
 }
 
-// hostEntry is an endpoint as the directory tells it.
-func (s *Emulator) hostEntry(ep int32, state delivery.EndpointState) host {
-	e := &s.destinations.Endpoints[ep]
-	p := &s.scenario.Partners[e.Kind]
+// hostEntry returns the directory entry of an endpoint.
+func (em *Emulator) hostEntry(ep int32, state delivery.EndpointState) host {
+	e := &em.destinations.Endpoints[ep]
+	p := &em.scenario.Partners[e.Kind]
 	h := host{
 		Host:   fmt.Sprintf("e%d", ep),
-		Dial:   s.listeners[ep].address,
+		Dial:   em.listeners[ep].address,
 		Site:   "here",
 		Class:  p.Name,
 		Block:  e.Dest,
@@ -51,100 +51,101 @@
 	return h
 }
 
-// fullList is the list as it was told last; the lock is held.
-func (s *Emulator) fullList() hostList {
-	l := hostList{Seq: len(s.changes) + 1, Whole: true}
-	states := make([]delivery.EndpointState, len(s.destinations.Endpoints))
+// fullList returns the list as last published. The lock is held.
+func (em *Emulator) fullList() hostList {
+	list := hostList{Seq: len(em.changes) + 1, Whole: true}
+	states := make([]delivery.EndpointState, len(em.destinations.Endpoints))
 	for ep := range states {
 		states[ep] = delivery.Ready
 	}
-	for ep := range s.destinations.Endpoints { // those that came later are not there before they were told
-		if s.addedLater(int32(ep)) {
+	for ep := range em.destinations.Endpoints { // endpoints added during the run are absent until published
+		if em.addedLater(int32(ep)) {
 			states[ep] = delivery.Gone
 		}
 	}
-	for _, c := range s.changes {
+	for _, c := range em.changes {
 		states[c.ep] = c.state
 	}
 	for ep, state := range states {
 		if state != delivery.Gone {
-			l.Hosts = append(l.Hosts, s.hostEntry(int32(ep), state))
+			list.Hosts = append(list.Hosts, em.hostEntry(int32(ep), state))
 		}
 	}
-	return l
+	return list
 }
 
-// addedLater tells whether an endpoint was added during the day.
-func (s *Emulator) addedLater(ep int32) bool {
-	first := 0
-	for _, p := range s.scenario.Partners {
-		first += p.Destinations * p.Endpoints
+// addedLater reports whether an endpoint was added during the run.
+func (em *Emulator) addedLater(ep int32) bool {
+	initial := 0
+	for _, p := range em.scenario.Partners {
+		initial += p.Destinations * p.Endpoints
 	}
-	return int(ep) >= first
+	return int(ep) >= initial
 }
 
-// scheduleDirectoryChange has the directory tell a change after its delay, and later while it stands still or is down.
-func (s *Emulator) scheduleDirectoryChange(ep int32, state delivery.EndpointState) {
-	var tell func()
-	tell = func() {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		if s.stopped {
+// scheduleDirectoryChange publishes a change after the delay of the directory, or once the directory is neither frozen
+// nor down.
+func (em *Emulator) scheduleDirectoryChange(ep int32, state delivery.EndpointState) {
+	var publish func()
+	publish = func() {
+		em.mu.Lock()
+		defer em.mu.Unlock()
+		if em.stopped {
 			return
 		}
-		if s.directoryDown > 0 || s.directoryFrozen > 0 {
-			time.AfterFunc(100*time.Millisecond, tell)
+		if em.directoryDown > 0 || em.directoryFrozen > 0 {
+			time.AfterFunc(100*time.Millisecond, publish)
 			return
 		}
-		s.changes = append(s.changes, endpointChange{ep, state})
-		close(s.directoryChanged)
-		s.directoryChanged = make(chan struct{})
+		em.changes = append(em.changes, endpointChange{ep, state})
+		close(em.directoryChanged)
+		em.directoryChanged = make(chan struct{})
 	}
-	time.AfterFunc(time.Duration(s.scenario.Fleet.Directory), tell)
+	time.AfterFunc(time.Duration(em.scenario.Fleet.Directory), publish)
 }
 
-// recordDrains notes what a node was recordDrains to leave.
-func (s *Emulator) recordDrains(node int32, changes []endpointChange) {
+// recordDrains tells the checker, after drainGrace, which endpoints a node was told are draining or gone.
+func (em *Emulator) recordDrains(node int32, changes []endpointChange) {
 	for _, c := range changes {
 		if c.state != delivery.Ready {
 			time.AfterFunc(drainGrace, func() {
-				s.mu.Lock()
-				defer s.mu.Unlock()
-				s.checker.Drain(s.now(), node, c.ep)
+				em.mu.Lock()
+				defer em.mu.Unlock()
+				em.checker.Drain(em.now(), node, c.ep)
 			})
 		}
 	}
 }
 
-// serveDirectory serves one node's serveDirectory and takes its notices.
-func (s *Emulator) serveDirectory(node int32, l net.Listener) {
-	defer s.wg.Done()
+// serveDirectory accepts the connections of a node to the directory and to the platform, which receives its notices.
+func (em *Emulator) serveDirectory(node int32, l net.Listener) {
+	defer em.wg.Done()
 	for {
 		c, err := l.Accept()
 		if err != nil {
 			return
 		}
-		s.mu.Lock()
-		if s.stopped {
+		em.mu.Lock()
+		if em.stopped {
 			c.Close()
 		}
-		s.conns[c] = struct{}{}
-		s.mu.Unlock()
-		s.wg.Add(1)
+		em.conns[c] = struct{}{}
+		em.mu.Unlock()
+		em.wg.Add(1)
 		go func() {
-			defer s.wg.Done()
+			defer em.wg.Done()
 			defer func() {
-				s.mu.Lock()
-				delete(s.conns, c)
-				s.mu.Unlock()
+				em.mu.Lock()
+				delete(em.conns, c)
+				em.mu.Unlock()
 				c.Close()
 			}()
-			s.serveDirectoryConnection(node, c)
+			em.serveDirectoryConnection(node, c)
 		}()
 	}
 }
 
-func (s *Emulator) serveDirectoryConnection(node int32, c net.Conn) {
+func (em *Emulator) serveDirectoryConnection(node int32, c net.Conn) {
 	in := bufio.NewReaderSize(c, 4096)
 	var r fasthttp.Request
 	for {
@@ -153,25 +154,25 @@
 		}
 		switch path := string(r.URI().Path()); {
 		case path == "/v1/outcomes" && r.Header.IsPost():
-			s.handleNotices(string(r.Body()))
+			em.handleNotices(string(r.Body()))
 			if writeStatus(c, 204, "") != nil {
 				return
 			}
 		case path == "/discovery/hosts":
-			s.mu.Lock()
-			down := s.directoryDown > 0
-			s.mu.Unlock()
+			em.mu.Lock()
+			down := em.directoryDown > 0
+			em.mu.Unlock()
 			if down {
 				writeStatus(c, 503, "")
 				return
 			}
 			if r.URI().QueryArgs().Has("watch") {
-				s.watch(node, c)
+				em.watch(node, c)
 				return
 			}
-			s.mu.Lock()
-			text, _ := json.Marshal(s.fullList())
-			s.mu.Unlock()
+			em.mu.Lock()
+			text, _ := json.Marshal(em.fullList())
+			em.mu.Unlock()
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s\n", len(text)+1, text)
 		default:
 			writeStatus(c, 404, "")
@@ -179,57 +180,57 @@
 	}
 }
 
-// watch tells a node the list and what changes in it.
-func (s *Emulator) watch(node int32, c net.Conn) {
+// watch streams the list and its changes to a node. It returns when the connection fails or the directory goes down.
+func (em *Emulator) watch(node int32, c net.Conn) {
 	if _, err := c.Write([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")); err != nil {
 		return
 	}
-	line := func(text []byte) error {
+	writeLine := func(text []byte) error {
 		_, err := fmt.Fprintf(c, "%x\r\n%s\n\r\n", len(text)+1, text)
 		return err
 	}
-	s.mu.Lock()
-	at, bell, all := len(s.changes), s.directoryChanged, s.fullList()
-	s.recordDrains(node, s.changes)
-	s.mu.Unlock()
-	text, _ := json.Marshal(all)
-	if line(text) != nil {
+	em.mu.Lock()
+	published, changed, full := len(em.changes), em.directoryChanged, em.fullList()
+	em.recordDrains(node, em.changes)
+	em.mu.Unlock()
+	text, _ := json.Marshal(full)
+	if writeLine(text) != nil {
 		return
 	}
 	for {
 		select {
-		case <-bell:
+		case <-changed:
 		case <-time.After(watchKeepAlive):
 		}
-		s.mu.Lock()
-		if s.stopped || s.directoryDown > 0 {
-			s.mu.Unlock()
+		em.mu.Lock()
+		if em.stopped || em.directoryDown > 0 {
+			em.mu.Unlock()
 			return
 		}
-		news := s.changes[at:]
-		l := hostList{Seq: len(s.changes) + 1}
-		for _, n := range news {
-			l.Hosts = append(l.Hosts, s.hostEntry(n.ep, n.state))
+		changes := em.changes[published:]
+		list := hostList{Seq: len(em.changes) + 1}
+		for _, change := range changes {
+			list.Hosts = append(list.Hosts, em.hostEntry(change.ep, change.state))
 		}
-		at, bell = len(s.changes), s.directoryChanged
-		s.mu.Unlock()
+		published, changed = len(em.changes), em.directoryChanged
+		em.mu.Unlock()
 		text = nil
-		if len(news) > 0 {
-			text, _ = json.Marshal(l)
+		if len(changes) > 0 {
+			text, _ = json.Marshal(list)
 		}
-		if line(text) != nil {
+		if writeLine(text) != nil {
 			return
 		}
-		s.mu.Lock()
-		s.recordDrains(node, news)
-		s.mu.Unlock()
+		em.mu.Lock()
+		em.recordDrains(node, changes)
+		em.mu.Unlock()
 	}
 }
 
-// handleNotices takes the ends of events that were taken on and not delivered.
-func (s *Emulator) handleNotices(body string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// handleNotices handles the notices about accepted events that were not delivered.
+func (em *Emulator) handleNotices(body string) {
+	em.mu.Lock()
+	defer em.mu.Unlock()
 	for text := range strings.SplitSeq(strings.TrimSpace(body), "\n") {
 		var n struct {
 			ID, Status string
@@ -238,17 +239,17 @@
 		if json.Unmarshal([]byte(text), &n) != nil {
 			continue
 		}
-		e := s.events[n.ID]
-		if s.acceptUnknown && e == nil {
-			s.logf("notice: event %s %s", n.ID, n.Status)
+		e := em.events[n.ID]
+		if em.acceptUnknown && e == nil {
+			em.logf("notice: event %s %s", n.ID, n.Status)
 		}
-		if e == nil || e.ended { // one for an event that is over does no harm
+		if e == nil || e.ended { // a repeated or late notice is ignored
 			continue
 		}
 		e.ended = true
-		s.logf("notice: event %s %s", n.ID, n.Status)
+		em.logf("notice: event %s %s", n.ID, n.Status)
 		if e.abandoned {
-			s.releaseIfDone(e)
+			em.releaseIfDone(e)
 			continue
 		}
 		end := ledger.Discarded
@@ -258,7 +259,7 @@
 				e.retry(n.Again * 1e6)
 			}
 		}
-		s.checker.Finish(s.now(), e.index, end)
-		s.releaseIfDone(e)
+		em.checker.Finish(em.now(), e.index, end)
+		em.releaseIfDone(e)
 	}
 }
--- a/lab/emulator/emulator.go
+++ b/lab/emulator/emulator.go
@@ -1,6 +1,6 @@
-// Package loopback plays a scenario in real time on loopback sockets, for real delivery nodes: destinations,
-// directory, platform and clients. Destinations are those of package partner and the judge is package ledger,
-// so that a run here and one in virtual time differ by the sockets alone. It listens on 127.0.0.1 only.
+// Package emulator runs a scenario in real time against node processes, over loopback sockets. It emulates destinations,
+// directory, platform and clients. It shares the destination model and the rule checker with the simulator, so that
+// a run here differs from a simulated one only by the real nodes and sockets. It listens on 127.0.0.1 only.
 package emulator
 
 import (
@@ -21,26 +21,26 @@
 )
 
 const (
-	retryAfterGrace   = 100 * time.Millisecond // so soon after a wait was told calls are let through: the protocol's
-	drainGrace        = 50 * time.Millisecond  // every time limit is so much longer on sockets: the protocol's
-	endpointDrainTime = 3 * time.Second        // an endpoint that drains is gone after so long
-	maxBodySize       = 64 << 10               // bytes of a body: the protocol's
-	watchKeepAlive    = 2 * time.Second        // a watch shows a sign of life: the protocol's
+	retryAfterGrace   = 100 * time.Millisecond // after a retry-after time calls are tolerated so long; set by the protocol
+	drainGrace        = 50 * time.Millisecond  // tolerance added to time limits on sockets; set by the protocol
+	endpointDrainTime = 3 * time.Second        // from the end of the drain grace until a draining endpoint is gone
+	maxBodySize       = 64 << 10               // bytes; set by the protocol
+	watchKeepAlive    = 2 * time.Second        // interval of empty lines on an unchanged watch; set by the protocol
 )
 
-// event is an event that a client handed in.
+// event is an event that a client submitted to a node.
 type event struct {
-	index     int32 // the ledger's
+	index     int32 // of the event in the checker; 0 for none
 	node      int32
 	workTime  int64
 	sendCount int
-	refs      int  // calls at endpoints that know it
-	ended     bool // nothing more is owed
-	abandoned bool // its client gave it up: what is sent for it counts for nothing
+	refs      int  // the client request and the calls at endpoints that refer to it
+	ended     bool // delivered, declined or reported by a notice
+	abandoned bool // its client gave up: its sends are not checked
 	retry     func(comeBack int64)
 }
 
-// Emulator is what delivery nodes meet on one day.
+// Emulator is the environment of the delivery nodes during one run of a scenario.
 type Emulator struct {
 	scenario  *scenario.Scenario
 	startedAt time.Time
@@ -53,20 +53,20 @@
 	random           *rand.Rand
 	listeners        []*endpointListener // by endpoint
 	changes          []endpointChange
-	directoryChanged chan struct{} // closed and made anew when the directory has news
+	directoryChanged chan struct{} // closed and replaced whenever the directory changes
 	directoryDown    int
 	directoryFrozen  int
-	activeFaults     []int // in force
+	activeFaults     []int // indices into scenario.Troubles
 	faultEndpoints   [][]int32
 	faultNodes       [][]int32
 	stopped          bool
-	acceptUnknown    bool // events that no client of the stage handed in are taken, and not judged
+	acceptUnknown    bool // events that the emulator did not submit itself are accepted and not checked
 	seenOutages      map[nodeGroup]int64
 
-	directoryListeners []net.Listener // of each node
+	directoryListeners []net.Listener // by node
 	conns              map[net.Conn]struct{}
 	wg                 sync.WaitGroup
-	logf               func(format string, args ...any) // lines for whoever looks on, or nil
+	logf               func(format string, args ...any) // writes log lines
 }
 
 type endpointChange struct {
@@ -74,117 +74,118 @@
 	state delivery.EndpointState
 }
 
-// endpointListener is an endpoint's listener.
+// endpointListener is the listener of an endpoint with its connections.
 type endpointListener struct {
 	address  string
 	listener net.Listener
 	conns    map[net.Conn]struct{}
 }
 
-// Open opens the sockets of a scenario. tell may be nil.
-func Open(day *scenario.Scenario, seed, luck uint64, tell func(format string, args ...any)) (*Emulator, error) {
-	if tell == nil {
-		tell = func(string, ...any) {}
+// Open opens the sockets that a scenario needs. logf may be nil.
+func Open(sc *scenario.Scenario, seed, luck uint64, logf func(format string, args ...any)) (*Emulator, error) {
+	if logf == nil {
+		logf = func(string, ...any) {}
 	}
-	s := &Emulator{scenario: day, startedAt: time.Now(), destinations: destination.New(day, seed, luck), checker: ledger.New(day),
-		events: make(
-			map[string]*event,
-		), random: rand.New(rand.NewPCG(seed, 0x57a6+luck)), directoryChanged: make(chan struct{}),
-		conns: make(map[net.Conn]struct{}), seenOutages: make(map[nodeGroup]int64), logf: tell}
-	s.eventTable.Take("") // 0 stands for none
-	for ep := range s.destinations.Endpoints {
-		if err := s.openEndpoint(int32(ep)); err != nil {
-			s.Close()
+	em := &Emulator{scenario: sc, startedAt: time.Now(), destinations: destination.New(sc, seed, luck),
+		checker: ledger.New(sc), events: make(map[string]*event),
+		random: rand.New(rand.NewPCG(seed, 0x57a6+luck)), directoryChanged: make(chan struct{}),
+		conns: make(map[net.Conn]struct{}), seenOutages: make(map[nodeGroup]int64), logf: logf}
+	em.eventTable.Take("") // reserves index 0
+	for ep := range em.destinations.Endpoints {
+		if err := em.openEndpoint(int32(ep)); err != nil {
+			em.Close()
 			return nil, err
 		}
 	}
-	for range day.Fleet.Nodes {
+	for range sc.Fleet.Nodes {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			s.Close()
+			em.Close()
 			return nil, err
 		}
-		s.directoryListeners = append(s.directoryListeners, l)
+		em.directoryListeners = append(em.directoryListeners, l)
 	}
-	for n, l := range s.directoryListeners {
-		s.wg.Add(1)
-		go s.serveDirectory(int32(n), l)
+	for n, l := range em.directoryListeners {
+		em.wg.Add(1)
+		go em.serveDirectory(int32(n), l)
 	}
-	s.drawFaults(seed)
-	return s, nil
+	em.drawFaults(seed)
+	return em, nil
 }
 
-// AcceptUnknownEvents lets the stage take events that none of its own clients handed in; they are not judged.
-func (s *Emulator) AcceptUnknownEvents() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.acceptUnknown = true
+// AcceptUnknownEvents makes endpoints accept events that the emulator did not submit itself. They are not checked.
+func (em *Emulator) AcceptUnknownEvents() {
+	em.mu.Lock()
+	defer em.mu.Unlock()
+	em.acceptUnknown = true
 }
 
-// OnDelivery has a function hear the time from each asking to its delivery; it is called before Play.
-func (s *Emulator) OnDelivery(hear func(typ int, took int64)) { s.checker.Latency = hear }
+// OnDelivery sets a function that receives the stream type of each delivered event and the time from its arrival to its
+// delivery. It must be called before Run.
+func (em *Emulator) OnDelivery(record func(typ int, took int64)) { em.checker.Latency = record }
 
-// Start sets the day's time to 0 and starts its troubles.
-func (s *Emulator) Start(ctx context.Context, nodes *Nodes) {
-	s.mu.Lock()
-	s.startedAt = time.Now()
-	s.mu.Unlock()
-	s.scheduleFaults(ctx, nodes)
+// Start sets the scenario time to 0 and schedules the faults.
+func (em *Emulator) Start(ctx context.Context, nodes *Nodes) {
+	em.mu.Lock()
+	em.startedAt = time.Now()
+	em.mu.Unlock()
+	em.scheduleFaults(ctx, nodes)
 }
 
-// now is the day's time in ns.
-func (s *Emulator) now() int64 { return int64(time.Since(s.startedAt)) }
+// now returns the scenario time in ns.
+func (em *Emulator) now() int64 { return int64(time.Since(em.startedAt)) }
 
-// DirectoryAddress is the address of a node's directory, which takes the notices too.
-func (s *Emulator) DirectoryAddress(node int) string {
-	return s.directoryListeners[node].Addr().String()
+// DirectoryAddress returns the address of a node's directory, which also receives the node's notices.
+func (em *Emulator) DirectoryAddress(node int) string {
+	return em.directoryListeners[node].Addr().String()
 }
 
-// openEndpoint listens for an endpoint, at its former address if it had one.
-func (s *Emulator) openEndpoint(ep int32) error {
+// openEndpoint starts the listener of an endpoint, at its former address if it had one. The lock is held, or the
+// emulator is not yet in use.
+func (em *Emulator) openEndpoint(ep int32) error {
 	address := "127.0.0.1:0"
-	if int(ep) < len(s.listeners) {
-		address = s.listeners[ep].address
+	if int(ep) < len(em.listeners) {
+		address = em.listeners[ep].address
 	}
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
 	}
-	g := &endpointListener{address: l.Addr().String(), listener: l, conns: make(map[net.Conn]struct{})}
-	if int(ep) < len(s.listeners) {
-		s.listeners[ep] = g
+	el := &endpointListener{address: l.Addr().String(), listener: l, conns: make(map[net.Conn]struct{})}
+	if int(ep) < len(em.listeners) {
+		em.listeners[ep] = el
 	} else {
-		s.listeners = append(s.listeners, g)
+		em.listeners = append(em.listeners, el)
 	}
-	s.wg.Add(1)
+	em.wg.Add(1)
 	go func() {
-		defer s.wg.Done()
+		defer em.wg.Done()
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				if errors.Is(err, net.ErrClosed) {
 					return
 				}
-				time.Sleep(5 * time.Millisecond) // short of descriptors: it goes on when some are free
+				time.Sleep(5 * time.Millisecond) // descriptors exhausted: retry until some are free
 				continue
 			}
-			s.wg.Add(1)
-			go s.serveEndpoint(ep, g, c)
+			em.wg.Add(1)
+			go em.serveEndpoint(ep, el, c)
 		}
 	}()
 	return nil
 }
 
-// closeEndpoint refuses connections and resets those that are open.
-func (s *Emulator) closeEndpoint(ep int32) {
-	g := s.listeners[ep]
-	g.listener.Close()
-	for c := range g.conns {
+// closeEndpoint stops the listener of an endpoint and resets its connections. The lock is held.
+func (em *Emulator) closeEndpoint(ep int32) {
+	el := em.listeners[ep]
+	el.listener.Close()
+	for c := range el.conns {
 		resetConnection(c)
 	}
 }
 
-// resetConnection closes a connection with a resetConnection.
+// resetConnection closes a connection with a TCP reset.
 func resetConnection(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		t.SetLinger(0)
@@ -192,33 +193,33 @@
 	c.Close()
 }
 
-// serveEndpoint serves one connection.
-func (s *Emulator) serveEndpoint(ep int32, g *endpointListener, c net.Conn) {
-	defer s.wg.Done()
-	s.mu.Lock()
-	link := destination.ConnectRefused
-	if !s.stopped {
-		link = s.destinations.Connect(s.now(), ep)
+// serveEndpoint serves one connection to an endpoint.
+func (em *Emulator) serveEndpoint(ep int32, el *endpointListener, c net.Conn) {
+	defer em.wg.Done()
+	em.mu.Lock()
+	result := destination.ConnectRefused
+	if !em.stopped {
+		result = em.destinations.Connect(em.now(), ep)
 	}
-	epoch, kind := s.destinations.Endpoints[ep].Epoch, s.destinations.Endpoints[ep].Kind
-	g.conns[c] = struct{}{}
-	s.mu.Unlock()
+	epoch, kind := em.destinations.Endpoints[ep].Epoch, em.destinations.Endpoints[ep].Kind
+	el.conns[c] = struct{}{}
+	em.mu.Unlock()
 	defer func() {
-		s.mu.Lock()
-		delete(g.conns, c)
-		if link == destination.Connected {
-			s.destinations.Close(ep, epoch)
+		em.mu.Lock()
+		delete(el.conns, c)
+		if result == destination.Connected {
+			em.destinations.Close(ep, epoch)
 		}
-		s.mu.Unlock()
+		em.mu.Unlock()
 		c.Close()
 	}()
-	p := &s.scenario.Partners[kind]
-	switch link {
+	p := &em.scenario.Partners[kind]
+	switch result {
 	case destination.ConnectRefused:
 		resetConnection(c)
 		return
 	case destination.ConnectUnanswered:
-		for s.endpointMode(ep) == destination.Unreachable {
+		for em.endpointMode(ep) == destination.Unreachable {
 			time.Sleep(20 * time.Millisecond)
 		}
 		resetConnection(c)
@@ -234,81 +235,81 @@
 		if first {
 			time.Sleep(time.Duration(p.Handshake))
 		}
-		if !s.serveCall(ep, epoch, c, in, r) {
+		if !em.serveCall(ep, epoch, c, in, r) {
 			return
 		}
 	}
 }
 
-func (s *Emulator) endpointMode(ep int32) destination.Mode {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.stopped {
+func (em *Emulator) endpointMode(ep int32) destination.Mode {
+	em.mu.Lock()
+	defer em.mu.Unlock()
+	if em.stopped {
 		return destination.Down
 	}
-	return s.destinations.Endpoints[ep].Mode
+	return em.destinations.Endpoints[ep].Mode
 }
 
-// serveCall plays one serveCall; false ends the connection.
-func (s *Emulator) serveCall(ep int32, epoch uint32, c net.Conn, in *bufio.Reader, r *callRequest) bool {
-	s.mu.Lock()
-	now := s.now()
-	lane := s.destinations.GroupOf(ep)
+// serveCall handles one call. It returns false if the connection must be closed.
+func (em *Emulator) serveCall(ep int32, epoch uint32, c net.Conn, in *bufio.Reader, r *callRequest) bool {
+	em.mu.Lock()
+	now := em.now()
+	group := em.destinations.GroupOf(ep)
 	var node int32 = -1
 	var sends []callSend
 	work := int64(0)
 	for _, id := range r.ids {
-		e := s.events[id]
-		if e == nil && s.acceptUnknown {
-			e = &event{abandoned: true, node: -1, workTime: int64(s.scenario.Types[0].Work)}
+		e := em.events[id]
+		if e == nil && em.acceptUnknown {
+			e = &event{abandoned: true, node: -1, workTime: int64(em.scenario.Types[0].Work)}
 		}
 		if e == nil {
-			s.mu.Unlock()
+			em.mu.Unlock()
 			writeStatus(c, 400, "")
 			return false
 		}
 		e.refs++
 		node, work = e.node, max(work, e.workTime)
-		o := callSend{event: e, index: e.sendCount}
+		send := callSend{event: e, index: e.sendCount}
 		e.sendCount++
 		if !e.abandoned {
-			s.checker.Begin(now, e.index, ep, lane)
+			em.checker.Begin(now, e.index, ep, group)
 		}
-		sends = append(sends, o)
+		sends = append(sends, send)
 	}
 	work += work / 4 * int64(len(sends)-1)
-	falls := len(s.destinations.Overloads)
-	f := s.destinations.StartCall(now, ep, node >= 0 && s.sawOutage(node, lane), work, len(sends))
-	fell := len(s.destinations.Overloads) > falls
-	if fell {
-		x := s.destinations.Overloads[falls]
-		s.checker.Fell(now, x.Dest, x.Offered, x.Informed, x.Allowed)
+	overloads := len(em.destinations.Overloads)
+	result := em.destinations.StartCall(now, ep, node >= 0 && em.sawOutage(node, group), work, len(sends))
+	overloaded := len(em.destinations.Overloads) > overloads
+	if overloaded {
+		overload := em.destinations.Overloads[overloads]
+		em.checker.Fell(now, overload.Dest, overload.Offered, overload.Informed, overload.Allowed)
 	}
 	for i := range sends {
-		if f.Ran && !sends[i].event.abandoned {
-			sends[i].duplicate = s.checker.Reach(now, sends[i].event.index)
+		if result.Ran && !sends[i].event.abandoned {
+			sends[i].duplicate = em.checker.Reach(now, sends[i].event.index)
 		}
 	}
-	s.mu.Unlock()
-	defer s.releaseSends(sends)
-	if fell || (f.Answered() && f.Outcome == delivery.Reset && !f.Ran) {
+	em.mu.Unlock()
+	defer em.releaseSends(sends)
+	if overloaded || (result.Answered() && result.Outcome == delivery.Reset && !result.Ran) {
 		resetConnection(c)
 		return false
 	}
-	if !f.Answered() { // until the node closes, or the endpoint's process dies
+	if !result.Answered() { // waits until the node closes the connection or the endpoint is closed
 		c.SetReadDeadline(time.Time{})
 		in.Peek(1)
 		return false
 	}
-	time.Sleep(time.Duration(f.DoneAt - s.now()))
-	s.mu.Lock()
-	runs, answers := s.destinations.FinishCall(ep, epoch)
-	for _, o := range sends {
-		if f.Ran && !o.event.abandoned {
-			s.checker.Run(s.now(), now, o.event.index, runs, o.duplicate)
+	time.Sleep(time.Duration(result.DoneAt - em.now()))
+	em.mu.Lock()
+	runs, answers := em.destinations.FinishCall(ep, epoch)
+	for _, send := range sends {
+		if result.Ran && !send.event.abandoned {
+			em.checker.Run(em.now(), now, send.event.index, runs, send.duplicate)
 		}
 	}
-	s.mu.Unlock()
+	em.mu.Unlock()
 	if !runs {
 		resetConnection(c)
 		return false
@@ -318,115 +319,115 @@
 		in.Peek(1)
 		return false
 	}
-	time.Sleep(time.Duration(f.AnswerDelay))
-	if !stillOpen(c, in) { // the node gave it up
-		s.mu.Lock()
-		s.recordOutcome(sends, ep, lane, node, delivery.TimedOut, 0)
-		s.mu.Unlock()
+	time.Sleep(time.Duration(result.AnswerDelay))
+	if !stillOpen(c, in) { // the node has closed the connection
+		em.mu.Lock()
+		em.recordOutcome(sends, ep, group, node, delivery.TimedOut, 0)
+		em.mu.Unlock()
 		return false
 	}
-	s.mu.Lock()
-	s.recordOutcome(sends, ep, lane, node, f.Outcome, f.RetryAfter)
-	s.mu.Unlock()
-	return writeAnswer(c, r, f)
+	em.mu.Lock()
+	em.recordOutcome(sends, ep, group, node, result.Outcome, result.RetryAfter)
+	em.mu.Unlock()
+	return writeAnswer(c, r, result)
 }
 
-// callSend is one send in a call.
+// callSend is one of the sends in a call.
 type callSend struct {
 	event     *event
 	index     int
-	duplicate bool
+	duplicate bool // the destination recognizes the event and does not run it again
 }
 
-// sawOutage tells whether a node saw a call fail at a lane during its last outage.
-func (s *Emulator) sawOutage(node, lane int32) bool {
-	from, _ := s.destinations.Outage(lane)
-	return from > 0 && s.seenOutage(node, lane) == from
+// sawOutage reports whether a call of a node failed at an endpoint group during the group's last outage.
+func (em *Emulator) sawOutage(node, group int32) bool {
+	from, _ := em.destinations.Outage(group)
+	return from > 0 && em.seenOutage(node, group) == from
 }
 
-// recordOutcome notes what a node hears of the sends of a call; the lock is held.
-func (s *Emulator) recordOutcome(sends []callSend, ep, lane, node int32, how delivery.Outcome, wait int64) {
-	now := s.now()
-	if from, to := s.destinations.Outage(lane); how != delivery.Acked && from > 0 && now < to && node >= 0 {
-		s.recordOutage(node, lane, from)
+// recordOutcome records the outcome of a call that its node gets. The lock is held.
+func (em *Emulator) recordOutcome(sends []callSend, ep, group, node int32, outcome delivery.Outcome, retryAfter int64) {
+	now := em.now()
+	if from, to := em.destinations.Outage(group); outcome != delivery.Acked && from > 0 && now < to && node >= 0 {
+		em.recordOutage(node, group, from)
 	}
-	if wait > 0 && node >= 0 {
-		until := now + wait
+	if retryAfter > 0 && node >= 0 {
+		until := now + retryAfter
 		time.AfterFunc(retryAfterGrace, func() {
-			s.mu.Lock()
-			defer s.mu.Unlock()
-			if left := until - s.now(); left > 0 {
-				s.checker.Wait(s.now(), node, lane, left)
+			em.mu.Lock()
+			defer em.mu.Unlock()
+			if left := until - em.now(); left > 0 {
+				em.checker.Wait(em.now(), node, group, left)
 			}
 		})
 	}
-	for _, o := range sends {
-		e := o.event
-		if s.acceptUnknown {
-			s.logf("a call to endpoint %d: %s", ep, ledger.OutcomeName(how))
+	for _, send := range sends {
+		e := send.event
+		if em.acceptUnknown {
+			em.logf("a call to endpoint %d: %s", ep, ledger.OutcomeName(outcome))
 		}
 		if e.abandoned {
 			continue
 		}
-		s.checker.Hear(now, e.index, o.index, how)
-		if how == delivery.Acked && !e.ended {
+		em.checker.Hear(now, e.index, send.index, outcome)
+		if outcome == delivery.Acked && !e.ended {
 			e.ended = true
-			s.checker.Finish(now, e.index, ledger.Acked)
+			em.checker.Finish(now, e.index, ledger.Acked)
 		}
 	}
 }
 
-// releaseSends lets go of the events of a call that is over.
-func (s *Emulator) releaseSends(sends []callSend) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, o := range sends {
-		o.event.refs--
-		s.releaseIfDone(o.event)
+// releaseSends releases the events of a finished call.
+func (em *Emulator) releaseSends(sends []callSend) {
+	em.mu.Lock()
+	defer em.mu.Unlock()
+	for _, send := range sends {
+		send.event.refs--
+		em.releaseIfDone(send.event)
 	}
 }
 
-// releaseIfDone forgets an event that is over and that no call knows; the lock is held.
-func (s *Emulator) releaseIfDone(e *event) {
-	if (e.ended || e.abandoned) && e.refs == 0 && e.index > 0 { // those of anyone have no number
+// releaseIfDone removes an event that has ended and is no longer referred to. The lock is held.
+func (em *Emulator) releaseIfDone(e *event) {
+	if (e.ended || e.abandoned) && e.refs == 0 && e.index > 0 { // unknown events that were accepted have index 0
 		if !e.abandoned {
-			s.checker.Leave(s.now(), e.index)
+			em.checker.Leave(em.now(), e.index)
 		}
-		delete(s.events, s.eventTable.ID(e.index))
-		s.eventTable.Release(e.index)
+		delete(em.events, em.eventTable.ID(e.index))
+		em.eventTable.Release(e.index)
 		e.index = 0
 	}
 }
 
-// Close ends all and waits for it.
-func (s *Emulator) Close() {
-	s.mu.Lock()
-	s.stopped = true
-	for _, l := range s.directoryListeners {
+// Close closes all listeners and connections and waits for all goroutines to end.
+func (em *Emulator) Close() {
+	em.mu.Lock()
+	em.stopped = true
+	for _, l := range em.directoryListeners {
 		l.Close()
 	}
-	for _, g := range s.listeners {
-		g.listener.Close()
-		for c := range g.conns {
+	for _, el := range em.listeners {
+		el.listener.Close()
+		for c := range el.conns {
 			c.Close()
 		}
 	}
-	for c := range s.conns {
+	for c := range em.conns {
 		c.Close()
 	}
-	close(s.directoryChanged)
-	s.directoryChanged = make(chan struct{})
-	s.mu.Unlock()
-	s.wg.Wait()
+	close(em.directoryChanged)
+	em.directoryChanged = make(chan struct{})
+	em.mu.Unlock()
+	em.wg.Wait()
 }
 
-// Summary sums up the day so far.
-func (s *Emulator) Summary() ledger.Summary {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.checker.Sweep(s.now())
-	return s.checker.Sum()
+// Summary returns the results of the run so far.
+func (em *Emulator) Summary() ledger.Summary {
+	em.mu.Lock()
+	defer em.mu.Unlock()
+	em.checker.Sweep(em.now())
+	return em.checker.Sum()
 }
 
-// newID makes an event's newID.
-func (s *Emulator) newID() string { return fmt.Sprintf("%016x", s.random.Uint64()) }
+// newID returns a random event ID.
+func (em *Emulator) newID() string { return fmt.Sprintf("%016x", em.random.Uint64()) }
--- a/lab/emulator/loopback_test.go
+++ b/lab/emulator/emulator_test.go
@@ -20,7 +20,7 @@
 
 var nodeProgram string
 
-// TestMain builds the delivery node that the days are played with.
+// TestMain builds the delivery node for the tests.
 func TestMain(m *testing.M) {
 	folder, err := os.MkdirTemp("", "lab-")
 	if err == nil {
@@ -46,30 +46,30 @@
 	if err := os.WriteFile(name, []byte("like = \"farm\"\nname = \"day\"\n"+text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	d, err := scenarios.Find(name)
+	sc, err := scenarios.Find(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return d
+	return sc
 }
 
 // runScenario plays a day with real nodes.
-func runScenario(t *testing.T, d *scenario.Scenario) ledger.Summary {
+func runScenario(t *testing.T, sc *scenario.Scenario) ledger.Summary {
 	t.Helper()
-	s, err := Open(d, 3, 0, t.Logf)
+	em, err := Open(sc, 3, 0, t.Logf)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
-	n, err := ConfigureNodes(s, t.TempDir(), "", 0, 1)
+	defer em.Close()
+	nodes, err := ConfigureNodes(em, t.TempDir(), "", 0, 1)
 	if err == nil {
-		err = n.Start(context.Background(), nodeProgram)
+		err = nodes.Start(context.Background(), nodeProgram)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer n.Stop()
-	return s.Run(context.Background(), n, arrival.New(d, 3), 3)
+	defer nodes.Stop()
+	return em.Run(context.Background(), nodes, arrival.New(sc, 3), 3)
 }
 
 const shortScenario = `
@@ -97,8 +97,10 @@
 late_utility = 0.5
 `
 
+// Guards against rule violations of real nodes under faults: a killed and a draining node, lost and unreadable answers,
+// and destinations that refuse connections, do not answer or are replaced.
 func TestNodesKeepRulesUnderFaults(t *testing.T) {
-	d := loadScenario(t, shortScenario+`
+	sc := loadScenario(t, shortScenario+`
 [[trouble]]
 kind = "kill"
 at = "1500ms"
@@ -134,34 +136,34 @@
 destinations = 4
 share = 0.1
 `)
-	sum := runScenario(t, d)
-	for _, b := range sum.Breaks {
-		t.Error(b)
+	sum := runScenario(t, sc)
+	for _, violation := range sum.Breaks {
+		t.Error(violation)
 	}
 	if sum.Asked < 200 || sum.Whole < 0.5 || sum.Outcomes[0] == 0 || sum.Outcomes[5]+sum.Outcomes[8] == 0 {
-		t.Errorf("the day was not played: %+v", sum)
+		t.Errorf("the scenario did not run as expected: %+v", sum)
 	}
 }
 
-// A node that sends all it gets twice must be caught, on sockets as in virtual time.
+// A node that sends each event twice must be reported by the checker, on sockets as in the simulator.
 func TestNodeThatSendsTwiceIsDetected(t *testing.T) {
-	d := loadScenario(t, strings.Replace(shortScenario, "7s", "1s", 1))
-	d.Fleet.Nodes = 1
-	s, err := Open(d, 3, 0, nil)
+	sc := loadScenario(t, strings.Replace(shortScenario, "7s", "1s", 1))
+	sc.Fleet.Nodes = 1
+	em, err := Open(sc, 3, 0, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
+	defer em.Close()
 	node := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		var dest int32
 		fmt.Sscanf(r.Header.Get("X-Envelope"), "dest=%d", &dest)
 		for range 2 {
-			out, _ := http.NewRequest("POST", "http://"+s.listeners[s.destinations.ByDest[dest][0]].address+"/inbox",
+			call, _ := http.NewRequest("POST", "http://"+em.listeners[em.destinations.ByDest[dest][0]].address+"/inbox",
 				strings.NewReader(string(body)))
-			out.Header.Set("Req-Id", r.Header.Get("Req-Id"))
-			if answer, err := http.DefaultClient.Do(out); err == nil {
-				answer.Body.Close()
+			call.Header.Set("Req-Id", r.Header.Get("Req-Id"))
+			if resp, err := http.DefaultClient.Do(call); err == nil {
+				resp.Body.Close()
 			}
 		}
 		w.WriteHeader(http.StatusAccepted)
@@ -173,35 +175,36 @@
 	node.Addr = address
 	go node.ListenAndServe()
 	defer node.Close()
-	n := &Nodes{emulator: s, processes: []*process{{name: "n0", address: address, serving: true}}}
+	nodes := &Nodes{emulator: em, processes: []*process{{name: "n0", address: address, serving: true}}}
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if r, err := http.Get("http://" + address + "/up"); err == nil {
 			r.Body.Close()
 			break
 		}
 	}
-	sum := s.Run(context.Background(), n, arrival.New(d, 3), 3)
-	rules := map[ledger.Rule]int{}
-	for _, b := range sum.Breaks {
-		rules[b.Rule]++
+	sum := em.Run(context.Background(), nodes, arrival.New(sc, 3), 3)
+	violations := map[ledger.Rule]int{}
+	for _, violation := range sum.Breaks {
+		violations[violation.Rule]++
 	}
-	if rules[ledger.OneEnd] == 0 || rules[ledger.Once] == 0 {
-		t.Errorf("%d broken, of rules %v: %+v", sum.Broken, rules, sum)
+	if violations[ledger.OneEnd] == 0 || violations[ledger.Once] == 0 {
+		t.Errorf("%d violations, by rule %v: %+v", sum.Broken, violations, sum)
 	}
 }
 
+// Guards against an unreported startup failure of a node, here caused by an invalid client address.
 func TestNodeStartFailureIsReported(t *testing.T) {
-	d := loadScenario(t, shortScenario)
-	s, err := Open(d, 3, 0, nil)
+	sc := loadScenario(t, shortScenario)
+	em, err := Open(sc, 3, 0, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
-	n, err := ConfigureNodes(s, t.TempDir(), "127.0.0.1:1x", 0, 1)
+	defer em.Close()
+	nodes, err := ConfigureNodes(em, t.TempDir(), "127.0.0.1:1x", 0, 1)
 	if err == nil {
-		err = n.Start(context.Background(), nodeProgram)
+		err = nodes.Start(context.Background(), nodeProgram)
 	}
-	if err == nil || !strings.Contains(err.Error(), "n0 ended at its start") {
+	if err == nil || !strings.Contains(err.Error(), "n0 exited during startup") {
 		t.Errorf("got %v", err)
 	}
 }
--- a/lab/emulator/faults.go
+++ b/lab/emulator/faults.go
@@ -11,38 +11,38 @@
 	"jaspersill/lab/world"
 )
 
-// drawFaults draws whom each trouble meets, as the world in virtual time does from the same seed.
-func (s *Emulator) drawFaults(seed uint64) {
-	whom := rand.New(rand.NewPCG(seed, world.Whom))
-	for i := range s.scenario.Troubles {
-		eps, nodes := world.Meets(&s.scenario.Troubles[i], whom, s.destinations.ByDest, s.scenario.Fleet.Nodes)
-		s.faultEndpoints, s.faultNodes = append(s.faultEndpoints, eps), append(s.faultNodes, nodes)
+// drawFaults draws the endpoints and nodes that each fault affects, the same ones as the simulator with this seed.
+func (em *Emulator) drawFaults(seed uint64) {
+	random := rand.New(rand.NewPCG(seed, world.Whom))
+	for i := range em.scenario.Troubles {
+		eps, nodes := world.Meets(&em.scenario.Troubles[i], random, em.destinations.ByDest, em.scenario.Fleet.Nodes)
+		em.faultEndpoints, em.faultNodes = append(em.faultEndpoints, eps), append(em.faultNodes, nodes)
 	}
 }
 
-// scheduleFaults has the troubles come and go until ctx ends.
-func (s *Emulator) scheduleFaults(ctx context.Context, nodes *Nodes) {
-	for i := range s.scenario.Troubles {
-		t := &s.scenario.Troubles[i]
-		s.wg.Add(1)
+// scheduleFaults starts and ends the faults at their times until ctx is cancelled.
+func (em *Emulator) scheduleFaults(ctx context.Context, nodes *Nodes) {
+	for i := range em.scenario.Troubles {
+		fault := &em.scenario.Troubles[i]
+		em.wg.Add(1)
 		go func() {
-			defer s.wg.Done()
-			until := time.Duration(t.At + t.For)
-			for at := time.Duration(t.At); ; at += time.Duration(t.Every) {
-				if !s.sleepUntil(ctx, at) {
+			defer em.wg.Done()
+			until := time.Duration(fault.At + fault.For)
+			for at := time.Duration(fault.At); ; at += time.Duration(fault.Every) {
+				if !em.sleepUntil(ctx, at) {
 					return
 				}
-				s.startFault(i, nodes, until)
-				if t.For == 0 {
+				em.startFault(i, nodes, until)
+				if fault.For == 0 {
 					return
 				}
 				end := until
-				if t.Every > 0 {
-					end = min(until, at+time.Duration(t.Every)/2)
+				if fault.Every > 0 {
+					end = min(until, at+time.Duration(fault.Every)/2)
 				}
-				going := s.sleepUntil(ctx, end)
-				s.endFault(i, nodes)
-				if !going || t.Every == 0 || at+time.Duration(t.Every) >= until {
+				running := em.sleepUntil(ctx, end)
+				em.endFault(i, nodes)
+				if !running || fault.Every == 0 || at+time.Duration(fault.Every) >= until {
 					return
 				}
 			}
@@ -50,9 +50,9 @@
 	}
 }
 
-// sleepUntil waits until a time of the day; false when ctx ended before.
-func (s *Emulator) sleepUntil(ctx context.Context, at time.Duration) bool {
-	timer := time.NewTimer(at - time.Since(s.startedAt))
+// sleepUntil waits until a scenario time. It returns false if ctx is cancelled before.
+func (em *Emulator) sleepUntil(ctx context.Context, at time.Duration) bool {
+	timer := time.NewTimer(at - time.Since(em.startedAt))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -62,135 +62,141 @@
 	}
 }
 
-func (s *Emulator) startFault(i int, nodes *Nodes, until time.Duration) {
-	t := &s.scenario.Troubles[i]
-	s.logf("trouble: %s begins", t.Kind)
+// startFault applies a fault. until is when it ends for good.
+func (em *Emulator) startFault(i int, nodes *Nodes, until time.Duration) {
+	fault := &em.scenario.Troubles[i]
+	em.logf("fault %s starts", fault.Kind)
 	if nodes != nil {
-		for _, n := range s.faultNodes[i] {
-			switch t.Kind {
+		for _, n := range em.faultNodes[i] {
+			switch fault.Kind {
 			case "kill":
 				nodes.Kill(int(n))
 			case "drain":
 				nodes.Drain(int(n))
 			case "freeze":
-				nodes.Freeze(int(n), until-time.Since(s.startedAt))
+				nodes.Freeze(int(n), until-time.Since(em.startedAt))
 			}
 		}
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.stopped {
+	em.mu.Lock()
+	defer em.mu.Unlock()
+	if em.stopped {
 		return
 	}
-	switch t.Kind {
+	switch fault.Kind {
 	case "directory-down":
-		s.directoryDown++
-		close(s.directoryChanged)
-		s.directoryChanged = make(chan struct{})
+		em.directoryDown++
+		close(em.directoryChanged)
+		em.directoryChanged = make(chan struct{})
 	case "directory-still":
-		s.directoryFrozen++
+		em.directoryFrozen++
 	case "replace":
-		for _, ep := range s.faultEndpoints[i] {
-			s.replaceEndpoint(ep)
+		for _, ep := range em.faultEndpoints[i] {
+			em.replaceEndpoint(ep)
 		}
 	case "kill", "drain", "freeze":
 	default:
-		s.activeFaults = append(s.activeFaults, i)
-		for _, ep := range s.faultEndpoints[i] {
-			s.applyFaults(ep)
+		em.activeFaults = append(em.activeFaults, i)
+		for _, ep := range em.faultEndpoints[i] {
+			em.applyFaults(ep)
 		}
 	}
 }
 
-func (s *Emulator) endFault(i int, nodes *Nodes) {
-	t := &s.scenario.Troubles[i]
-	s.logf("trouble: %s ends", t.Kind)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	switch t.Kind {
+// endFault reverts a fault, for good or until its next period.
+func (em *Emulator) endFault(i int, nodes *Nodes) {
+	fault := &em.scenario.Troubles[i]
+	em.logf("fault %s ends", fault.Kind)
+	em.mu.Lock()
+	defer em.mu.Unlock()
+	switch fault.Kind {
 	case "directory-down":
-		s.directoryDown--
+		em.directoryDown--
 	case "directory-still":
-		s.directoryFrozen--
+		em.directoryFrozen--
 	case "replace", "kill", "drain", "freeze":
 	default:
-		s.activeFaults = slices.DeleteFunc(s.activeFaults, func(j int) bool { return j == i })
-		for _, ep := range s.faultEndpoints[i] {
-			s.applyFaults(ep)
+		em.activeFaults = slices.DeleteFunc(em.activeFaults, func(j int) bool { return j == i })
+		for _, ep := range em.faultEndpoints[i] {
+			em.applyFaults(ep)
 		}
 	}
 }
 
-// applyFaults puts in force what all troubles make of an endpoint; the lock is held.
-func (s *Emulator) applyFaults(ep int32) {
-	var mine []int
-	for _, i := range s.activeFaults {
-		if slices.Contains(s.faultEndpoints[i], ep) {
-			mine = append(mine, i)
+// applyFaults applies the combined effect of all active faults to an endpoint. The lock is held.
+func (em *Emulator) applyFaults(ep int32) {
+	var active []int
+	for _, i := range em.activeFaults {
+		if slices.Contains(em.faultEndpoints[i], ep) {
+			active = append(active, i)
 		}
 	}
-	was := s.destinations.Endpoints[ep].Mode
-	p := world.Together(s.scenario.Troubles, mine)
-	s.destinations.SetFaults(s.now(), ep, p)
+	previousMode := em.destinations.Endpoints[ep].Mode
+	faults := world.Together(em.scenario.Troubles, active)
+	em.destinations.SetFaults(em.now(), ep, faults)
 	switch {
-	case s.stopped:
-	case p.Mode == destination.Down && was != destination.Down:
-		s.closeEndpoint(ep)
-	case p.Mode != destination.Down && was == destination.Down:
-		s.reopenEndpoint(ep)
+	case em.stopped:
+	case faults.Mode == destination.Down && previousMode != destination.Down:
+		em.closeEndpoint(ep)
+	case faults.Mode != destination.Down && previousMode == destination.Down:
+		em.reopenEndpoint(ep)
 	}
 }
 
-// reopenEndpoint listens again; its address may take a moment to be free.
-func (s *Emulator) reopenEndpoint(ep int32) {
-	if s.openEndpoint(ep) == nil {
+// reopenEndpoint starts the listener of an endpoint again. It retries because the address may not be free at once. The
+// lock is held.
+func (em *Emulator) reopenEndpoint(ep int32) {
+	if em.openEndpoint(ep) == nil {
 		return
 	}
 	time.AfterFunc(20*time.Millisecond, func() {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		if !s.stopped && s.destinations.Endpoints[ep].Mode != destination.Down {
-			s.reopenEndpoint(ep)
+		em.mu.Lock()
+		defer em.mu.Unlock()
+		if !em.stopped && em.destinations.Endpoints[ep].Mode != destination.Down {
+			em.reopenEndpoint(ep)
 		}
 	})
 }
 
-// replaceEndpoint lets an endpoint drain, and a new one take its place; the lock is held.
-func (s *Emulator) replaceEndpoint(ep int32) {
-	if e := &s.destinations.Endpoints[ep]; e.Gone || e.Draining {
+// replaceEndpoint drains an endpoint and adds a new one in its place. The lock is held.
+func (em *Emulator) replaceEndpoint(ep int32) {
+	if e := &em.destinations.Endpoints[ep]; e.Gone || e.Draining {
 		return
 	}
-	next := s.destinations.Replace(ep)
-	if err := s.openEndpoint(next); err != nil {
-		s.logf("an endpoint cannot be opened: %v", err)
-		s.destinations.Remove(next)
-		s.listeners = append(s.listeners, &endpointListener{conns: nil})
+	replacement := em.destinations.Replace(ep)
+	if err := em.openEndpoint(replacement); err != nil {
+		em.logf("cannot open the listener of a new endpoint: %v", err)
+		em.destinations.Remove(replacement)
+		em.listeners = append(em.listeners, &endpointListener{conns: nil})
 		return
 	}
-	for i := range s.faultEndpoints {
-		if slices.Contains(s.faultEndpoints[i], ep) && slices.Contains(s.activeFaults, i) {
-			s.faultEndpoints[i] = append(s.faultEndpoints[i], next)
+	for i := range em.faultEndpoints {
+		if slices.Contains(em.faultEndpoints[i], ep) && slices.Contains(em.activeFaults, i) {
+			em.faultEndpoints[i] = append(em.faultEndpoints[i], replacement)
 		}
 	}
-	s.applyFaults(next)
-	s.scheduleDirectoryChange(ep, delivery.Draining)
-	s.scheduleDirectoryChange(next, delivery.Ready)
-	time.AfterFunc(time.Duration(s.scenario.Fleet.Directory+s.scenario.Rules.Grace)+endpointDrainTime, func() {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		if !s.stopped {
-			s.destinations.Remove(ep)
-			s.closeEndpoint(ep)
-			s.scheduleDirectoryChange(ep, delivery.Gone)
+	em.applyFaults(replacement)
+	em.scheduleDirectoryChange(ep, delivery.Draining)
+	em.scheduleDirectoryChange(replacement, delivery.Ready)
+	time.AfterFunc(time.Duration(em.scenario.Fleet.Directory+em.scenario.Rules.Grace)+endpointDrainTime, func() {
+		em.mu.Lock()
+		defer em.mu.Unlock()
+		if !em.stopped {
+			em.destinations.Remove(ep)
+			em.closeEndpoint(ep)
+			em.scheduleDirectoryChange(ep, delivery.Gone)
 		}
 	})
 }
 
-// seenOutage and saw keep the beginning of the last outage that a node met at a lane; the lock is held.
-func (s *Emulator) seenOutage(node, lane int32) int64 { return s.seenOutages[nodeGroup{node, lane}] }
+// seenOutage and recordOutage get and set the start of the last outage that a node saw at an endpoint group. The lock is
+// held.
+func (em *Emulator) seenOutage(node, group int32) int64 {
+	return em.seenOutages[nodeGroup{node, group}]
+}
 
-func (s *Emulator) recordOutage(node, lane int32, from int64) {
-	s.seenOutages[nodeGroup{node, lane}] = from
+func (em *Emulator) recordOutage(node, group int32, from int64) {
+	em.seenOutages[nodeGroup{node, group}] = from
 }
 
 type nodeGroup struct{ node, group int32 }
--- a/lab/emulator/node_bench_test.go
+++ b/lab/emulator/node_bench_test.go
@@ -13,57 +13,57 @@
 	"jaspersill/start"
 )
 
-// BenchmarkNodeUnderLoad has a node in this process, so that its profiles show where its time and its memory
-// go: go test ./lab/loopback -run XXX -bench Node -cpuprofile cpu.out -memprofile mem.out, then pprof with a
-// focus on jaspersill/node, choice and fasthttp's server.
+// BenchmarkNodeUnderLoad runs a node in the test process, so that profiles show where it spends CPU time and memory:
+// go test ./lab/emulator -run XXX -bench Node -cpuprofile cpu.out -memprofile mem.out, then pprof with a focus on
+// jaspersill/node, jaspersill/scheduler and the server of fasthttp.
 func BenchmarkNodeUnderLoad(b *testing.B) {
-	day, err := scenarios.Find("throughput")
+	sc, err := scenarios.Find("throughput")
 	if err != nil {
 		b.Fatal(err)
 	}
-	s, err := Open(day, 1, 0, nil)
+	em, err := Open(sc, 1, 0, nil)
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer s.Close()
-	s.AcceptUnknownEvents()
-	text, err := json.Marshal(NodeSettings(day, 0))
+	defer em.Close()
+	em.AcceptUnknownEvents()
+	text, err := json.Marshal(NodeSettings(sc, 0))
 	if err != nil {
 		b.Fatal(err)
 	}
-	told, err := start.JSON(text)
+	settings, err := start.JSON(text)
 	if err != nil {
 		b.Fatal(err)
 	}
-	told.Directory.RequiresWatch = true
+	settings.Directory.RequiresWatch = true
 	listen, err := freeAddress("tcp")
 	if err != nil {
 		b.Fatal(err)
 	}
 	module := scheduler.New(
 		1,
-		told.Types,
-		told.Partners,
-		told.Room,
-		told.Recovery,
-		told.Directory,
-		told.Fleet,
+		settings.Types,
+		settings.Partners,
+		settings.Room,
+		settings.Recovery,
+		settings.Directory,
+		settings.Fleet,
 		0,
 	)
-	n, err := node.Open(node.Config{Listen: listen, Directory: s.DirectoryAddress(0), StateFolder: b.TempDir()},
-		node.Limits{DiskMB: 64, Sockets: 4096}, node.ClientTimeouts{}, told, module)
+	n, err := node.Open(node.Config{Listen: listen, Directory: em.DirectoryAddress(0), StateFolder: b.TempDir()},
+		node.Limits{DiskMB: 64, Sockets: 4096}, node.ClientTimeouts{}, settings, module)
 	if err != nil {
 		b.Fatal(err)
 	}
 	n.SetDrainTimes(0, 0, 0)
 	ctx, stop := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- n.Run(ctx) }()
+	exited := make(chan error, 1)
+	go func() { exited <- n.Run(ctx) }()
 	time.Sleep(500 * time.Millisecond)
 	var mix []load.Request
 	var weights []float64
-	for i, t := range day.Types {
-		for dest := range day.Partners[0].Destinations {
+	for i, t := range sc.Types {
+		for dest := range sc.Partners[0].Destinations {
 			mix = append(
 				mix,
 				load.Request{Kind: t.Name, Owner: "all", Dest: dest, Left: time.Duration(t.MaxAge),
@@ -83,13 +83,13 @@
 		Weights: weights,
 		Seed:    7,
 	}
-	l, err := load.Run(context.Background(), plan)
+	result, err := load.Run(context.Background(), plan)
 	b.StopTimer()
 	if err != nil {
 		b.Fatal(err)
 	}
-	b.ReportMetric(float64(l.Acked)/b.Elapsed().Seconds(), "events/s")
-	b.ReportMetric(l.Millis[2], "p99-ms")
+	b.ReportMetric(float64(result.Acked)/b.Elapsed().Seconds(), "events/s")
+	b.ReportMetric(result.Millis[2], "p99-ms")
 	stop()
-	<-ended
+	<-exited
 }
--- a/lab/emulator/nodes.go
+++ b/lab/emulator/nodes.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	startTimeout = 20 * time.Second        // a node that does not serve by then failed to start
-	drainTimeout = 3700 * time.Millisecond // from SIGTERM to SIGKILL: the platform's
+	startTimeout = 20 * time.Second        // of a node, until it serves
+	drainTimeout = 3700 * time.Millisecond // from SIGTERM to SIGKILL; set by the platform
 )
 
-// Nodes are delivery nodes that run as processes beside a stage.
+// Nodes are the delivery nodes that run as processes in the environment of an emulator.
 type Nodes struct {
 	emulator  *Emulator
 	program   string
@@ -32,7 +32,7 @@
 	processes []*process
 }
 
-// process is one delivery node.
+// process is the process of one delivery node.
 type process struct {
 	name, address, peerAddress, stateFolder, configFile string
 
@@ -43,9 +43,8 @@
 	stopped bool
 }
 
-// freeAddress finds an address of the loopback that nobody listens on. Danger: until the node listens there, a
-// connection that goes out from 127.0.0.1 may be given the same port; so another address of the loopback is
-// taken where the system has them all.
+// freeAddress returns an unused loopback address. Until the node listens on it, an outgoing connection from 127.0.0.1
+// may be assigned the same port. It therefore uses another address of 127.0.0.0/8 where the system has these.
 func freeAddress(network string) (string, error) {
 	ip := net.IPv4(127, byte(1+rand.IntN(250)), byte(rand.IntN(256)), byte(1+rand.IntN(250)))
 	for _, at := range []string{net.JoinHostPort(ip.String(), "0"), "127.0.0.1:0"} {
@@ -59,16 +58,16 @@
 			return l.Addr().String(), nil
 		}
 	}
-	return "", errors.New("no address of the loopback is free")
+	return "", errors.New("no free loopback address")
 }
 
-// ConfigureNodes writes the configuration of each of a scenario's nodes into a folder, and makes their state
-// folders. memory in MB and cores are told to each, 0 for no limit; listen is where the first one's clients
-// connect, or empty.
-func ConfigureNodes(s *Emulator, folder, listen string, memory, cores float64) (*Nodes, error) {
-	n := &Nodes{emulator: s, folder: folder}
-	var peers, relays []string
-	for i := range s.scenario.Fleet.Nodes {
+// ConfigureNodes writes the configuration of each node of a scenario into a folder and creates the state folders. memory
+// in MB and cores are the limits of each node, 0 for none. listen is the client address of the first node; if it is
+// empty, a free one is chosen.
+func ConfigureNodes(em *Emulator, folder, listen string, memory, cores float64) (*Nodes, error) {
+	n := &Nodes{emulator: em, folder: folder}
+	var peers, relayAddresses []string
+	for i := range em.scenario.Fleet.Nodes {
 		p := &process{name: "n" + strconv.Itoa(i), address: listen}
 		var err error
 		if i > 0 || listen == "" {
@@ -84,12 +83,12 @@
 		n.processes = append(n.processes, p)
 	}
 	for i := range n.processes {
-		if s.scenario.Fleet.Notes && len(peers) > 1 {
-			address, err := s.relayPeerMessages(i, peers)
+		if em.scenario.Fleet.Notes && len(peers) > 1 {
+			address, err := em.relayPeerMessages(i, peers)
 			if err != nil {
 				return nil, err
 			}
-			relays = append(relays, address)
+			relayAddresses = append(relayAddresses, address)
 		}
 	}
 	for i, p := range n.processes {
@@ -98,14 +97,14 @@
 		if err := os.MkdirAll(p.stateFolder, 0o755); err != nil {
 			return nil, err
 		}
-		told := map[string]any{"name": p.name, "listen": p.address, "discovery": s.DirectoryAddress(i),
+		config := map[string]any{"name": p.name, "listen": p.address, "discovery": em.DirectoryAddress(i),
 			"seed":   fmt.Sprintf("%016x", rand.Uint64()),
 			"limits": map[string]any{"cores": cores, "memory_mb": memory, "sockets": 8192, "disk_mb": 64},
-			"known":  map[string]any{"seq": 0, "whole": true, "hosts": []any{}}, "settings": NodeSettings(s.scenario, i)}
-		if len(relays) > 0 {
-			told["peer_listen"], told["peers"], told["peers_all"] = p.peerAddress, relays, relays[i]
+			"known":  map[string]any{"seq": 0, "whole": true, "hosts": []any{}}, "settings": NodeSettings(em.scenario, i)}
+		if len(relayAddresses) > 0 {
+			config["peer_listen"], config["peers"], config["peers_all"] = p.peerAddress, relayAddresses, relayAddresses[i]
 		}
-		text, err := json.MarshalIndent(told, "", " ")
+		text, err := json.MarshalIndent(config, "", " ")
 		if err == nil {
 			err = os.WriteFile(p.configFile, text, 0o600)
 		}
@@ -116,7 +115,7 @@
 	return n, nil
 }
 
-// Start starts the configured nodes as processes of a program and waits until all serve.
+// Start runs program for each configured node and waits until all nodes serve.
 func (n *Nodes) Start(ctx context.Context, program string) error {
 	n.program = program
 	for i := range n.processes {
@@ -134,11 +133,11 @@
 	return nil
 }
 
-// NodeSettings is what a node is told of a scenario, in the platform's names.
-func NodeSettings(day *scenario.Scenario, me int) map[string]any {
-	ms := func(s scenario.Span) float64 { return float64(s) / 1e6 }
+// NodeSettings returns the settings of a node that follow from a scenario, under the platform's names.
+func NodeSettings(sc *scenario.Scenario, self int) map[string]any {
+	ms := func(d scenario.Span) float64 { return float64(d) / 1e6 }
 	var services, projects []any
-	for _, t := range day.Types {
+	for _, t := range sc.Types {
 		semantics := map[string]string{"idempotent": "repeatable", "deduplicated": "by_key",
 			"non-idempotent": "once"}[t.Safety]
 		services = append(services, map[string]any{"name": t.Name, "semantics": semantics, "group": "all",
@@ -147,51 +146,51 @@
 			), "aim_ms": ms(t.SLO), "deadline_ms": ms(t.MaxAge), "value": t.Utility,
 			"late_value": t.Late})
 	}
-	for _, o := range day.Owners {
+	for _, o := range sc.Owners {
 		projects = append(projects, map[string]any{"name": o.Name, "quota_rps": o.Rate})
 	}
-	var models, perCall, routes []any
-	idle, weights := scenario.Span(0), "silent"
-	for _, p := range day.Partners {
-		models, perCall, routes = append(models, p.Name), append(perCall, p.PerCall), append(routes, p.Routes)
+	var models, perCall, ownLimits []any
+	idle, weightKind := scenario.Span(0), "silent"
+	for _, p := range sc.Partners {
+		models, perCall, ownLimits = append(models, p.Name), append(perCall, p.PerCall), append(ownLimits, p.Routes)
 		if idle == 0 || p.IdleFor < idle {
 			idle = p.IdleFor
 		}
 		if p.Rated {
-			weights = "nominal"
+			weightKind = "nominal"
 		}
 	}
 	return map[string]any{
-		"me":             me,
-		"replicas_of_me": day.Fleet.Nodes,
-		"tick_ms":        ms(day.Fleet.Tick),
+		"me":             self,
+		"replicas_of_me": sc.Fleet.Nodes,
+		"tick_ms":        ms(sc.Fleet.Tick),
 		"models":         models,
 		"areas":          []any{"here"},
 		"discovery":      "subscribe",
-		"weight_kind":    weights,
+		"weight_kind":    weightKind,
 		"services":       services,
 		"projects":       projects,
 		"family_info": map[string]any{
-			"slots":      day.Fleet.Slots,
+			"slots":      sc.Fleet.Slots,
 			"per_call":   perCall,
-			"own_limits": routes,
+			"own_limits": ownLimits,
 			"late":       "even",
 		},
 		"feedback": map[string]any{"names": []any{"x0", "x1"}},
-		"ceilings": map[string]any{"max_open": day.Fleet.Events, "max_attempts": day.Fleet.Sends,
-			"may_duplicate": day.Fleet.Copies, "cancel": true, "retry_after": day.Fleet.ComeBack > 0,
+		"ceilings": map[string]any{"max_open": sc.Fleet.Events, "max_attempts": sc.Fleet.Sends,
+			"may_duplicate": sc.Fleet.Copies, "cancel": true, "retry_after": sc.Fleet.ComeBack > 0,
 			"max_retry_after_ms": ms(
-				day.Fleet.ComeBack,
+				sc.Fleet.ComeBack,
 			), "conn_idle_ms": ms(idle), "connect_timeout_ms": 1500,
-			"peer_messages": day.Fleet.Notes},
-		"rules": map[string]any{"cold_share": day.Rules.ColdShare, "ramp_time_ms": ms(day.Rules.WarmAfter),
-			"fall_multiple": day.Rules.FallMultiple, "tip_after_ms": ms(day.Rules.FallAfter),
-			"drain_grace_ms": ms(day.Rules.Grace), "ask_within_ms": ms(day.Rules.AskWithin),
-			"order_pause_ms": ms(day.Rules.OrderPause)},
+			"peer_messages": sc.Fleet.Notes},
+		"rules": map[string]any{"cold_share": sc.Rules.ColdShare, "ramp_time_ms": ms(sc.Rules.WarmAfter),
+			"fall_multiple": sc.Rules.FallMultiple, "tip_after_ms": ms(sc.Rules.FallAfter),
+			"drain_grace_ms": ms(sc.Rules.Grace), "ask_within_ms": ms(sc.Rules.AskWithin),
+			"order_pause_ms": ms(sc.Rules.OrderPause)},
 	}
 }
 
-// startProcess starts one node's process.
+// startProcess starts the process of a node. Its output is appended to a log file.
 func (n *Nodes) startProcess(i int) error {
 	p := n.processes[i]
 	log, err := os.OpenFile(
@@ -209,16 +208,16 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.stopped {
-		return errors.New("the day is over")
+		return errors.New("nodes are stopped")
 	}
 	if err := c.Start(); err != nil {
 		return err
 	}
-	ended := make(chan struct{})
-	p.cmd, p.exited = c, ended
+	exited := make(chan struct{})
+	p.cmd, p.exited = c, exited
 	go func() {
 		c.Wait()
-		close(ended)
+		close(exited)
 	}()
 	return nil
 }
@@ -227,7 +226,7 @@
 func (n *Nodes) waitReady(ctx context.Context, i int) error {
 	p := n.processes[i]
 	p.mu.Lock()
-	ended := p.exited
+	exited := p.exited
 	p.mu.Unlock()
 	for end := time.Now().Add(startTimeout); time.Now().Before(end); {
 		if r, err := http.Get("http://" + p.address + "/up"); err == nil {
@@ -245,35 +244,35 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-ended:
-			return fmt.Errorf("%s ended at its start: see %s.log", p.name, filepath.Join(n.folder, p.name))
+		case <-exited:
+			return fmt.Errorf("%s exited during startup; see %s.log", p.name, filepath.Join(n.folder, p.name))
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
-	return fmt.Errorf("%s does not serve after %v", p.name, startTimeout)
+	return fmt.Errorf("%s was not ready within %v", p.name, startTimeout)
 }
 
-// Files are a node's configuration and its state folder.
+// Files returns the paths of a node's configuration file and state folder.
 func (n *Nodes) Files(i int) (config, state string) {
 	return n.processes[i].configFile, n.processes[i].stateFolder
 }
 
-// Serving lists the nodes that serve.
-func (n *Nodes) Serving() (up []int) {
+// Serving returns the nodes that serve requests.
+func (n *Nodes) Serving() (serving []int) {
 	for i, p := range n.processes {
 		p.mu.Lock()
 		if p.serving {
-			up = append(up, i)
+			serving = append(serving, i)
 		}
 		p.mu.Unlock()
 	}
-	return up
+	return serving
 }
 
-// Address is where a node's clients connect.
+// Address returns a node's address for clients.
 func (n *Nodes) Address(i int) string { return n.processes[i].address }
 
-// PID is a node's process.
+// PID returns the process ID of a node.
 func (n *Nodes) PID(i int) int {
 	p := n.processes[i]
 	p.mu.Lock()
@@ -281,7 +280,8 @@
 	return p.cmd.Process.Pid
 }
 
-// markDown marks a node as one that clients do not go to.
+// markDown takes a node out of the choice of clients. It returns its process and the channel that is closed when the
+// process has exited.
 func (n *Nodes) markDown(i int) (*exec.Cmd, chan struct{}) {
 	p := n.processes[i]
 	p.mu.Lock()
@@ -290,11 +290,11 @@
 	return p.cmd, p.exited
 }
 
-// restart starts a node that ended, after the day's restart time.
+// restart starts an ended node again after the restart time of the scenario.
 func (n *Nodes) restart(i int) {
 	time.AfterFunc(time.Duration(n.emulator.scenario.Fleet.Restart), func() {
 		if err := n.startProcess(i); err != nil {
-			n.emulator.logf("%s does not start again: %v", n.processes[i].name, err)
+			n.emulator.logf("%s failed to restart: %v", n.processes[i].name, err)
 			return
 		}
 		if err := n.waitReady(context.Background(), i); err != nil {
@@ -303,60 +303,60 @@
 	})
 }
 
-// recordDeath tells the ledger that a node's process is gone.
+// recordDeath tells the checker that the process of a node has ended.
 func (n *Nodes) recordDeath(i int) {
 	n.emulator.mu.Lock()
 	defer n.emulator.mu.Unlock()
 	n.emulator.checker.Died(n.emulator.now(), int32(i))
 }
 
-// Kill ends a node's process at once; it starts again.
+// Kill kills the process of a node and schedules its restart.
 func (n *Nodes) Kill(i int) {
-	c, ended := n.markDown(i)
+	c, exited := n.markDown(i)
 	n.emulator.mu.Lock()
 	n.emulator.checker.Away(int32(i))
 	n.emulator.mu.Unlock()
 	c.Process.Kill()
-	<-ended
+	<-exited
 	n.recordDeath(i)
 	n.restart(i)
 }
 
-// Drain asks a node to stop, and starts it again.
+// Drain asks a node to stop, kills it if it has not within drainTimeout, and schedules its restart.
 func (n *Nodes) Drain(i int) {
-	c, ended := n.markDown(i)
+	c, exited := n.markDown(i)
 	n.emulator.mu.Lock()
 	n.emulator.checker.Away(int32(i))
 	n.emulator.mu.Unlock()
 	c.Process.Signal(syscall.SIGTERM)
 	go func() {
 		select {
-		case <-ended:
+		case <-exited:
 		case <-time.After(drainTimeout):
 			c.Process.Kill()
-			<-ended
+			<-exited
 		}
 		n.recordDeath(i)
 		n.restart(i)
 	}()
 }
 
-// Freeze has a node stand still for a time.
-func (n *Nodes) Freeze(i int, long time.Duration) {
+// Freeze suspends the process of a node for a duration.
+func (n *Nodes) Freeze(i int, duration time.Duration) {
 	p := n.processes[i]
 	p.mu.Lock()
 	c := p.cmd
 	p.mu.Unlock()
 	c.Process.Signal(syscall.SIGSTOP)
-	time.AfterFunc(long, func() { c.Process.Signal(syscall.SIGCONT) })
+	time.AfterFunc(duration, func() { c.Process.Signal(syscall.SIGCONT) })
 }
 
-// Stop ends all nodes that this has started.
+// Stop stops all started nodes and waits for their processes to exit.
 func (n *Nodes) Stop() {
 	for _, p := range n.processes {
 		p.mu.Lock()
 		p.stopped, p.serving = true, false
-		c, ended := p.cmd, p.exited
+		c, exited := p.cmd, p.exited
 		p.mu.Unlock()
 		if c == nil {
 			continue
@@ -364,17 +364,18 @@
 		c.Process.Signal(syscall.SIGCONT)
 		c.Process.Signal(syscall.SIGTERM)
 		select {
-		case <-ended:
+		case <-exited:
 		case <-time.After(drainTimeout):
 			c.Process.Kill()
-			<-ended
+			<-exited
 		}
 	}
 }
 
-// relayPeerMessages passes the notes of one node on to the others, or loses them, as the network of the day does. What a
-// node sends to the address returned comes to its peers from there, which is how they know the sender.
-func (s *Emulator) relayPeerMessages(from int, to []string) (string, error) {
+// relayPeerMessages opens a relay that forwards the peer messages of a node to the others, and drops some as the
+// scenario says. The node sends to the returned address. Its peers receive the messages from that address, by
+// which they know the sender.
+func (em *Emulator) relayPeerMessages(from int, to []string) (string, error) {
 	c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return "", err
@@ -390,12 +391,12 @@
 			peers = append(peers, at)
 		}
 	}
-	s.mu.Lock()
-	s.conns[c] = struct{}{}
-	s.mu.Unlock()
-	s.wg.Add(1)
+	em.mu.Lock()
+	em.conns[c] = struct{}{}
+	em.mu.Unlock()
+	em.wg.Add(1)
 	go func() {
-		defer s.wg.Done()
+		defer em.wg.Done()
 		var b [512]byte
 		for {
 			size, _, err := c.ReadFromUDP(b[:])
@@ -403,14 +404,14 @@
 				return
 			}
 			for _, at := range peers {
-				s.mu.Lock()
-				lost := s.random.Float64() < s.scenario.Fleet.NoteLoss
-				for _, i := range s.activeFaults {
-					lost = lost ||
-						(s.scenario.Troubles[i].Kind == "notes-lost" && s.random.Float64() < s.scenario.Troubles[i].Share)
+				em.mu.Lock()
+				dropped := em.random.Float64() < em.scenario.Fleet.NoteLoss
+				for _, i := range em.activeFaults {
+					dropped = dropped ||
+						(em.scenario.Troubles[i].Kind == "notes-lost" && em.random.Float64() < em.scenario.Troubles[i].Share)
 				}
-				s.mu.Unlock()
-				if !lost && err == nil {
+				em.mu.Unlock()
+				if !dropped && err == nil {
 					c.WriteToUDP(b[:size], at)
 				}
 			}
