--- a/lab/emulator/emulator.go
+++ b/lab/emulator/emulator.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	retryAfterGrace   = 100 * time.Millisecond // after a retry-after time calls are tolerated so long; set by the protocol
+	retryAfterGrace   = 100 * time.Millisecond // tolerance for calls right after a retry-after time; set by the protocol
 	drainGrace        = 50 * time.Millisecond  // tolerance added to time limits on sockets; set by the protocol
 	endpointDrainTime = 3 * time.Second        // from the end of the drain grace until a draining endpoint is gone
 	maxBodySize       = 64 << 10               // bytes; set by the protocol
@@ -37,7 +37,7 @@
 	refs      int  // the client request and the calls at endpoints that refer to it
 	ended     bool // delivered, declined or reported by a notice
 	abandoned bool // its client gave up: its sends are not checked
-	retry     func(comeBack int64)
+	retry     func(retryAfter int64)
 }
 
 // Emulator is the environment of the delivery nodes during one run of a scenario.
@@ -56,7 +56,7 @@
 	directoryChanged chan struct{} // closed and replaced whenever the directory changes
 	directoryDown    int
 	directoryFrozen  int
-	activeFaults     []int // indices into scenario.Troubles
+	activeFaults     []int // indices of faults in the scenario
 	faultEndpoints   [][]int32
 	faultNodes       [][]int32
 	stopped          bool
--- a/lab/emulator/emulator_test.go
+++ b/lab/emulator/emulator_test.go
@@ -42,8 +42,8 @@
 
 func loadScenario(t *testing.T, text string) *scenario.Scenario {
 	t.Helper()
-	name := filepath.Join(t.TempDir(), "day.toml")
-	if err := os.WriteFile(name, []byte("like = \"farm\"\nname = \"day\"\n"+text), 0o600); err != nil {
+	name := filepath.Join(t.TempDir(), "test.toml")
+	if err := os.WriteFile(name, []byte("like = \"farm\"\nname = \"test\"\n"+text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	sc, err := scenarios.Find(name)
@@ -53,7 +53,7 @@
 	return sc
 }
 
-// runScenario plays a day with real nodes.
+// runScenario runs a scenario with real nodes.
 func runScenario(t *testing.T, sc *scenario.Scenario) ledger.Summary {
 	t.Helper()
 	em, err := Open(sc, 3, 0, t.Logf)
@@ -145,7 +145,8 @@
 	}
 }
 
-// A node that sends each event twice must be reported by the checker, on sockets as in the simulator.
+// Guards against a checker that misses violations on sockets: a node that sends each event twice must be reported, as in
+// the simulator.
 func TestNodeThatSendsTwiceIsDetected(t *testing.T) {
 	sc := loadScenario(t, strings.Replace(shortScenario, "7s", "1s", 1))
 	sc.Fleet.Nodes = 1
