--- a/lab/destination/destination.go
+++ b/lab/destination/destination.go
@@ -107,7 +107,7 @@
 // seed and different luck have the same destinations.
 func New(sc *scenario.Scenario, seed, luck uint64) *Model {
 	m := &Model{scenario: sc, random: rand.New(rand.NewPCG(seed, 0x70a7)),
-		Refused: make([]int64, len(sc.Partners)), Offered: make([]int64, len(sc.Partners))}
+		Refused: make([]int64, len(sc.DestinationKinds)), Offered: make([]int64, len(sc.DestinationKinds))}
 	rate, work := 0.0, 0.0
 	for _, t := range sc.Types {
 		rate += t.Rate
@@ -116,17 +116,17 @@
 	if m.meanWorkTime = float64(sc.Types[0].Work); rate > 0 {
 		m.meanWorkTime = work / rate
 	}
-	for kind := range sc.Partners {
-		p := &sc.Partners[kind]
+	for kind := range sc.DestinationKinds {
+		p := &sc.DestinationKinds[kind]
 		for range p.Destinations {
 			dest := int32(len(m.ByDest))
 			m.ByDest = append(m.ByDest, nil)
 			workFactor := math.Exp(
-				math.Log(p.PaceLeast) + m.random.Float64()*(math.Log(p.PaceMost)-math.Log(p.PaceLeast)),
+				math.Log(p.MinWorkFactor) + m.random.Float64()*(math.Log(p.MaxWorkFactor)-math.Log(p.MinWorkFactor)),
 			)
 			group := int32(-1)
 			for range p.Endpoints {
-				if group < 0 || p.Routes {
+				if group < 0 || p.LimitPerEndpoint {
 					group = m.addGroup(int32(kind), dest)
 				}
 				m.addEndpoint(int32(kind), dest, group, workFactor)
@@ -138,18 +138,18 @@
 }
 
 func (m *Model) addGroup(kind, dest int32) int32 {
-	p := &m.scenario.Partners[kind]
+	p := &m.scenario.DestinationKinds[kind]
 	g := EndpointGroup{Kind: kind, Dest: dest, Limit: p.Limit, tokens: burst(p.Limit),
 		windowOffset: int64(
-			m.random.Float64() * float64(p.Span),
-		), buckets: make([]bucket, int64(m.scenario.Rules.FallAfter)/bucketWidth+1)}
+			m.random.Float64() * float64(p.LimitWindow),
+		), buckets: make([]bucket, int64(m.scenario.Rules.OverloadAfter)/bucketWidth+1)}
 	m.Groups = append(m.Groups, g)
 	return int32(len(m.Groups) - 1)
 }
 
 // addEndpoint adds an endpoint and returns its index.
 func (m *Model) addEndpoint(kind, dest, group int32, workFactor float64) int32 {
-	p := &m.scenario.Partners[kind]
+	p := &m.scenario.DestinationKinds[kind]
 	ep := int32(len(m.Endpoints))
 	m.Endpoints = append(
 		m.Endpoints,
@@ -184,7 +184,7 @@
 	e := m.Endpoints[ep]
 	m.Endpoints[ep].Draining = true
 	group := e.group
-	if m.scenario.Partners[e.Kind].Routes {
+	if m.scenario.DestinationKinds[e.Kind].LimitPerEndpoint {
 		group = m.addGroup(e.Kind, e.Dest)
 	}
 	return m.addEndpoint(e.Kind, e.Dest, group, e.WorkFactor)
@@ -276,10 +276,10 @@
 	switch {
 	case g.down || now < g.overloadedUntil:
 		return 0
-	case g.warmupStart == 0 || now >= g.warmupStart+int64(r.WarmAfter):
+	case g.warmupStart == 0 || now >= g.warmupStart+int64(r.WarmupTime):
 		return 1
 	}
-	return r.ColdShare + (1-r.ColdShare)*float64(now-g.warmupStart)/float64(r.WarmAfter)
+	return r.ColdShare + (1-r.ColdShare)*float64(now-g.warmupStart)/float64(r.WarmupTime)
 }
 
 // workSpeed returns the speed at which calls are processed, relative to a warm group. A group that is out because it
@@ -303,7 +303,7 @@
 // Connect opens a connection to an endpoint.
 func (m *Model) Connect(now int64, ep int32) ConnectResult {
 	e := &m.Endpoints[ep]
-	maxConnections := m.scenario.Partners[e.Kind].Connections
+	maxConnections := m.scenario.DestinationKinds[e.Kind].MaxConnections
 	switch {
 	case e.Mode == Unreachable:
 		return ConnectUnanswered
@@ -342,9 +342,9 @@
 	g := &m.Groups[e.group]
 	m.Offered[e.Kind]++
 	m.checkOverload(now, e.group, informed)
-	p := &m.scenario.Partners[e.Kind]
+	p := &m.scenario.DestinationKinds[e.Kind]
 	r := CallResult{Outcome: delivery.Refused, DoneAt: now}
-	if p.Reports && p.Limit > 0 {
+	if p.ReportsLimit && p.Limit > 0 {
 		r.Limit, r.LimitLeft = p.Limit, m.reportLimitLeft(now, g, p)
 	}
 	switch {
@@ -365,7 +365,7 @@
 	}
 	if p.Limit > 0 && !m.consumeLimit(now, g, p) {
 		m.Refused[e.Kind]++
-		if m.random.Float64() < p.Told {
+		if m.random.Float64() < p.RetryAfterShare {
 			r.RetryAfter = m.limitRetryAfter(now, g, p)
 		}
 		return r
@@ -421,14 +421,14 @@
 }
 
 // consumeLimit counts a call against the rate limit of a group and reports whether it is within it.
-func (m *Model) consumeLimit(now int64, g *EndpointGroup, p *scenario.Partner) bool {
-	if p.Span > 0 {
-		if start := now - (now+g.windowOffset)%int64(p.Span); start != g.windowStart {
+func (m *Model) consumeLimit(now int64, g *EndpointGroup, p *scenario.DestinationKind) bool {
+	if p.LimitWindow > 0 {
+		if start := now - (now+g.windowOffset)%int64(p.LimitWindow); start != g.windowStart {
 			g.windowStart, g.windowCount = start, 0
 		}
-		maxCalls := max(1, int(math.Round(p.Limit*float64(p.Span)/1e9)))
+		maxCalls := max(1, int(math.Round(p.Limit*float64(p.LimitWindow)/1e9)))
 		if g.windowCount >= maxCalls {
-			if p.RefusedCount {
+			if p.CountRefused {
 				g.windowCount++
 			}
 			return false
@@ -440,7 +440,7 @@
 	g.tokens = min(maxTokens, g.tokens+float64(now-g.tokensUpdatedAt)/1e9*p.Limit)
 	g.tokensUpdatedAt = now
 	if g.tokens < 1 {
-		if p.RefusedCount {
+		if p.CountRefused {
 			g.tokens = max(-maxTokens, g.tokens-1)
 		}
 		return false
@@ -450,23 +450,23 @@
 }
 
 // limitRetryAfter returns the retry-after time of a call refused by the rate limit.
-func (m *Model) limitRetryAfter(now int64, g *EndpointGroup, p *scenario.Partner) int64 {
-	if p.Span > 0 {
-		return max(minRetryAfter, g.windowStart+int64(p.Span)-now)
+func (m *Model) limitRetryAfter(now int64, g *EndpointGroup, p *scenario.DestinationKind) int64 {
+	if p.LimitWindow > 0 {
+		return max(minRetryAfter, g.windowStart+int64(p.LimitWindow)-now)
 	}
 	return max(minRetryAfter, int64((1-g.tokens)/p.Limit*1e9))
 }
 
 // reportLimitLeft returns the share of the rate limit that answers report as left: the value of the last
 // report, which is refreshed once per report interval.
-func (m *Model) reportLimitLeft(now int64, g *EndpointGroup, p *scenario.Partner) float64 {
-	if float64(now)-g.reportedAt < float64(p.ReportAge) && g.reportedAt > 0 {
+func (m *Model) reportLimitLeft(now int64, g *EndpointGroup, p *scenario.DestinationKind) float64 {
+	if float64(now)-g.reportedAt < float64(p.ReportInterval) && g.reportedAt > 0 {
 		return g.reportedLeft
 	}
 	g.reportedAt = float64(now)
-	if p.Span > 0 {
-		maxCalls := math.Max(1, math.Round(p.Limit*float64(p.Span)/1e9))
-		if now-g.windowStart >= int64(p.Span) {
+	if p.LimitWindow > 0 {
+		maxCalls := math.Max(1, math.Round(p.Limit*float64(p.LimitWindow)/1e9))
+		if now-g.windowStart >= int64(p.LimitWindow) {
 			g.reportedLeft = 1
 		} else {
 			g.reportedLeft = max(0, 1-float64(g.windowCount)/maxCalls)
@@ -482,7 +482,7 @@
 // allows.
 func (m *Model) checkOverload(now int64, group int32, informed bool) {
 	g, r := &m.Groups[group], &m.scenario.Rules
-	if g.down || g.warmupStart == 0 || now < g.overloadedUntil || now >= g.warmupStart+int64(r.WarmAfter) {
+	if g.down || g.warmupStart == 0 || now < g.overloadedUntil || now >= g.warmupStart+int64(r.WarmupTime) {
 		return
 	}
 	index := now / bucketWidth
@@ -493,7 +493,7 @@
 	if b.offered++; informed {
 		b.informed++
 	}
-	if now-g.warmupStart < int64(r.FallAfter) {
+	if now-g.warmupStart < int64(r.OverloadAfter) {
 		return
 	}
 	o := Overload{At: now, Group: group, Dest: g.Dest}
@@ -503,14 +503,14 @@
 			o.Informed += b.informed
 		}
 	}
-	midpoint := now - int64(r.FallAfter)/2
-	budget := r.FallMultiple * g.Capacity * m.CapacityShare(midpoint, group) * float64(r.FallAfter) / 1e9
+	midpoint := now - int64(r.OverloadAfter)/2
+	budget := r.OverloadFactor * g.Capacity * m.CapacityShare(midpoint, group) * float64(r.OverloadAfter) / 1e9
 	o.Allowed = budget + overloadDeviations*math.Sqrt(budget) + overloadSpareCalls
 	if float64(o.Offered) <= o.Allowed {
 		return
 	}
 	m.Overloads = append(m.Overloads, o)
-	g.overloadedUntil = now + int64(r.FallenFor)
+	g.overloadedUntil = now + int64(r.OverloadOutage)
 	g.warmupStart, g.outageStart, g.outageEnd = g.overloadedUntil, now, g.overloadedUntil
 	clear(g.buckets)
 	for _, ep := range m.ByDest[g.Dest] {
@@ -533,7 +533,7 @@
 	best, done := int32(-1), never
 	for _, ep := range m.ByDest[dest] {
 		e := &m.Endpoints[ep]
-		g, p := &m.Groups[e.group], &m.scenario.Partners[e.Kind]
+		g, p := &m.Groups[e.group], &m.scenario.DestinationKinds[e.Kind]
 		if e.Gone || e.Draining || e.Mode > Failing || now < g.overloadedUntil ||
 			(e.Mode == Failing && e.failShare > 0.5) ||
 			(avoidFaulty && (e.loseShare > 0 || e.failShare > 0 || e.unreadableShare > 0)) {
@@ -542,7 +542,7 @@
 		if (p.Limit > 0 && !m.withinLimit(now, g, p)) || !m.withinOverload(now, e.group) {
 			continue
 		}
-		if p.Connections > 0 && e.OpenConnections+e.inTransit >= p.Connections && !hasIdleConnection(ep) {
+		if p.MaxConnections > 0 && e.OpenConnections+e.inTransit >= p.MaxConnections && !hasIdleConnection(ep) {
 			continue
 		}
 		freeWorkers := 0
@@ -570,7 +570,7 @@
 // withinOverload reports whether one more call keeps a group that is warming up within the overload rule.
 func (m *Model) withinOverload(now int64, group int32) bool {
 	g, r := &m.Groups[group], &m.scenario.Rules
-	if g.warmupStart == 0 || now >= g.warmupStart+int64(r.WarmAfter) {
+	if g.warmupStart == 0 || now >= g.warmupStart+int64(r.WarmupTime) {
 		return true
 	}
 	offered := g.inTransit + 1
@@ -580,14 +580,14 @@
 			offered += b.offered
 		}
 	}
-	return float64(offered) <= r.FallMultiple*g.Capacity*r.ColdShare*float64(r.FallAfter)/1e9
+	return float64(offered) <= r.OverloadFactor*g.Capacity*r.ColdShare*float64(r.OverloadAfter)/1e9
 }
 
 // withinLimit reports whether the rate limit of a group allows one more call besides those in transit.
-func (m *Model) withinLimit(now int64, g *EndpointGroup, p *scenario.Partner) bool {
-	if p.Span > 0 {
-		maxCalls := max(1, int(math.Round(p.Limit*float64(p.Span)/1e9)))
-		return now-(now+g.windowOffset)%int64(p.Span) != g.windowStart || g.windowCount+g.inTransit < maxCalls
+func (m *Model) withinLimit(now int64, g *EndpointGroup, p *scenario.DestinationKind) bool {
+	if p.LimitWindow > 0 {
+		maxCalls := max(1, int(math.Round(p.Limit*float64(p.LimitWindow)/1e9)))
+		return now-(now+g.windowOffset)%int64(p.LimitWindow) != g.windowStart || g.windowCount+g.inTransit < maxCalls
 	}
 	return g.tokens+float64(now-g.tokensUpdatedAt)/1e9*p.Limit-float64(g.inTransit) >= 1
 }
--- a/lab/emulator/clients.go
+++ b/lab/emulator/clients.go
@@ -9,8 +9,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"jaspersill/lab/arrival"
-	"jaspersill/lab/ledger"
+	"jaspersill/lab/checker"
+	"jaspersill/lab/workload"
 )
 
 const (
@@ -32,7 +32,7 @@
 
 // Run starts the scenario and submits the events of a source at their times, until the source is exhausted or ctx is
 // cancelled. It returns after the last deadline.
-func (em *Emulator) Run(ctx context.Context, nodes *Nodes, source arrival.Source, seed uint64) ledger.Summary {
+func (em *Emulator) Run(ctx context.Context, nodes *Nodes, source workload.Source, seed uint64) checker.Summary {
 	c := &clients{
 		emulator: em,
 		nodes:    nodes,
@@ -64,7 +64,7 @@
 		a.Deadline += em.now() - a.At // a late submission is not the fault of the node
 		a.At = em.now()
 		em.mu.Lock()
-		em.checker.Ask(a.At, int(a.Type), int(a.Owner))
+		em.checker.RecordArrival(a.At, int(a.Type), int(a.Customer))
 		em.mu.Unlock()
 		c.submit(a, 0)
 	}
@@ -75,7 +75,7 @@
 }
 
 // submit submits an event to one of the serving nodes, in the background.
-func (c *clients) submit(a arrival.Asking, retries int) {
+func (c *clients) submit(a workload.Arrival, retries int) {
 	c.wg.Add(1)
 	go func() {
 		defer c.wg.Done()
@@ -83,7 +83,7 @@
 	}()
 }
 
-func (c *clients) trySubmit(a arrival.Asking, retries int) {
+func (c *clients) trySubmit(a workload.Arrival, retries int) {
 	em := c.emulator
 	now := em.now()
 	if now >= a.Deadline {
@@ -102,9 +102,9 @@
 	id := em.newID()
 	e := &event{node: int32(node), workTime: a.Work, refs: 1}
 	e.retry = func(retryAfter int64) { c.scheduleRetry(a, retries, retryAfter) }
-	e.index, _ = em.eventTable.Take(id)
+	e.index, _ = em.eventTable.Acquire(id)
 	em.events[id] = e
-	em.checker.Take(now, e.index, uint64(e.index), e.node, int(a.Type), a.Dest, 0, a.At, a.Deadline)
+	em.checker.RecordAccepted(now, e.index, uint64(e.index), e.node, int(a.Type), a.Dest, 0, a.At, a.Deadline)
 	em.mu.Unlock()
 
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
@@ -116,7 +116,7 @@
 	req.Header.SetHost(c.httpClients[node].Addr)
 	req.Header.Set("Req-Id", id)
 	req.Header.Set("Req-Kind", t.Name)
-	req.Header.Set("Req-Owner", em.scenario.Owners[a.Owner].Name)
+	req.Header.Set("Req-Owner", em.scenario.Customers[a.Customer].Name)
 	req.Header.Set("Req-Deadline-Ms", strconv.FormatInt((a.Deadline-now)/1e6, 10))
 	req.Header.Set("X-Envelope", "dest="+strconv.Itoa(int(a.Dest)))
 	if t.Safety == "deduplicated" {
@@ -134,7 +134,7 @@
 	case err == nil && (status == 503 || status == 429):
 		if !e.ended {
 			e.ended = true
-			em.checker.Finish(now, e.index, ledger.Declined)
+			em.checker.RecordEnd(now, e.index, checker.Declined)
 			retryAfterSeconds, _ := strconv.ParseFloat(string(resp.Header.Peek("Retry-After")), 64)
 			c.scheduleRetry(a, retries, int64(retryAfterSeconds*1e9))
 		}
@@ -150,16 +150,16 @@
 
 // scheduleRetry submits a declined or unanswered event again after retryAfter with jitter; 0 stands for the clients' own
 // retry delay. It does nothing once the retries are used up or the deadline would have passed.
-func (c *clients) scheduleRetry(a arrival.Asking, retries int, retryAfter int64) {
+func (c *clients) scheduleRetry(a workload.Arrival, retries int, retryAfter int64) {
 	k := &c.emulator.scenario.Clients
-	if retries >= k.Again {
+	if retries >= k.MaxRetries {
 		return
 	}
 	if retryAfter <= 0 {
-		retryAfter = int64(k.BackOff)
+		retryAfter = int64(k.RetryDelay)
 	}
 	c.mu.Lock()
-	retryAfter += int64(k.Spread * c.random.Float64() * float64(retryAfter))
+	retryAfter += int64(k.RetryJitter * c.random.Float64() * float64(retryAfter))
 	c.mu.Unlock()
 	if c.emulator.now()+retryAfter < a.Deadline {
 		c.wg.Add(1)
--- a/lab/emulator/directory.go
+++ b/lab/emulator/directory.go
@@ -11,7 +11,7 @@
 	"github.com/valyala/fasthttp"
 
 	"jaspersill/delivery"
-	"jaspersill/lab/ledger"
+	"jaspersill/lab/checker"
 )
 
 // host is an entry of the list of endpoints, in the format of the discovery protocol.
@@ -35,7 +35,7 @@
 // hostEntry returns the directory entry of an endpoint.
 func (em *Emulator) hostEntry(ep int32, state delivery.EndpointState) host {
 	e := &em.destinations.Endpoints[ep]
-	p := &em.scenario.Partners[e.Kind]
+	p := &em.scenario.DestinationKinds[e.Kind]
 	h := host{
 		Host:   fmt.Sprintf("e%d", ep),
 		Dial:   em.listeners[ep].address,
@@ -45,7 +45,7 @@
 		Share:  1,
 		Health: map[delivery.EndpointState]string{delivery.Ready: "Ready", delivery.Draining: "Terminating", delivery.Gone: "Gone"}[state],
 	}
-	if p.Rated {
+	if p.LimitListed {
 		h.Share = p.Limit
 	}
 	return h
@@ -77,7 +77,7 @@
 // addedLater reports whether an endpoint was added during the run.
 func (em *Emulator) addedLater(ep int32) bool {
 	initial := 0
-	for _, p := range em.scenario.Partners {
+	for _, p := range em.scenario.DestinationKinds {
 		initial += p.Destinations * p.Endpoints
 	}
 	return int(ep) >= initial
@@ -101,7 +101,7 @@
 		close(em.directoryChanged)
 		em.directoryChanged = make(chan struct{})
 	}
-	time.AfterFunc(time.Duration(em.scenario.Fleet.Directory), publish)
+	time.AfterFunc(time.Duration(em.scenario.Fleet.DirectoryDelay), publish)
 }
 
 // recordDrains tells the checker, after drainGrace, which endpoints a node was told are draining or gone.
@@ -111,7 +111,7 @@
 			time.AfterFunc(drainGrace, func() {
 				em.mu.Lock()
 				defer em.mu.Unlock()
-				em.checker.Drain(em.now(), node, c.ep)
+				em.checker.RecordDrain(em.now(), node, c.ep)
 			})
 		}
 	}
@@ -252,14 +252,14 @@
 			em.releaseIfDone(e)
 			continue
 		}
-		end := ledger.Discarded
+		end := checker.Discarded
 		if n.Status == "deferred" {
-			end = ledger.Declined
+			end = checker.Declined
 			if e.retry != nil {
 				e.retry(n.Again * 1e6)
 			}
 		}
-		em.checker.Finish(em.now(), e.index, end)
+		em.checker.RecordEnd(em.now(), e.index, end)
 		em.releaseIfDone(e)
 	}
 }
--- a/lab/emulator/emulator.go
+++ b/lab/emulator/emulator.go
@@ -14,9 +14,9 @@
 	"time"
 
 	"jaspersill/delivery"
-	"jaspersill/door"
+	"jaspersill/idmap"
+	"jaspersill/lab/checker"
 	"jaspersill/lab/destination"
-	"jaspersill/lab/ledger"
 	"jaspersill/lab/scenario"
 )
 
@@ -47,9 +47,9 @@
 
 	mu               sync.Mutex
 	destinations     *destination.Model
-	checker          *ledger.Ledger
+	checker          *checker.Checker
 	events           map[string]*event
-	eventTable       door.Table[string]
+	eventTable       idmap.Table[string]
 	random           *rand.Rand
 	listeners        []*endpointListener // by endpoint
 	changes          []endpointChange
@@ -87,10 +87,10 @@
 		logf = func(string, ...any) {}
 	}
 	em := &Emulator{scenario: sc, startedAt: time.Now(), destinations: destination.New(sc, seed, luck),
-		checker: ledger.New(sc), events: make(map[string]*event),
+		checker: checker.New(sc), events: make(map[string]*event),
 		random: rand.New(rand.NewPCG(seed, 0x57a6+luck)), directoryChanged: make(chan struct{}),
 		conns: make(map[net.Conn]struct{}), seenOutages: make(map[nodeGroup]int64), logf: logf}
-	em.eventTable.Take("") // reserves index 0
+	em.eventTable.Acquire("") // reserves index 0
 	for ep := range em.destinations.Endpoints {
 		if err := em.openEndpoint(int32(ep)); err != nil {
 			em.Close()
@@ -122,7 +122,7 @@
 
 // OnDelivery sets a function that receives the stream type of each delivered event and the time from its arrival to its
 // delivery. It must be called before Run.
-func (em *Emulator) OnDelivery(record func(typ int, took int64)) { em.checker.Latency = record }
+func (em *Emulator) OnDelivery(record func(typ int, took int64)) { em.checker.OnDelivery = record }
 
 // Start sets the scenario time to 0 and schedules the faults.
 func (em *Emulator) Start(ctx context.Context, nodes *Nodes) {
@@ -213,7 +213,7 @@
 		em.mu.Unlock()
 		c.Close()
 	}()
-	p := &em.scenario.Partners[kind]
+	p := &em.scenario.DestinationKinds[kind]
 	switch result {
 	case destination.ConnectRefused:
 		resetConnection(c)
@@ -227,7 +227,7 @@
 	}
 	in := bufio.NewReaderSize(c, 4096)
 	for first := true; ; first = false {
-		c.SetReadDeadline(time.Now().Add(time.Duration(p.IdleFor)))
+		c.SetReadDeadline(time.Now().Add(time.Duration(p.IdleTimeout)))
 		r, err := readCall(in)
 		if err != nil {
 			return
@@ -273,7 +273,7 @@
 		send := callSend{event: e, index: e.sendCount}
 		e.sendCount++
 		if !e.abandoned {
-			em.checker.Begin(now, e.index, ep, group)
+			em.checker.RecordSend(now, e.index, ep, group)
 		}
 		sends = append(sends, send)
 	}
@@ -283,11 +283,11 @@
 	overloaded := len(em.destinations.Overloads) > overloads
 	if overloaded {
 		overload := em.destinations.Overloads[overloads]
-		em.checker.Fell(now, overload.Dest, overload.Offered, overload.Informed, overload.Allowed)
+		em.checker.RecordOverload(now, overload.Dest, overload.Offered, overload.Informed, overload.Allowed)
 	}
 	for i := range sends {
 		if result.Ran && !sends[i].event.abandoned {
-			sends[i].duplicate = em.checker.Reach(now, sends[i].event.index)
+			sends[i].duplicate = em.checker.RecordCallReceived(now, sends[i].event.index)
 		}
 	}
 	em.mu.Unlock()
@@ -306,7 +306,7 @@
 	runs, answers := em.destinations.FinishCall(ep, epoch)
 	for _, send := range sends {
 		if result.Ran && !send.event.abandoned {
-			em.checker.Run(em.now(), now, send.event.index, runs, send.duplicate)
+			em.checker.RecordCallDone(em.now(), now, send.event.index, runs, send.duplicate)
 		}
 	}
 	em.mu.Unlock()
@@ -357,22 +357,22 @@
 			em.mu.Lock()
 			defer em.mu.Unlock()
 			if left := until - em.now(); left > 0 {
-				em.checker.Wait(em.now(), node, group, left)
+				em.checker.RecordRetryAfter(em.now(), node, group, left)
 			}
 		})
 	}
 	for _, send := range sends {
 		e := send.event
 		if em.acceptUnknown {
-			em.logf("a call to endpoint %d: %s", ep, ledger.OutcomeName(outcome))
+			em.logf("a call to endpoint %d: %s", ep, checker.OutcomeName(outcome))
 		}
 		if e.abandoned {
 			continue
 		}
-		em.checker.Hear(now, e.index, send.index, outcome)
+		em.checker.RecordOutcome(now, e.index, send.index, outcome)
 		if outcome == delivery.Acked && !e.ended {
 			e.ended = true
-			em.checker.Finish(now, e.index, ledger.Acked)
+			em.checker.RecordEnd(now, e.index, checker.Acked)
 		}
 	}
 }
@@ -391,7 +391,7 @@
 func (em *Emulator) releaseIfDone(e *event) {
 	if (e.ended || e.abandoned) && e.refs == 0 && e.index > 0 { // unknown events that were accepted have index 0
 		if !e.abandoned {
-			em.checker.Leave(em.now(), e.index)
+			em.checker.Release(em.now(), e.index)
 		}
 		delete(em.events, em.eventTable.ID(e.index))
 		em.eventTable.Release(e.index)
@@ -422,11 +422,11 @@
 }
 
 // Summary returns the results of the run so far.
-func (em *Emulator) Summary() ledger.Summary {
+func (em *Emulator) Summary() checker.Summary {
 	em.mu.Lock()
 	defer em.mu.Unlock()
-	em.checker.Sweep(em.now())
-	return em.checker.Sum()
+	em.checker.CheckOverdue(em.now())
+	return em.checker.Summary()
 }
 
 // newID returns a random event ID.
--- a/lab/emulator/emulator_test.go
+++ b/lab/emulator/emulator_test.go
@@ -12,10 +12,10 @@
 	"testing"
 	"time"
 
-	"jaspersill/lab/arrival"
-	"jaspersill/lab/ledger"
+	"jaspersill/lab/checker"
 	"jaspersill/lab/scenario"
 	"jaspersill/lab/scenarios"
+	"jaspersill/lab/workload"
 )
 
 var nodeProgram string
@@ -54,7 +54,7 @@
 }
 
 // runScenario runs a scenario with real nodes.
-func runScenario(t *testing.T, sc *scenario.Scenario) ledger.Summary {
+func runScenario(t *testing.T, sc *scenario.Scenario) checker.Summary {
 	t.Helper()
 	em, err := Open(sc, 3, 0, t.Logf)
 	if err != nil {
@@ -69,7 +69,7 @@
 		t.Fatal(err)
 	}
 	defer nodes.Stop()
-	return em.Run(context.Background(), nodes, arrival.New(sc, 3), 3)
+	return em.Run(context.Background(), nodes, workload.NewGenerator(sc, 3), 3)
 }
 
 const shortScenario = `
@@ -137,10 +137,10 @@
 share = 0.1
 `)
 	sum := runScenario(t, sc)
-	for _, violation := range sum.Breaks {
+	for _, violation := range sum.Violations {
 		t.Error(violation)
 	}
-	if sum.Asked < 200 || sum.Whole < 0.5 || sum.Outcomes[0] == 0 || sum.Outcomes[5]+sum.Outcomes[8] == 0 {
+	if sum.Arrivals < 200 || sum.Overall < 0.5 || sum.Outcomes[0] == 0 || sum.Outcomes[5]+sum.Outcomes[8] == 0 {
 		t.Errorf("the scenario did not run as expected: %+v", sum)
 	}
 }
@@ -183,13 +183,13 @@
 			break
 		}
 	}
-	sum := em.Run(context.Background(), nodes, arrival.New(sc, 3), 3)
-	violations := map[ledger.Rule]int{}
-	for _, violation := range sum.Breaks {
+	sum := em.Run(context.Background(), nodes, workload.NewGenerator(sc, 3), 3)
+	violations := map[checker.Rule]int{}
+	for _, violation := range sum.Violations {
 		violations[violation.Rule]++
 	}
-	if violations[ledger.OneEnd] == 0 || violations[ledger.Once] == 0 {
-		t.Errorf("%d violations, by rule %v: %+v", sum.Broken, violations, sum)
+	if violations[checker.RuleSingleEnd] == 0 || violations[checker.RuleSingleEffect] == 0 {
+		t.Errorf("%d violations, by rule %v: %+v", sum.ViolationCount, violations, sum)
 	}
 }
 
--- a/lab/emulator/faults.go
+++ b/lab/emulator/faults.go
@@ -8,41 +8,41 @@
 
 	"jaspersill/delivery"
 	"jaspersill/lab/destination"
-	"jaspersill/lab/world"
+	"jaspersill/lab/simulator"
 )
 
 // drawFaults draws the endpoints and nodes that each fault affects, the same ones as the simulator with this seed.
 func (em *Emulator) drawFaults(seed uint64) {
-	random := rand.New(rand.NewPCG(seed, world.Whom))
-	for i := range em.scenario.Troubles {
-		eps, nodes := world.Meets(&em.scenario.Troubles[i], random, em.destinations.ByDest, em.scenario.Fleet.Nodes)
+	random := rand.New(rand.NewPCG(seed, simulator.FaultTargetStream))
+	for i := range em.scenario.Faults {
+		eps, nodes := simulator.DrawFaultTargets(&em.scenario.Faults[i], random, em.destinations.ByDest, em.scenario.Fleet.Nodes)
 		em.faultEndpoints, em.faultNodes = append(em.faultEndpoints, eps), append(em.faultNodes, nodes)
 	}
 }
 
 // scheduleFaults starts and ends the faults at their times until ctx is cancelled.
 func (em *Emulator) scheduleFaults(ctx context.Context, nodes *Nodes) {
-	for i := range em.scenario.Troubles {
-		fault := &em.scenario.Troubles[i]
+	for i := range em.scenario.Faults {
+		fault := &em.scenario.Faults[i]
 		em.wg.Add(1)
 		go func() {
 			defer em.wg.Done()
-			until := time.Duration(fault.At + fault.For)
-			for at := time.Duration(fault.At); ; at += time.Duration(fault.Every) {
+			until := time.Duration(fault.Start + fault.Duration)
+			for at := time.Duration(fault.Start); ; at += time.Duration(fault.Period) {
 				if !em.sleepUntil(ctx, at) {
 					return
 				}
 				em.startFault(i, nodes, until)
-				if fault.For == 0 {
+				if fault.Duration == 0 {
 					return
 				}
 				end := until
-				if fault.Every > 0 {
-					end = min(until, at+time.Duration(fault.Every)/2)
+				if fault.Period > 0 {
+					end = min(until, at+time.Duration(fault.Period)/2)
 				}
 				running := em.sleepUntil(ctx, end)
 				em.endFault(i, nodes)
-				if !running || fault.Every == 0 || at+time.Duration(fault.Every) >= until {
+				if !running || fault.Period == 0 || at+time.Duration(fault.Period) >= until {
 					return
 				}
 			}
@@ -64,7 +64,7 @@
 
 // startFault applies a fault. until is when it ends for good.
 func (em *Emulator) startFault(i int, nodes *Nodes, until time.Duration) {
-	fault := &em.scenario.Troubles[i]
+	fault := &em.scenario.Faults[i]
 	em.logf("fault %s starts", fault.Kind)
 	if nodes != nil {
 		for _, n := range em.faultNodes[i] {
@@ -105,7 +105,7 @@
 
 // endFault reverts a fault, for good or until its next period.
 func (em *Emulator) endFault(i int, nodes *Nodes) {
-	fault := &em.scenario.Troubles[i]
+	fault := &em.scenario.Faults[i]
 	em.logf("fault %s ends", fault.Kind)
 	em.mu.Lock()
 	defer em.mu.Unlock()
@@ -132,7 +132,7 @@
 		}
 	}
 	previousMode := em.destinations.Endpoints[ep].Mode
-	faults := world.Together(em.scenario.Troubles, active)
+	faults := simulator.CombineFaults(em.scenario.Faults, active)
 	em.destinations.SetFaults(em.now(), ep, faults)
 	switch {
 	case em.stopped:
@@ -178,7 +178,7 @@
 	em.applyFaults(replacement)
 	em.scheduleDirectoryChange(ep, delivery.Draining)
 	em.scheduleDirectoryChange(replacement, delivery.Ready)
-	time.AfterFunc(time.Duration(em.scenario.Fleet.Directory+em.scenario.Rules.Grace)+endpointDrainTime, func() {
+	time.AfterFunc(time.Duration(em.scenario.Fleet.DirectoryDelay+em.scenario.Rules.DrainGrace)+endpointDrainTime, func() {
 		em.mu.Lock()
 		defer em.mu.Unlock()
 		if !em.stopped {
--- a/lab/emulator/node_bench_test.go
+++ b/lab/emulator/node_bench_test.go
@@ -6,11 +6,11 @@
 	"testing"
 	"time"
 
-	"jaspersill/lab/load"
+	"jaspersill/lab/loadgen"
 	"jaspersill/lab/scenarios"
 	"jaspersill/node"
 	"jaspersill/scheduler"
-	"jaspersill/start"
+	"jaspersill/settings"
 )
 
 // BenchmarkNodeUnderLoad runs a node in the test process, so that profiles show where it spends CPU time and memory:
@@ -31,7 +31,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	settings, err := start.JSON(text)
+	settings, err := settings.ParseJSON(text)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -42,12 +42,12 @@
 	}
 	module := scheduler.New(
 		1,
-		settings.Types,
-		settings.Partners,
-		settings.Room,
+		settings.StreamTypes,
+		settings.DestinationKinds,
+		settings.Limits,
 		settings.Recovery,
 		settings.Directory,
-		settings.Fleet,
+		settings.Cluster,
 		0,
 	)
 	n, err := node.Open(node.Config{Listen: listen, Directory: em.DirectoryAddress(0), StateFolder: b.TempDir()},
@@ -60,30 +60,30 @@
 	exited := make(chan error, 1)
 	go func() { exited <- n.Run(ctx) }()
 	time.Sleep(500 * time.Millisecond)
-	var mix []load.Request
+	var mix []loadgen.Request
 	var weights []float64
 	for i, t := range sc.Types {
-		for dest := range sc.Partners[0].Destinations {
+		for dest := range sc.DestinationKinds[0].Destinations {
 			mix = append(
 				mix,
-				load.Request{Kind: t.Name, Owner: "all", Dest: dest, Left: time.Duration(t.MaxAge),
-					Marked: t.Safety == "deduplicated", Body: make([]byte, 300)},
+				loadgen.Request{Kind: t.Name, Owner: "all", Dest: dest, Timeout: time.Duration(t.MaxAge),
+					HasIdempotencyKey: t.Safety == "deduplicated", Body: make([]byte, 300)},
 			)
 			weights = append(weights, float64(len(weights)+1+i))
 		}
 	}
 	const rate = 3000
 	b.ResetTimer()
-	plan := &load.Plan{
-		Address: listen,
-		Rate:    rate,
-		For:     time.Duration(float64(b.N) / rate * 1e9),
-		Conns:   64,
-		Mix:     mix,
-		Weights: weights,
-		Seed:    7,
+	plan := &loadgen.Plan{
+		Address:           listen,
+		Rate:              rate,
+		Duration:          time.Duration(float64(b.N) / rate * 1e9),
+		Connections:       64,
+		Mix:               mix,
+		CumulativeWeights: weights,
+		Seed:              7,
 	}
-	result, err := load.Run(context.Background(), plan)
+	result, err := loadgen.Run(context.Background(), plan)
 	b.StopTimer()
 	if err != nil {
 		b.Fatal(err)
--- a/lab/emulator/nodes.go
+++ b/lab/emulator/nodes.go
@@ -83,7 +83,7 @@
 		n.processes = append(n.processes, p)
 	}
 	for i := range n.processes {
-		if em.scenario.Fleet.Notes && len(peers) > 1 {
+		if em.scenario.Fleet.PeerMessages && len(peers) > 1 {
 			address, err := em.relayPeerMessages(i, peers)
 			if err != nil {
 				return nil, err
@@ -135,28 +135,28 @@
 
 // NodeSettings returns the settings of a node that follow from a scenario, under the platform's names.
 func NodeSettings(sc *scenario.Scenario, self int) map[string]any {
-	ms := func(d scenario.Span) float64 { return float64(d) / 1e6 }
+	ms := func(d scenario.Duration) float64 { return float64(d) / 1e6 }
 	var services, projects []any
 	for _, t := range sc.Types {
 		semantics := map[string]string{"idempotent": "repeatable", "deduplicated": "by_key",
 			"non-idempotent": "once"}[t.Safety]
 		services = append(services, map[string]any{"name": t.Name, "semantics": semantics, "group": "all",
 			"memory_span_ms": ms(
-				t.Window,
+				t.DedupWindow,
 			), "aim_ms": ms(t.SLO), "deadline_ms": ms(t.MaxAge), "value": t.Utility,
-			"late_value": t.Late})
+			"late_value": t.LateUtility})
 	}
-	for _, o := range sc.Owners {
-		projects = append(projects, map[string]any{"name": o.Name, "quota_rps": o.Rate})
+	for _, o := range sc.Customers {
+		projects = append(projects, map[string]any{"name": o.Name, "quota_rps": o.AgreedRate})
 	}
 	var models, perCall, ownLimits []any
-	idle, weightKind := scenario.Span(0), "silent"
-	for _, p := range sc.Partners {
-		models, perCall, ownLimits = append(models, p.Name), append(perCall, p.PerCall), append(ownLimits, p.Routes)
-		if idle == 0 || p.IdleFor < idle {
-			idle = p.IdleFor
+	idle, weightKind := scenario.Duration(0), "silent"
+	for _, p := range sc.DestinationKinds {
+		models, perCall, ownLimits = append(models, p.Name), append(perCall, p.MaxEventsPerCall), append(ownLimits, p.LimitPerEndpoint)
+		if idle == 0 || p.IdleTimeout < idle {
+			idle = p.IdleTimeout
 		}
-		if p.Rated {
+		if p.LimitListed {
 			weightKind = "nominal"
 		}
 	}
@@ -171,22 +171,22 @@
 		"services":       services,
 		"projects":       projects,
 		"family_info": map[string]any{
-			"slots":      sc.Fleet.Slots,
+			"slots":      sc.Fleet.MaxConcurrentCalls,
 			"per_call":   perCall,
 			"own_limits": ownLimits,
 			"late":       "even",
 		},
 		"feedback": map[string]any{"names": []any{"x0", "x1"}},
-		"ceilings": map[string]any{"max_open": sc.Fleet.Events, "max_attempts": sc.Fleet.Sends,
-			"may_duplicate": sc.Fleet.Copies, "cancel": true, "retry_after": sc.Fleet.ComeBack > 0,
+		"ceilings": map[string]any{"max_open": sc.Fleet.MaxEvents, "max_attempts": sc.Fleet.MaxAttempts,
+			"may_duplicate": sc.Fleet.AllowDuplicates, "cancel": true, "retry_after": sc.Fleet.MaxRetryAfter > 0,
 			"max_retry_after_ms": ms(
-				sc.Fleet.ComeBack,
+				sc.Fleet.MaxRetryAfter,
 			), "conn_idle_ms": ms(idle), "connect_timeout_ms": 1500,
-			"peer_messages": sc.Fleet.Notes},
-		"rules": map[string]any{"cold_share": sc.Rules.ColdShare, "ramp_time_ms": ms(sc.Rules.WarmAfter),
-			"fall_multiple": sc.Rules.FallMultiple, "tip_after_ms": ms(sc.Rules.FallAfter),
-			"drain_grace_ms": ms(sc.Rules.Grace), "ask_within_ms": ms(sc.Rules.AskWithin),
-			"order_pause_ms": ms(sc.Rules.OrderPause)},
+			"peer_messages": sc.Fleet.PeerMessages},
+		"rules": map[string]any{"cold_share": sc.Rules.ColdShare, "ramp_time_ms": ms(sc.Rules.WarmupTime),
+			"fall_multiple": sc.Rules.OverloadFactor, "tip_after_ms": ms(sc.Rules.OverloadAfter),
+			"drain_grace_ms": ms(sc.Rules.DrainGrace), "ask_within_ms": ms(sc.Rules.AskWithin),
+			"order_pause_ms": ms(sc.Rules.KeyPause)},
 	}
 }
 
@@ -236,7 +236,7 @@
 				p.serving = true
 				p.mu.Unlock()
 				n.emulator.mu.Lock()
-				n.emulator.checker.Back(n.emulator.now(), int32(i))
+				n.emulator.checker.RecordNodeServing(n.emulator.now(), int32(i))
 				n.emulator.mu.Unlock()
 				return nil
 			}
@@ -292,7 +292,7 @@
 
 // restart starts an ended node again after the restart time of the scenario.
 func (n *Nodes) restart(i int) {
-	time.AfterFunc(time.Duration(n.emulator.scenario.Fleet.Restart), func() {
+	time.AfterFunc(time.Duration(n.emulator.scenario.Fleet.RestartTime), func() {
 		if err := n.startProcess(i); err != nil {
 			n.emulator.logf("%s failed to restart: %v", n.processes[i].name, err)
 			return
@@ -307,14 +307,14 @@
 func (n *Nodes) recordDeath(i int) {
 	n.emulator.mu.Lock()
 	defer n.emulator.mu.Unlock()
-	n.emulator.checker.Died(n.emulator.now(), int32(i))
+	n.emulator.checker.RecordNodeDied(n.emulator.now(), int32(i))
 }
 
 // Kill kills the process of a node and schedules its restart.
 func (n *Nodes) Kill(i int) {
 	c, exited := n.markDown(i)
 	n.emulator.mu.Lock()
-	n.emulator.checker.Away(int32(i))
+	n.emulator.checker.RecordNodeStopping(int32(i))
 	n.emulator.mu.Unlock()
 	c.Process.Kill()
 	<-exited
@@ -326,7 +326,7 @@
 func (n *Nodes) Drain(i int) {
 	c, exited := n.markDown(i)
 	n.emulator.mu.Lock()
-	n.emulator.checker.Away(int32(i))
+	n.emulator.checker.RecordNodeStopping(int32(i))
 	n.emulator.mu.Unlock()
 	c.Process.Signal(syscall.SIGTERM)
 	go func() {
@@ -405,10 +405,10 @@
 			}
 			for _, at := range peers {
 				em.mu.Lock()
-				dropped := em.random.Float64() < em.scenario.Fleet.NoteLoss
+				dropped := em.random.Float64() < em.scenario.Fleet.PeerMessageLoss
 				for _, i := range em.activeFaults {
 					dropped = dropped ||
-						(em.scenario.Troubles[i].Kind == "notes-lost" && em.random.Float64() < em.scenario.Troubles[i].Share)
+						(em.scenario.Faults[i].Kind == "notes-lost" && em.random.Float64() < em.scenario.Faults[i].Share)
 				}
 				em.mu.Unlock()
 				if !dropped && err == nil {
