--- a/lab/destination/destination.go
+++ b/lab/destination/destination.go
@@ -117,16 +117,16 @@
 		m.meanWorkTime = work / rate
 	}
 	for kind := range sc.DestinationKinds {
-		p := &sc.DestinationKinds[kind]
-		for range p.Destinations {
+		dk := &sc.DestinationKinds[kind]
+		for range dk.Destinations {
 			dest := int32(len(m.ByDest))
 			m.ByDest = append(m.ByDest, nil)
 			workFactor := math.Exp(
-				math.Log(p.MinWorkFactor) + m.random.Float64()*(math.Log(p.MaxWorkFactor)-math.Log(p.MinWorkFactor)),
+				math.Log(dk.MinWorkFactor) + m.random.Float64()*(math.Log(dk.MaxWorkFactor)-math.Log(dk.MinWorkFactor)),
 			)
 			group := int32(-1)
-			for range p.Endpoints {
-				if group < 0 || p.LimitPerEndpoint {
+			for range dk.Endpoints {
+				if group < 0 || dk.LimitPerEndpoint {
 					group = m.addGroup(int32(kind), dest)
 				}
 				m.addEndpoint(int32(kind), dest, group, workFactor)
@@ -138,10 +138,10 @@
 }
 
 func (m *Model) addGroup(kind, dest int32) int32 {
-	p := &m.scenario.DestinationKinds[kind]
-	g := EndpointGroup{Kind: kind, Dest: dest, Limit: p.Limit, tokens: burst(p.Limit),
+	dk := &m.scenario.DestinationKinds[kind]
+	g := EndpointGroup{Kind: kind, Dest: dest, Limit: dk.Limit, tokens: burst(dk.Limit),
 		windowOffset: int64(
-			m.random.Float64() * float64(p.LimitWindow),
+			m.random.Float64() * float64(dk.LimitWindow),
 		), buckets: make([]bucket, int64(m.scenario.Rules.OverloadAfter)/bucketWidth+1)}
 	m.Groups = append(m.Groups, g)
 	return int32(len(m.Groups) - 1)
@@ -149,12 +149,12 @@
 
 // addEndpoint adds an endpoint and returns its index.
 func (m *Model) addEndpoint(kind, dest, group int32, workFactor float64) int32 {
-	p := &m.scenario.DestinationKinds[kind]
+	dk := &m.scenario.DestinationKinds[kind]
 	ep := int32(len(m.Endpoints))
 	m.Endpoints = append(
 		m.Endpoints,
 		Endpoint{Dest: dest, Kind: kind, WorkFactor: workFactor, group: group, slowFactor: 1, lateFactor: 1,
-			workerFreeAt: make([]int64, p.Workers)},
+			workerFreeAt: make([]int64, dk.Workers)},
 	)
 	m.ByDest[dest] = append(m.ByDest[dest], ep)
 	m.updateCapacity(group)
@@ -342,10 +342,10 @@
 	g := &m.Groups[e.group]
 	m.Offered[e.Kind]++
 	m.checkOverload(now, e.group, informed)
-	p := &m.scenario.DestinationKinds[e.Kind]
+	dk := &m.scenario.DestinationKinds[e.Kind]
 	r := CallResult{Outcome: delivery.Refused, DoneAt: now}
-	if p.ReportsLimit && p.Limit > 0 {
-		r.Limit, r.LimitLeft = p.Limit, m.reportLimitLeft(now, g, p)
+	if dk.ReportsLimit && dk.Limit > 0 {
+		r.Limit, r.LimitLeft = dk.Limit, m.reportLimitLeft(now, g, dk)
 	}
 	switch {
 	case e.Gone, e.Mode == Down, now < g.overloadedUntil:
@@ -363,17 +363,17 @@
 		}
 		return r
 	}
-	if p.Limit > 0 && !m.consumeLimit(now, g, p) {
+	if dk.Limit > 0 && !m.consumeLimit(now, g, dk) {
 		m.Refused[e.Kind]++
-		if m.random.Float64() < p.RetryAfterShare {
-			r.RetryAfter = m.limitRetryAfter(now, g, p)
+		if m.random.Float64() < dk.RetryAfterShare {
+			r.RetryAfter = m.limitRetryAfter(now, g, dk)
 		}
 		return r
 	}
 	for len(e.queuedStarts) > 0 && e.queuedStarts[0] <= now {
 		e.queuedStarts = e.queuedStarts[1:]
 	}
-	if len(e.queuedStarts) >= p.Queue && p.Queue >= 0 {
+	if len(e.queuedStarts) >= dk.Queue && dk.Queue >= 0 {
 		earliest := 0
 		for i := range e.workerFreeAt {
 			if e.workerFreeAt[i] < e.workerFreeAt[earliest] {
@@ -421,14 +421,14 @@
 }
 
 // consumeLimit counts a call against the rate limit of a group and reports whether it is within it.
-func (m *Model) consumeLimit(now int64, g *EndpointGroup, p *scenario.DestinationKind) bool {
-	if p.LimitWindow > 0 {
-		if start := now - (now+g.windowOffset)%int64(p.LimitWindow); start != g.windowStart {
+func (m *Model) consumeLimit(now int64, g *EndpointGroup, dk *scenario.DestinationKind) bool {
+	if dk.LimitWindow > 0 {
+		if start := now - (now+g.windowOffset)%int64(dk.LimitWindow); start != g.windowStart {
 			g.windowStart, g.windowCount = start, 0
 		}
-		maxCalls := max(1, int(math.Round(p.Limit*float64(p.LimitWindow)/1e9)))
+		maxCalls := max(1, int(math.Round(dk.Limit*float64(dk.LimitWindow)/1e9)))
 		if g.windowCount >= maxCalls {
-			if p.CountRefused {
+			if dk.CountRefused {
 				g.windowCount++
 			}
 			return false
@@ -436,11 +436,11 @@
 		g.windowCount++
 		return true
 	}
-	maxTokens := burst(p.Limit)
-	g.tokens = min(maxTokens, g.tokens+float64(now-g.tokensUpdatedAt)/1e9*p.Limit)
+	maxTokens := burst(dk.Limit)
+	g.tokens = min(maxTokens, g.tokens+float64(now-g.tokensUpdatedAt)/1e9*dk.Limit)
 	g.tokensUpdatedAt = now
 	if g.tokens < 1 {
-		if p.CountRefused {
+		if dk.CountRefused {
 			g.tokens = max(-maxTokens, g.tokens-1)
 		}
 		return false
@@ -450,30 +450,30 @@
 }
 
 // limitRetryAfter returns the retry-after time of a call refused by the rate limit.
-func (m *Model) limitRetryAfter(now int64, g *EndpointGroup, p *scenario.DestinationKind) int64 {
-	if p.LimitWindow > 0 {
-		return max(minRetryAfter, g.windowStart+int64(p.LimitWindow)-now)
+func (m *Model) limitRetryAfter(now int64, g *EndpointGroup, dk *scenario.DestinationKind) int64 {
+	if dk.LimitWindow > 0 {
+		return max(minRetryAfter, g.windowStart+int64(dk.LimitWindow)-now)
 	}
-	return max(minRetryAfter, int64((1-g.tokens)/p.Limit*1e9))
+	return max(minRetryAfter, int64((1-g.tokens)/dk.Limit*1e9))
 }
 
 // reportLimitLeft returns the share of the rate limit that answers report as left: the value of the last
 // report, which is refreshed once per report interval.
-func (m *Model) reportLimitLeft(now int64, g *EndpointGroup, p *scenario.DestinationKind) float64 {
-	if float64(now)-g.reportedAt < float64(p.ReportInterval) && g.reportedAt > 0 {
+func (m *Model) reportLimitLeft(now int64, g *EndpointGroup, dk *scenario.DestinationKind) float64 {
+	if float64(now)-g.reportedAt < float64(dk.ReportInterval) && g.reportedAt > 0 {
 		return g.reportedLeft
 	}
 	g.reportedAt = float64(now)
-	if p.LimitWindow > 0 {
-		maxCalls := math.Max(1, math.Round(p.Limit*float64(p.LimitWindow)/1e9))
-		if now-g.windowStart >= int64(p.LimitWindow) {
+	if dk.LimitWindow > 0 {
+		maxCalls := math.Max(1, math.Round(dk.Limit*float64(dk.LimitWindow)/1e9))
+		if now-g.windowStart >= int64(dk.LimitWindow) {
 			g.reportedLeft = 1
 		} else {
 			g.reportedLeft = max(0, 1-float64(g.windowCount)/maxCalls)
 		}
 	} else {
-		maxTokens := burst(p.Limit)
-		g.reportedLeft = max(0, min(1, (g.tokens+float64(now-g.tokensUpdatedAt)/1e9*p.Limit)/maxTokens))
+		maxTokens := burst(dk.Limit)
+		g.reportedLeft = max(0, min(1, (g.tokens+float64(now-g.tokensUpdatedAt)/1e9*dk.Limit)/maxTokens))
 	}
 	return g.reportedLeft
 }
@@ -533,16 +533,16 @@
 	best, done := int32(-1), never
 	for _, ep := range m.ByDest[dest] {
 		e := &m.Endpoints[ep]
-		g, p := &m.Groups[e.group], &m.scenario.DestinationKinds[e.Kind]
+		g, dk := &m.Groups[e.group], &m.scenario.DestinationKinds[e.Kind]
 		if e.Gone || e.Draining || e.Mode > Failing || now < g.overloadedUntil ||
 			(e.Mode == Failing && e.failShare > 0.5) ||
 			(avoidFaulty && (e.loseShare > 0 || e.failShare > 0 || e.unreadableShare > 0)) {
 			continue
 		}
-		if (p.Limit > 0 && !m.withinLimit(now, g, p)) || !m.withinOverload(now, e.group) {
+		if (dk.Limit > 0 && !m.withinLimit(now, g, dk)) || !m.withinOverload(now, e.group) {
 			continue
 		}
-		if p.MaxConnections > 0 && e.OpenConnections+e.inTransit >= p.MaxConnections && !hasIdleConnection(ep) {
+		if dk.MaxConnections > 0 && e.OpenConnections+e.inTransit >= dk.MaxConnections && !hasIdleConnection(ep) {
 			continue
 		}
 		freeWorkers := 0
@@ -584,10 +584,10 @@
 }
 
 // withinLimit reports whether the rate limit of a group allows one more call besides those in transit.
-func (m *Model) withinLimit(now int64, g *EndpointGroup, p *scenario.DestinationKind) bool {
-	if p.LimitWindow > 0 {
-		maxCalls := max(1, int(math.Round(p.Limit*float64(p.LimitWindow)/1e9)))
-		return now-(now+g.windowOffset)%int64(p.LimitWindow) != g.windowStart || g.windowCount+g.inTransit < maxCalls
+func (m *Model) withinLimit(now int64, g *EndpointGroup, dk *scenario.DestinationKind) bool {
+	if dk.LimitWindow > 0 {
+		maxCalls := max(1, int(math.Round(dk.Limit*float64(dk.LimitWindow)/1e9)))
+		return now-(now+g.windowOffset)%int64(dk.LimitWindow) != g.windowStart || g.windowCount+g.inTransit < maxCalls
 	}
-	return g.tokens+float64(now-g.tokensUpdatedAt)/1e9*p.Limit-float64(g.inTransit) >= 1
+	return g.tokens+float64(now-g.tokensUpdatedAt)/1e9*dk.Limit-float64(g.inTransit) >= 1
 }
--- a/lab/emulator/directory.go
+++ b/lab/emulator/directory.go
@@ -35,18 +35,18 @@
 // hostEntry returns the directory entry of an endpoint.
 func (em *Emulator) hostEntry(ep int32, state delivery.EndpointState) host {
 	e := &em.destinations.Endpoints[ep]
-	p := &em.scenario.DestinationKinds[e.Kind]
+	dk := &em.scenario.DestinationKinds[e.Kind]
 	h := host{
 		Host:   fmt.Sprintf("e%d", ep),
 		Dial:   em.listeners[ep].address,
 		Site:   "here",
-		Class:  p.Name,
+		Class:  dk.Name,
 		Block:  e.Dest,
 		Share:  1,
 		Health: map[delivery.EndpointState]string{delivery.Ready: "Ready", delivery.Draining: "Terminating", delivery.Gone: "Gone"}[state],
 	}
-	if p.LimitListed {
-		h.Share = p.Limit
+	if dk.LimitListed {
+		h.Share = dk.Limit
 	}
 	return h
 }
@@ -77,8 +77,8 @@
 // addedLater reports whether an endpoint was added during the run.
 func (em *Emulator) addedLater(ep int32) bool {
 	initial := 0
-	for _, p := range em.scenario.DestinationKinds {
-		initial += p.Destinations * p.Endpoints
+	for _, dk := range em.scenario.DestinationKinds {
+		initial += dk.Destinations * dk.Endpoints
 	}
 	return int(ep) >= initial
 }
--- a/lab/emulator/emulator.go
+++ b/lab/emulator/emulator.go
@@ -213,7 +213,7 @@
 		em.mu.Unlock()
 		c.Close()
 	}()
-	p := &em.scenario.DestinationKinds[kind]
+	dk := &em.scenario.DestinationKinds[kind]
 	switch result {
 	case destination.ConnectRefused:
 		resetConnection(c)
@@ -227,13 +227,13 @@
 	}
 	in := bufio.NewReaderSize(c, 4096)
 	for first := true; ; first = false {
-		c.SetReadDeadline(time.Now().Add(time.Duration(p.IdleTimeout)))
+		c.SetReadDeadline(time.Now().Add(time.Duration(dk.IdleTimeout)))
 		r, err := readCall(in)
 		if err != nil {
 			return
 		}
 		if first {
-			time.Sleep(time.Duration(p.Handshake))
+			time.Sleep(time.Duration(dk.Handshake))
 		}
 		if !em.serveCall(ep, epoch, c, in, r) {
 			return
--- a/lab/emulator/faults.go
+++ b/lab/emulator/faults.go
@@ -15,7 +15,8 @@
 func (em *Emulator) drawFaults(seed uint64) {
 	random := rand.New(rand.NewPCG(seed, simulator.FaultTargetStream))
 	for i := range em.scenario.Faults {
-		eps, nodes := simulator.DrawFaultTargets(&em.scenario.Faults[i], random, em.destinations.ByDest, em.scenario.Fleet.Nodes)
+		eps, nodes := simulator.DrawFaultTargets(&em.scenario.Faults[i], random, em.destinations.ByDest,
+			em.scenario.Fleet.Nodes)
 		em.faultEndpoints, em.faultNodes = append(em.faultEndpoints, eps), append(em.faultNodes, nodes)
 	}
 }
--- a/lab/emulator/nodes.go
+++ b/lab/emulator/nodes.go
@@ -146,17 +146,18 @@
 			), "aim_ms": ms(t.SLO), "deadline_ms": ms(t.MaxAge), "value": t.Utility,
 			"late_value": t.LateUtility})
 	}
-	for _, o := range sc.Customers {
-		projects = append(projects, map[string]any{"name": o.Name, "quota_rps": o.AgreedRate})
+	for _, c := range sc.Customers {
+		projects = append(projects, map[string]any{"name": c.Name, "quota_rps": c.AgreedRate})
 	}
 	var models, perCall, ownLimits []any
 	idle, weightKind := scenario.Duration(0), "silent"
-	for _, p := range sc.DestinationKinds {
-		models, perCall, ownLimits = append(models, p.Name), append(perCall, p.MaxEventsPerCall), append(ownLimits, p.LimitPerEndpoint)
-		if idle == 0 || p.IdleTimeout < idle {
-			idle = p.IdleTimeout
+	for _, dk := range sc.DestinationKinds {
+		models, perCall, ownLimits = append(models, dk.Name), append(perCall, dk.MaxEventsPerCall),
+			append(ownLimits, dk.LimitPerEndpoint)
+		if idle == 0 || dk.IdleTimeout < idle {
+			idle = dk.IdleTimeout
 		}
-		if p.LimitListed {
+		if dk.LimitListed {
 			weightKind = "nominal"
 		}
 	}
