--- a/lab/emulator/node_bench_test.go
+++ b/lab/emulator/node_bench_test.go
@@ -89,7 +89,7 @@
 		b.Fatal(err)
 	}
 	b.ReportMetric(float64(result.Acked)/b.Elapsed().Seconds(), "events/s")
-	b.ReportMetric(result.Millis[2], "p99-ms")
+	b.ReportMetric(result.LatencyMs[2], "p99-ms")
 	stop()
 	<-exited
 }
