--- a/lab/hunt/hunt.go
+++ b/lab/hunt/hunt.go
@@ -9,7 +9,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"jaspersill/lab/run"
+	"jaspersill/lab/runner"
 	"jaspersill/lab/scenario"
 	"jaspersill/lab/world"
 )
@@ -80,10 +80,10 @@
 
 // play plays a day and tells what it shows.
 func play(day *scenario.Scenario, seed uint64, launch world.Launch) Found {
-	r := run.One(day, seed, 0, launch, false, nil)
-	f := Found{Day: day, Seed: seed, G: r.Sum.G, Broken: r.Sum.Broken}
-	if len(r.Sum.Breaks) > 0 {
-		f.Rule, f.rule = r.Sum.Breaks[0].String(), int(r.Sum.Breaks[0].Rule)
+	r := runner.Run(day, seed, 0, launch, false, nil)
+	f := Found{Day: day, Seed: seed, G: r.Summary.G, Broken: r.Summary.Broken}
+	if len(r.Summary.Breaks) > 0 {
+		f.Rule, f.rule = r.Summary.Breaks[0].String(), int(r.Summary.Breaks[0].Rule)
 	}
 	return f
 }
--- a/lab/loopback/node_bench_test.go
+++ b/lab/loopback/node_bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"jaspersill/lab/load"
+	"jaspersill/lab/loadgen"
 	"jaspersill/lab/scenarios"
 	"jaspersill/node"
 	"jaspersill/scheduler"
@@ -60,30 +60,30 @@
 	ended := make(chan error, 1)
 	go func() { ended <- n.Run(ctx) }()
 	time.Sleep(500 * time.Millisecond)
-	var mix []load.Request
+	var mix []loadgen.Request
 	var weights []float64
 	for i, t := range day.Types {
 		for dest := range day.Partners[0].Destinations {
 			mix = append(
 				mix,
-				load.Request{Kind: t.Name, Owner: "all", Dest: dest, Left: time.Duration(t.MaxAge),
-					Marked: t.Safety == "deduplicated", Body: make([]byte, 300)},
+				loadgen.Request{Kind: t.Name, Owner: "all", Dest: dest, Timeout: time.Duration(t.MaxAge),
+					HasIdempotencyKey: t.Safety == "deduplicated", Body: make([]byte, 300)},
 			)
 			weights = append(weights, float64(len(weights)+1+i))
 		}
 	}
 	const rate = 3000
 	b.ResetTimer()
-	plan := &load.Plan{
-		Address: listen,
-		Rate:    rate,
-		For:     time.Duration(float64(b.N) / rate * 1e9),
-		Conns:   64,
-		Mix:     mix,
-		Weights: weights,
-		Seed:    7,
+	plan := &loadgen.Plan{
+		Address:           listen,
+		Rate:              rate,
+		Duration:          time.Duration(float64(b.N) / rate * 1e9),
+		Connections:       64,
+		Mix:               mix,
+		CumulativeWeights: weights,
+		Seed:              7,
 	}
-	l, err := load.Run(context.Background(), plan)
+	l, err := loadgen.Run(context.Background(), plan)
 	b.StopTimer()
 	if err != nil {
 		b.Fatal(err)
