--- a/cmd/jaspersill-lab/simulate.go
+++ b/cmd/jaspersill-lab/simulate.go
@@ -149,23 +149,23 @@
 	if err := json.Unmarshal(out, &f); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if f.Version != report.Version || len(f.Sets) != 1 {
+	if f.Version != report.Version || len(f.Variants) != 1 {
 		return nil, fmt.Errorf(
 			"%s: want one set of version %d, got %d of %d",
 			path,
 			report.Version,
-			len(f.Sets),
+			len(f.Variants),
 			f.Version,
 		)
 	}
-	return f.Sets[0].Results, nil
+	return f.Variants[0].Results, nil
 }
 
 // printResult prints the sets of a file.
 func printResult(c *cobra.Command, f *report.File) error {
 	t := tabwriter.NewWriter(c.OutOrStdout(), 0, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "SET\tG\t95%\tPLACE\tWORST 10 S\tWORST TYPE\tWASTE\tP99 MS\tBROKEN")
-	for _, s := range f.Sets {
+	for _, s := range f.Variants {
 		mean := func(of func(*runner.Result) float64) float64 {
 			total := 0.0
 			for i := range s.Results {
@@ -174,8 +174,8 @@
 			return total / float64(max(1, len(s.Results)))
 		}
 		place := "-"
-		if s.Place != 0 {
-			place = fmt.Sprintf("%.2f", s.Place)
+		if s.Position != 0 {
+			place = fmt.Sprintf("%.2f", s.Position)
 		}
 		fmt.Fprintf(
 			t,
@@ -196,16 +196,16 @@
 		return err
 	}
 	for _, d := range f.Differences {
-		if d.Figure == "G" {
+		if d.Metric == "G" {
 			fmt.Fprintf(
 				c.OutOrStdout(),
 				"%s beside %s: %+.4f in G (%+.4f to %+.4f, %d pairs)\n",
 				d.Name,
-				f.Sets[0].Name,
-				d.By.Mean,
-				d.By.Least,
-				d.By.Most,
-				d.By.N,
+				f.Variants[0].Name,
+				d.Interval.Mean,
+				d.Interval.Least,
+				d.Interval.Most,
+				d.Interval.N,
 			)
 		}
 	}
@@ -280,7 +280,7 @@
 			if err := saveResult(c, f, m.out); err != nil {
 				return err
 			}
-			for _, s := range f.Sets {
+			for _, s := range f.Variants {
 				if strings.HasPrefix(s.Name, "module") && s.Broken > 0 {
 					return fmt.Errorf("%s broke %d rules", s.Name, s.Broken)
 				}
