--- a/lab/loadgen/knee.go
+++ b/lab/loadgen/knee.go
@@ -11,55 +11,56 @@
 func nonNegativeSqrt(x float64) float64 { return math.Sqrt(max(0, x)) }
 
 const (
-	kneeTolerance = 1.05 // the search ends when the rates that hold and that do not are so close
-	kneeMaxSteps  = 40   // steps at most
-	kneePause     = 500 * time.Millisecond
+	kneeTolerance = 1.05 // the search ends when the lowest failing rate is within this factor of the best sustained one
+	kneeMaxSteps  = 40
+	kneePause     = 500 * time.Millisecond // between two steps
 )
 
-// Sustained tells whether a step of the search was borne: what was offered was sent, nothing failed or was
-// declined, and p99 stayed under the bound.
-func Sustained(l *report.LoadResult, p99 time.Duration) bool {
-	return l.Failed == 0 && l.Declined == 0 && l.SentRate > 0.98*l.OfferedRate && l.LatencyMs[2] <= float64(p99)/1e6
+// Sustained reports whether the node kept up with the offered rate: more than 98% of it was sent, no request
+// failed or was declined, and the p99 latency did not exceed maxP99.
+func Sustained(l *report.LoadResult, maxP99 time.Duration) bool {
+	return l.Failed == 0 && l.Declined == 0 && l.SentRate > 0.98*l.OfferedRate && l.LatencyMs[2] <= float64(maxP99)/1e6
 }
 
-// FindKnee searches the highest rate that is borne with p99 under a bound: it doubles from the plan's rate until
-// one is not, and then halves the gap. All steps are returned; also is asked after each whether all else
-// holds, and may be nil.
+// FindKnee searches for the highest rate that is sustained with a p99 latency of at most maxP99. It doubles the
+// plan's rate until a step fails and then bisects on a logarithmic scale between the highest sustained and the
+// lowest failing rate. It returns every step. If accept is set, it is asked after each sustained step whether all
+// further conditions hold too.
 func FindKnee(
 	ctx context.Context,
 	p Plan,
-	p99 time.Duration,
-	also func() bool,
+	maxP99 time.Duration,
+	accept func() bool,
 ) (best float64, steps []report.LoadResult, err error) {
-	good, bad := 0.0, 0.0
+	sustained, failing := 0.0, 0.0
 	for range kneeMaxSteps {
 		p.EndRate = 0
 		l, err := Run(ctx, &p)
 		if err != nil {
-			return good, steps, err
+			return sustained, steps, err
 		}
 		steps = append(steps, l)
-		if Sustained(&l, p99) && (also == nil || also()) {
-			good = p.Rate
+		if Sustained(&l, maxP99) && (accept == nil || accept()) {
+			sustained = p.Rate
 		} else {
-			bad = p.Rate
+			failing = p.Rate
 		}
 		switch {
-		case bad == 0:
+		case failing == 0:
 			p.Rate *= 2
-		case good == 0 && bad < 2:
+		case sustained == 0 && failing < 2:
 			return 0, steps, nil
-		case good == 0:
-			p.Rate = bad / 2
-		case bad/good <= kneeTolerance:
-			return good, steps, nil
+		case sustained == 0:
+			p.Rate = failing / 2
+		case failing/sustained <= kneeTolerance:
+			return sustained, steps, nil
 		default:
-			p.Rate = math.Sqrt(good * bad)
+			p.Rate = math.Sqrt(sustained * failing)
 		}
 		if p.Rate > maxRate {
-			return good, steps, nil
+			return sustained, steps, nil
 		}
 		time.Sleep(kneePause)
 	}
-	return good, steps, nil
+	return sustained, steps, nil
 }
--- a/lab/loadgen/load.go
+++ b/lab/loadgen/load.go
@@ -1,6 +1,7 @@
-// Package load offers events to a running delivery node in an open loop: at the times that a rate says,
-// whatever the node does. Latency counts from the intended time, so that a node that stands still is not
-// spared (no coordinated omission). It speaks to loopback addresses only, and is bounded in count and time.
+// Package loadgen is an open-loop load generator for a running delivery node: events are due at times given by
+// a rate, independently of the node's responses. Latency is measured from the due time, which avoids coordinated
+// omission when the node stalls. Only loopback addresses are accepted, and the rate, the number of connections
+// and the duration are bounded.
 package loadgen
 
 import (
@@ -24,61 +25,62 @@
 )
 
 const (
-	spinTime        = 150 * time.Microsecond // before its time a send is waited for without sleep: sleeps end late
+	spinTime        = 150 * time.Microsecond // busy-wait before a due time, because sleeps overrun
 	responseTimeout = 5 * time.Second
 	maxRate         = 200000
 	maxDuration     = time.Hour
 	maxLag          = int64(10e9) // ns
 )
 
-// Request is one event as it is offered: the bytes of its head without the id and the deadline, and its body.
+// Request is a template of an event. Each submission gets an id of its own, which also is its idempotency key.
 type Request struct {
 	Kind, Owner       string
 	Dest              int
 	Timeout           time.Duration
-	HasIdempotencyKey bool // it has an Idempotency-Key
+	HasIdempotencyKey bool
 	Body              []byte
 }
 
-// Plan is what is offered.
+// Plan describes the load of one run.
 type Plan struct {
 	Address           string
-	Rate              float64 // events a second at the beginning
-	EndRate           float64 // and at the end, where it ramps; 0 for the same
+	Rate              float64 // events per second at the start
+	EndRate           float64 // rate at the end of a linear ramp; 0 for a constant rate
 	Duration          time.Duration
-	Connections       int // connections, each with one request at a time
+	Connections       int // each carries one request at a time
 	Mix               []Request
-	CumulativeWeights []float64 // of the mix, summed up
+	CumulativeWeights []float64 // running totals of the weights of Mix
 	Seed              uint64
-	ArrivalTimes      []time.Duration // recorded times, in order, rather than a rate
-	MixIndices        []int           // of the mix, for each of them
-	// OnResult hears what came of each; it is called by many at once, and may be nil.
-	OnResult func(due, took time.Duration, status, pick int)
+	ArrivalTimes      []time.Duration // due times in ascending order; replace Rate if set
+	MixIndices        []int           // the index into Mix for each of ArrivalTimes
+	// OnResult, if set, is called with the result of each request, concurrently. The status is 0 if no response
+	// headers were received.
+	OnResult func(due, latency time.Duration, status, mixIndex int)
 }
 
-// Validate refuses what must not be offered.
+// Validate rejects plans for addresses other than loopback and plans that exceed the bounds of this package.
 func (p *Plan) Validate() error {
 	host, _, err := net.SplitHostPort(p.Address)
 	if err != nil {
 		return fmt.Errorf("address: want HOST:PORT: %w", err)
 	}
 	if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
-		return fmt.Errorf("address: want one of the loopback, as 127.0.0.1:8443, got %q", p.Address)
+		return fmt.Errorf("address: want a loopback address such as 127.0.0.1:8443, got %q", p.Address)
 	}
 	switch {
 	case p.Rate <= 0 || p.Rate > maxRate || p.EndRate < 0 || p.EndRate > maxRate:
-		return fmt.Errorf("rate: want over 0 and at most %d, got %g to %g", maxRate, p.Rate, p.EndRate)
+		return fmt.Errorf("rate: want more than 0 and at most %d, got %g to %g", maxRate, p.Rate, p.EndRate)
 	case p.Duration <= 0 || p.Duration > maxDuration:
-		return fmt.Errorf("time: want over 0 and at most %v, got %v", maxDuration, p.Duration)
+		return fmt.Errorf("duration: want more than 0 and at most %v, got %v", maxDuration, p.Duration)
 	case p.Connections < 1 || p.Connections > 4096:
 		return fmt.Errorf("connections: want 1 to 4096, got %d", p.Connections)
 	case len(p.Mix) == 0 || len(p.MixIndices) != len(p.ArrivalTimes):
-		return errors.New("nothing to offer")
+		return errors.New("request mix is empty, or the number of mix indices differs from the number of arrival times")
 	}
 	return nil
 }
 
-// dueTime is the intended time of the n-th event, from the beginning.
+// dueTime returns the due time of the n-th event, relative to the start of the run.
 func (p *Plan) dueTime(n int) time.Duration {
 	if p.ArrivalTimes != nil {
 		if n < len(p.ArrivalTimes) {
@@ -86,20 +88,20 @@
 		}
 		return p.Duration
 	}
-	to := p.EndRate
-	if to == 0 {
-		to = p.Rate
+	end := p.EndRate
+	if end == 0 {
+		end = p.Rate
 	}
-	if to == p.Rate {
+	if end == p.Rate {
 		return time.Duration(float64(n) / p.Rate * 1e9)
 	}
-	// The integral of a rate that grows evenly: r t + (to - r) t^2 / 2T = n.
-	a, b := (to-p.Rate)/(2*p.Duration.Seconds()), p.Rate
+	// Solves the integral of the linear ramp for t: r t + (end - r) t^2 / 2T = n.
+	a, b := (end-p.Rate)/(2*p.Duration.Seconds()), p.Rate
 	t := (-b + nonNegativeSqrt(b*b+4*a*float64(n))) / (2 * a)
 	return time.Duration(t * 1e9)
 }
 
-// connection is one connection.
+// connection is a client connection of its own goroutine, with the statistics of its requests.
 type connection struct {
 	plan                       *Plan
 	conn                       net.Conn
@@ -111,68 +113,68 @@
 	accepted, declined, failed int64
 }
 
-// Run offers a plan and reports it. An event whose turn comes while all connections are busy waits for one,
-// and the wait counts.
+// Run submits the events of a plan and returns the statistics. An event that falls due while all connections are
+// busy waits for an idle one, and the wait counts towards its latency.
 func Run(ctx context.Context, p *Plan) (report.LoadResult, error) {
 	if err := p.Validate(); err != nil {
 		return report.LoadResult{}, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, p.Duration+responseTimeout)
 	defer cancel()
-	workers := make([]*connection, p.Connections)
-	for i := range workers {
-		workers[i] = &connection{plan: p, random: rand.New(rand.NewPCG(p.Seed, uint64(i))),
+	connections := make([]*connection, p.Connections)
+	for i := range connections {
+		connections[i] = &connection{plan: p, random: rand.New(rand.NewPCG(p.Seed, uint64(i))),
 			latency: hdrhistogram.New(1e3, int64(60e9), 3), lag: hdrhistogram.New(1e3, maxLag, 3)}
 	}
 	var next, started atomic.Int64
-	began := time.Now()
+	start := time.Now()
 	var wg sync.WaitGroup
-	for _, w := range workers {
+	for _, c := range connections {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			defer w.close()
+			defer c.close()
 			for ctx.Err() == nil {
 				n := int(next.Add(1) - 1)
 				due := p.dueTime(n)
 				if due >= p.Duration {
 					return
 				}
-				free := time.Since(
-					began,
-				) <= due // it was there before the event's time: what is late is the tool's
-				waitUntil(began, due)
-				if free {
-					w.lag.RecordValue(max(1e3, min(maxLag, int64(time.Since(began)-due))))
+				idle := time.Since(
+					start,
+				) <= due // the connection was idle before the due time, so any lag is the generator's own
+				waitUntil(start, due)
+				if idle {
+					c.lag.RecordValue(max(1e3, min(maxLag, int64(time.Since(start)-due))))
 				}
 				started.Add(1)
-				w.submit(began, due, n)
+				c.submit(start, due, n)
 			}
 		}()
 	}
 	wg.Wait()
-	took := min(time.Since(began), p.Duration)
-	all, lag := hdrhistogram.New(1e3, int64(60e9), 3), hdrhistogram.New(1e3, maxLag, 3)
-	l := report.LoadResult{OfferedRate: p.Rate, SentRate: float64(started.Load()) / took.Seconds()}
+	elapsed := min(time.Since(start), p.Duration)
+	latency, lag := hdrhistogram.New(1e3, int64(60e9), 3), hdrhistogram.New(1e3, maxLag, 3)
+	l := report.LoadResult{OfferedRate: p.Rate, SentRate: float64(started.Load()) / elapsed.Seconds()}
 	if p.EndRate > 0 {
 		l.OfferedRate = (p.Rate + p.EndRate) / 2
 	}
-	for _, w := range workers {
-		all.Merge(w.latency)
-		lag.Merge(w.lag)
-		l.Acked, l.Declined, l.Failed = l.Acked+w.accepted, l.Declined+w.declined, l.Failed+w.failed
+	for _, c := range connections {
+		latency.Merge(c.latency)
+		lag.Merge(c.lag)
+		l.Acked, l.Declined, l.Failed = l.Acked+c.accepted, l.Declined+c.declined, l.Failed+c.failed
 	}
 	for _, q := range runner.Percentiles {
-		l.LatencyMs = append(l.LatencyMs, float64(all.ValueAtQuantile(q))/1e6)
+		l.LatencyMs = append(l.LatencyMs, float64(latency.ValueAtQuantile(q))/1e6)
 	}
 	l.SendLagMs = float64(lag.ValueAtQuantile(99)) / 1e6
 	return l, ctx.Err()
 }
 
-// waitUntil waits until a time, asleep for most of it.
-func waitUntil(began time.Time, due time.Duration) {
+// waitUntil waits for a due time: it sleeps at first and busy-waits at the end.
+func waitUntil(start time.Time, due time.Duration) {
 	for {
-		left := due - time.Since(began)
+		left := due - time.Since(start)
 		switch {
 		case left <= 0:
 			return
@@ -184,59 +186,59 @@
 	}
 }
 
-func (w *connection) close() {
-	if w.conn != nil {
-		w.conn.Close()
-		w.conn = nil
+func (c *connection) close() {
+	if c.conn != nil {
+		c.conn.Close()
+		c.conn = nil
 	}
 }
 
-// submit hands in one event and waits for its answer.
-func (w *connection) submit(began time.Time, due time.Duration, n int) {
-	pick := w.mixIndex(n)
-	status, err := w.roundTrip(&w.plan.Mix[pick])
-	if w.plan.OnResult != nil {
-		w.plan.OnResult(due, time.Since(began)-due, status, pick)
+// submit sends one event, waits for the response and records the result.
+func (c *connection) submit(start time.Time, due time.Duration, n int) {
+	index := c.mixIndex(n)
+	status, err := c.roundTrip(&c.plan.Mix[index])
+	if c.plan.OnResult != nil {
+		c.plan.OnResult(due, time.Since(start)-due, status, index)
 	}
 	if err != nil {
-		w.close()
-		w.failed++
+		c.close()
+		c.failed++
 		return
 	}
 	switch status {
 	case 202, 200:
-		w.accepted++
-		w.latency.RecordValue(max(1e3, int64(time.Since(began)-due)))
+		c.accepted++
+		c.latency.RecordValue(max(1e3, int64(time.Since(start)-due)))
 	case 503, 429:
-		w.declined++
-		w.latency.RecordValue(max(1e3, int64(time.Since(began)-due)))
+		c.declined++
+		c.latency.RecordValue(max(1e3, int64(time.Since(start)-due)))
 	default:
-		w.failed++
+		c.failed++
 	}
 }
 
-// mixIndex is what of the mix the n-th event is.
-func (w *connection) mixIndex(n int) int {
-	if w.plan.ArrivalTimes != nil {
-		return w.plan.MixIndices[n]
+// mixIndex returns the index into the plan's Mix for the n-th event; without a recording it is drawn by weight.
+func (c *connection) mixIndex(n int) int {
+	if c.plan.ArrivalTimes != nil {
+		return c.plan.MixIndices[n]
 	}
-	x, i := w.random.Float64()*w.plan.CumulativeWeights[len(w.plan.CumulativeWeights)-1], 0
-	for i < len(w.plan.CumulativeWeights)-1 && w.plan.CumulativeWeights[i] <= x {
+	x, i := c.random.Float64()*c.plan.CumulativeWeights[len(c.plan.CumulativeWeights)-1], 0
+	for i < len(c.plan.CumulativeWeights)-1 && c.plan.CumulativeWeights[i] <= x {
 		i++
 	}
 	return i
 }
 
-func (w *connection) roundTrip(r *Request) (status int, err error) {
-	if w.conn == nil {
-		if w.conn, err = net.DialTimeout("tcp", w.plan.Address, responseTimeout); err != nil {
-			w.conn = nil
+func (c *connection) roundTrip(r *Request) (status int, err error) {
+	if c.conn == nil {
+		if c.conn, err = net.DialTimeout("tcp", c.plan.Address, responseTimeout); err != nil {
+			c.conn = nil
 			return 0, err
 		}
-		w.reader = bufio.NewReaderSize(w.conn, 2048)
+		c.reader = bufio.NewReaderSize(c.conn, 2048)
 	}
-	id := w.random.Uint64()
-	b := append(w.buffer[:0], "POST /api HTTP/1.1\r\nHost: lab\r\nReq-Id: "...)
+	id := c.random.Uint64()
+	b := append(c.buffer[:0], "POST /api HTTP/1.1\r\nHost: lab\r\nReq-Id: "...)
 	b = appendHexID(b, id)
 	b = append(append(append(append(b, "\r\nReq-Kind: "...), r.Kind...), "\r\nReq-Owner: "...), r.Owner...)
 	b = strconv.AppendInt(append(b, "\r\nReq-Deadline-Ms: "...), r.Timeout.Milliseconds(), 10)
@@ -246,12 +248,12 @@
 	}
 	b = strconv.AppendInt(append(b, "\r\nContent-Length: "...), int64(len(r.Body)), 10)
 	b = append(append(b, "\r\n\r\n"...), r.Body...)
-	w.buffer = b
-	w.conn.SetDeadline(time.Now().Add(responseTimeout))
-	if _, err = w.conn.Write(b); err != nil {
+	c.buffer = b
+	c.conn.SetDeadline(time.Now().Add(responseTimeout))
+	if _, err = c.conn.Write(b); err != nil {
 		return 0, err
 	}
-	return readResponse(w.reader)
+	return readResponse(c.reader)
 }
 
 func appendHexID(b []byte, id uint64) []byte {
@@ -262,14 +264,14 @@
 	return b
 }
 
-// readResponse reads an answer: its status, its head and its body.
+// readResponse reads a whole response, discards its headers and body, and returns its status.
 func readResponse(in *bufio.Reader) (status int, err error) {
 	line, err := in.ReadSlice('\n')
 	if err != nil {
 		return 0, err
 	}
 	if len(line) < 12 {
-		return 0, fmt.Errorf("no answer: %q", line)
+		return 0, fmt.Errorf("malformed status line: %q", line)
 	}
 	if status, err = strconv.Atoi(string(line[9:12])); err != nil {
 		return 0, err
--- a/lab/loadgen/load_test.go
+++ b/lab/loadgen/load_test.go
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// newTestServer answers all with a status; it stands still between two moments of its life.
+// newTestServer starts a server that answers with the given status and stalls between from and to after its start.
 func newTestServer(t *testing.T, status func(n int64) int, from, to time.Duration) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	began := time.Now()
+	start := time.Now()
 	var n atomic.Int64
 	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if since := time.Since(began); since > from && since < to {
-			time.Sleep(to - since)
+		if elapsed := time.Since(start); elapsed > from && elapsed < to {
+			time.Sleep(to - elapsed)
 		}
 		w.WriteHeader(status(n.Add(1)))
 	})}
@@ -35,7 +35,8 @@
 		Mix: []Request{{Kind: "status", Owner: "all", Timeout: time.Second, Body: []byte("x")}}}
 }
 
-// A node that stands still for 400 ms must show it: the events whose time came meanwhile waited for it.
+// Guards against coordinated omission: while the server stalls for 400 ms, events that fall due have to wait, and
+// the wait must show in their latency.
 func TestLatencyIsMeasuredFromDueTime(t *testing.T) {
 	address := newTestServer(t, func(int64) int { return 202 }, 300*time.Millisecond, 700*time.Millisecond)
 	l, err := Run(context.Background(), newTestPlan(address, 500))
@@ -43,10 +44,10 @@
 		t.Fatal(err)
 	}
 	if l.Acked < 450 || l.Failed > 0 {
-		t.Errorf("offered 500: %+v", l)
+		t.Errorf("want at least 450 of 500 events accepted and none failed, got %+v", l)
 	}
-	if l.LatencyMs[1] < 200 { // a third of the second's events came while it stood still: p90 must tell
-		t.Errorf("p90 is %.1f ms, though it stood still for 400 ms", l.LatencyMs[1])
+	if l.LatencyMs[1] < 200 { // about 40% of the events fell due during the stall, so p90 must show it
+		t.Errorf("p90 is %.1f ms, want at least 200 ms after a stall of 400 ms", l.LatencyMs[1])
 	}
 }
 
@@ -54,7 +55,7 @@
 	address := newTestServer(t, func(n int64) int { return []int{202, 503, 500}[n%3] }, 0, 0)
 	l, err := Run(context.Background(), newTestPlan(address, 300))
 	if err != nil || l.Acked == 0 || l.Declined == 0 || l.Failed == 0 || Sustained(&l, time.Minute) {
-		t.Errorf("%+v, %v", l, err)
+		t.Errorf("want accepted, declined and failed requests, and no sustained rate, got %+v, %v", l, err)
 	}
 }
 
@@ -71,7 +72,7 @@
 		p := newTestPlan("127.0.0.1:9", 1)
 		change(p)
 		if err := p.Validate(); err == nil {
-			t.Errorf("taken: %+v", p)
+			t.Errorf("invalid plan was accepted: %+v", p)
 		}
 	}
 }
@@ -82,20 +83,20 @@
 	n := 0
 	for p.dueTime(n) < p.Duration {
 		if n > 0 && p.dueTime(n) <= p.dueTime(n-1) {
-			t.Fatalf("event %d is due at %v, the one before at %v", n, p.dueTime(n), p.dueTime(n-1))
+			t.Fatalf("event %d is due at %v, not after its predecessor at %v", n, p.dueTime(n), p.dueTime(n-1))
 		}
 		n++
 	}
 	if n < 395 || n > 405 {
-		t.Errorf("%d events, want 400", n)
+		t.Errorf("%d events are due, want 400", n)
 	}
 }
 
 func TestFindKnee(t *testing.T) {
 	limit := int64(0)
-	var at, count atomic.Int64
-	address := newTestServer(t, func(int64) int { // over 400 in a second it declines
-		if now := time.Now().Unix(); at.Swap(now) != now {
+	var second, count atomic.Int64
+	address := newTestServer(t, func(int64) int { // declines all but the first 400 requests of each second
+		if now := time.Now().Unix(); second.Swap(now) != now {
 			count.Store(0)
 		}
 		if count.Add(1) > limit {
@@ -108,6 +109,6 @@
 	p.Duration = 300 * time.Millisecond
 	best, steps, err := FindKnee(context.Background(), *p, 500*time.Millisecond, nil)
 	if err != nil || best < 400 || best > 4000 || len(steps) < 3 {
-		t.Errorf("%.0f/s after %d steps: %v", best, len(steps), err)
+		t.Errorf("found %.0f/s after %d steps: %v", best, len(steps), err)
 	}
 }
