--- a/lab/runner/recording.go
+++ b/lab/runner/recording.go
@@ -10,36 +10,38 @@
 	"jaspersill/lab/world"
 )
 
-// Record plays one run and writes what arrived and what came of it, in the order of arrival.
-func Record(day *scenario.Scenario, seed, luck uint64, launch world.Launch, to io.Writer) error {
+// Record simulates one run and writes each arrival with its result, in the order of arrival.
+func Record(sc *scenario.Scenario, seed, noiseSeed uint64, launch world.Launch, to io.Writer) error {
 	type record struct {
-		a    arrival.Asking
-		end  string
-		took int64
+		arrival arrival.Asking
+		result  string
+		latency int64
 	}
 	var records []record
-	w := world.New(day, seed, luck, launch, nil)
+	w := world.New(sc, seed, noiseSeed, launch, nil)
 	w.Recorded(
-		func(a arrival.Asking, end string, took int64) { records = append(records, record{a, end, took}) },
+		func(a arrival.Asking, result string, latency int64) {
+			records = append(records, record{a, result, latency})
+		},
 	)
 	w.Run()
-	slices.SortStableFunc(records, func(a, b record) int { return cmp.Compare(a.a.Number, b.a.Number) })
-	out, err := arrival.NewWriter(to, day)
+	slices.SortStableFunc(records, func(a, b record) int { return cmp.Compare(a.arrival.Number, b.arrival.Number) })
+	out, err := arrival.NewWriter(to, sc)
 	if err != nil {
 		return err
 	}
 	for _, r := range records {
-		if err := out.Write(r.a, r.end, r.took); err != nil {
+		if err := out.Write(r.arrival, r.result, r.latency); err != nil {
 			return err
 		}
 	}
 	return out.Close()
 }
 
-// Replay plays a recording's arrivals again on its own day.
+// Replay simulates the recorded arrivals again, on the scenario that the recording contains.
 func Replay(
 	from io.Reader,
-	seed, luck uint64,
+	seed, noiseSeed uint64,
 	launch world.Launch,
 	trace io.Writer,
 ) (Result, *scenario.Scenario, error) {
@@ -48,6 +50,6 @@
 		return Result{}, nil, err
 	}
 	defer r.Close()
-	result := runWithSource(r.Day, seed, luck, launch, true, trace, r)
+	result := runWithSource(r.Day, seed, noiseSeed, launch, true, trace, r)
 	return result, r.Day, r.Err
 }
--- a/lab/runner/run.go
+++ b/lab/runner/run.go
@@ -1,4 +1,4 @@
-// Package run plays scenarios many times and gathers what came of them.
+// Package runner simulates scenarios with many seeds, in parallel, and collects the results.
 package runner
 
 import (
@@ -22,26 +22,28 @@
 )
 
 const (
-	minLatency    = int64(1e5)  // ns, the finest latency told apart
+	minLatency    = int64(1e5)  // ns; shorter latencies are recorded as this
 	maxLatency    = int64(1e12) // ns
 	latencyDigits = 3
 )
 
-// Percentiles are the latencies that reports tell, from a client's first asking to the delivery.
+// Percentiles lists the percentiles of latency that reports show. Latency is the time from a client's first
+// request for an event until its delivery.
 var Percentiles = []float64{50, 90, 99, 99.9}
 
-// SecondStats is one second of a run.
+// SecondStats holds the statistics of one simulated second.
 type SecondStats struct {
-	Start        int64     `json:"at"`      // s
-	Utility      float64   `json:"utility"` // share delivered of what was asked for in it
+	Start        int64     `json:"at"`      // s, from the start of the run
+	Utility      float64   `json:"utility"` // share of the utility requested in this second that was delivered
 	Outcomes     [9]int64  `json:"outcomes"`
-	Offered      []int64   `json:"offered"` // calls, by kind of partner
+	Offered      []int64   `json:"offered"` // calls, by destination kind
 	Refused      []int64   `json:"refused"`
 	ActiveEvents int       `json:"held"`
-	LatencyMs    []float64 `json:"latency_ms,omitempty"` // by Percentiles, of what was delivered in it
+	LatencyMs    []float64 `json:"latency_ms,omitempty"` // by Percentiles, of the events delivered in this second
 }
 
-// Result is one run.
+// Result holds the results of one run. Seed determines the destinations, the requests and the faults; NoiseSeed
+// determines all other randomness.
 type Result struct {
 	Seed      uint64         `json:"seed"`
 	NoiseSeed uint64         `json:"luck"`
@@ -50,43 +52,43 @@
 	Overloads int            `json:"falls"`
 	LatencyMs []float64      `json:"latency_ms"` // by Percentiles
 	Seconds   []SecondStats  `json:"seconds,omitempty"`
-	TraceHash string         `json:"trace,omitempty"` // SHA-256 of the trace, where one was kept
+	TraceHash string         `json:"trace,omitempty"` // SHA-256 of the trace, if there is one
 }
 
-// Run plays one run. With detail it keeps each second; trace may be nil.
+// Run simulates one run. With detail the result contains the statistics of each second. trace may be nil.
 func Run(
-	day *scenario.Scenario, seed, luck uint64, launch world.Launch, detail bool, trace io.Writer,
+	sc *scenario.Scenario, seed, noiseSeed uint64, launch world.Launch, detail bool, trace io.Writer,
 ) Result {
-	return runWithSource(day, seed, luck, launch, detail, trace, nil)
+	return runWithSource(sc, seed, noiseSeed, launch, detail, trace, nil)
 }
 
-// runWithSource is One with arrivals from a source, or drawn where it is nil.
+// runWithSource is like Run, but takes the arrivals from source; if it is nil, they are generated from the seed.
 func runWithSource(
-	day *scenario.Scenario, seed, luck uint64, launch world.Launch, detail bool, trace io.Writer,
+	sc *scenario.Scenario, seed, noiseSeed uint64, launch world.Launch, detail bool, trace io.Writer,
 	source arrival.Source,
 ) Result {
-	w := world.New(day, seed, luck, launch, trace)
+	w := world.New(sc, seed, noiseSeed, launch, trace)
 	if source != nil {
 		w.Play(source)
 	}
 	all := hdrhistogram.New(minLatency, maxLatency, latencyDigits)
-	now := hdrhistogram.New(minLatency, maxLatency, 2)
+	second := hdrhistogram.New(minLatency, maxLatency, 2)
 	l := w.Ledger()
-	l.Latency = func(typ int, took int64) {
-		all.RecordValue(max(took, minLatency))
+	l.Latency = func(typ int, latency int64) {
+		all.RecordValue(max(latency, minLatency))
 		if detail {
-			now.RecordValue(max(took, minLatency))
+			second.RecordValue(max(latency, minLatency))
 		}
 	}
-	r := Result{Seed: seed, NoiseSeed: luck}
+	r := Result{Seed: seed, NoiseSeed: noiseSeed}
 	if detail {
-		var how [9]int64
-		offered, refused := make([]int64, len(day.Partners)), make([]int64, len(day.Partners))
+		var outcomes [9]int64
+		offered, refused := make([]int64, len(sc.Partners)), make([]int64, len(sc.Partners))
 		w.Sampled(func(w *world.World) {
-			s := SecondStats{Start: w.Now()/1e9 - 1, ActiveEvents: w.Held(), LatencyMs: percentiles(now)}
-			now.Reset()
-			for i := range how {
-				s.Outcomes[i], how[i] = l.How[i]-how[i], l.How[i]
+			s := SecondStats{Start: w.Now()/1e9 - 1, ActiveEvents: w.Held(), LatencyMs: percentiles(second)}
+			second.Reset()
+			for i := range outcomes {
+				s.Outcomes[i], outcomes[i] = l.How[i]-outcomes[i], l.How[i]
 			}
 			p := w.Partners()
 			for i := range offered {
@@ -113,14 +115,14 @@
 	return ms
 }
 
-// TraceHash plays one run and returns its trace's SHA-256.
-func TraceHash(day *scenario.Scenario, seed, luck uint64, launch world.Launch) string {
+// TraceHash simulates one run and returns the SHA-256 of its trace.
+func TraceHash(sc *scenario.Scenario, seed, noiseSeed uint64, launch world.Launch) string {
 	h := sha256.New()
-	Run(day, seed, luck, launch, false, h)
+	Run(sc, seed, noiseSeed, launch, false, h)
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// Variant is a policy or version to play.
+// Variant is a policy, with its scenario, that is compared with others.
 type Variant struct {
 	Name      string
 	Scenario  *scenario.Scenario
@@ -128,42 +130,42 @@
 	NoiseSeed uint64
 }
 
-// NewVariant is a policy played on a scenario.
-func NewVariant(name string, day *scenario.Scenario, luck uint64) (Variant, error) {
+// NewVariant returns a variant of the policy with the given name.
+func NewVariant(name string, sc *scenario.Scenario, noiseSeed uint64) (Variant, error) {
 	launch, err := policy.Find(name)
-	return Variant{Name: name, Scenario: day, Launch: launch, NoiseSeed: luck}, err
+	return Variant{Name: name, Scenario: sc, Launch: launch, NoiseSeed: noiseSeed}, err
 }
 
-// RunAll plays each set on each seed, on as many cores as there are, and hands the results back in order. Each
-// run is one goroutine's alone, so cores change nothing but the time. progress may be nil; it is called one
-// at a time.
+// RunAll simulates each variant with each seed, in parallel on all cores, and returns the results by variant and
+// seed. Each run stays on one goroutine, so the number of cores does not affect the results. With detail, the
+// results of the first seed contain the statistics of each second. progress may be nil; its calls never overlap.
 func RunAll(
 	ctx context.Context,
-	sets []Variant,
+	variants []Variant,
 	seeds []uint64,
 	detail bool,
-	progress func(done, of int),
+	progress func(done, total int),
 ) ([][]Result, error) {
-	results := make([][]Result, len(sets))
+	results := make([][]Result, len(variants))
 	for i := range results {
 		results[i] = make([]Result, len(seeds))
 	}
-	type job struct{ set, seed int }
+	type job struct{ variant, seed int }
 	jobs := make(chan job)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	done := 0
-	for range min(runtime.GOMAXPROCS(0), len(sets)*len(seeds)) {
+	for range min(runtime.GOMAXPROCS(0), len(variants)*len(seeds)) {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			for j := range jobs {
-				s := &sets[j.set]
-				r := Run(s.Scenario, seeds[j.seed], s.NoiseSeed, s.Launch, detail && j.seed == 0, nil)
+				v := &variants[j.variant]
+				r := Run(v.Scenario, seeds[j.seed], v.NoiseSeed, v.Launch, detail && j.seed == 0, nil)
 				mu.Lock()
-				results[j.set][j.seed] = r
+				results[j.variant][j.seed] = r
 				if done++; progress != nil {
-					progress(done, len(sets)*len(seeds))
+					progress(done, len(variants)*len(seeds))
 				}
 				mu.Unlock()
 			}
@@ -171,10 +173,10 @@
 	}
 	var err error
 feed:
-	for seed := range seeds { // all sets of a seed together: what is cut off is cut off for all
-		for set := range sets {
+	for seed := range seeds { // seed by seed, so that cancellation cuts all variants alike
+		for variant := range variants {
 			select {
-			case jobs <- job{set, seed}:
+			case jobs <- job{variant, seed}:
 			case <-ctx.Done():
 				err = ctx.Err()
 				break feed
@@ -186,7 +188,7 @@
 	return results, err
 }
 
-// Seeds are n seeds from a first one.
+// Seeds returns n consecutive seeds.
 func Seeds(first uint64, n int) (seeds []uint64) {
 	for i := range n {
 		seeds = append(seeds, first+uint64(i))
@@ -194,18 +196,18 @@
 	return seeds
 }
 
-// MetricValues takes one figure of each result.
-func MetricValues(results []Result, of func(*Result) float64) (values []float64) {
+// MetricValues returns the value of a metric for each result.
+func MetricValues(results []Result, metric func(*Result) float64) (values []float64) {
 	for i := range results {
-		values = append(values, of(&results[i]))
+		values = append(values, metric(&results[i]))
 	}
 	return values
 }
 
-// G is the figure that runs are compared by.
+// G is the score that runs are compared by, see ledger.Summary.
 func G(r *Result) float64 { return r.Summary.G }
 
-// CountViolations counts the broken rules of some results and tells the first.
+// CountViolations returns the number of rule violations in all results and a description of the first.
 func CountViolations(results []Result) (n int, first string) {
 	for i := range results {
 		n += results[i].Summary.Broken
@@ -216,15 +218,15 @@
 	return n, first
 }
 
-// PairedDifference is the difference that b makes beside a, pair by pair.
-func PairedDifference(a, b []Result, of func(*Result) float64) stat.Interval {
-	return stat.Paired(MetricValues(a, of), MetricValues(b, of), 1)
+// PairedDifference returns the mean difference of a metric, b minus a, over the pairs of runs with equal seeds.
+func PairedDifference(a, b []Result, metric func(*Result) float64) stat.Interval {
+	return stat.Paired(MetricValues(a, metric), MetricValues(b, metric), 1)
 }
 
-// IsReproducible plays a run twice and tells whether both traces are the same, byte for byte.
-func IsReproducible(day *scenario.Scenario, seed uint64, launch world.Launch) bool {
+// IsReproducible simulates a run twice and reports whether the two traces are identical.
+func IsReproducible(sc *scenario.Scenario, seed uint64, launch world.Launch) bool {
 	var a, b bytes.Buffer
-	Run(day, seed, 0, launch, false, &a)
-	Run(day, seed, 0, launch, false, &b)
+	Run(sc, seed, 0, launch, false, &a)
+	Run(sc, seed, 0, launch, false, &b)
 	return bytes.Equal(a.Bytes(), b.Bytes())
 }
--- a/lab/runner/run_test.go
+++ b/lab/runner/run_test.go
@@ -23,37 +23,37 @@
 
 func findScenario(t testing.TB, name string) *scenario.Scenario {
 	t.Helper()
-	day, err := scenarios.Find(name)
+	sc, err := scenarios.Find(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return day
+	return sc
 }
 
-// fullLength tells whether the measurements that docs/lab.md states are made, rather than their short forms.
+// fullLength reports whether tests run the full measurements that docs/lab.md quotes instead of short versions.
 func fullLength() bool { return os.Getenv("JASPERSILL_LONG") != "" }
 
 func TestTraceDependsOnlyOnSeeds(t *testing.T) {
 	for _, name := range []string{"harvest", "ordered", "replaced", "seldom"} {
-		day := findScenario(t, name)
-		day.Length = scenario.Span(30e9)
+		sc := findScenario(t, name)
+		sc.Length = scenario.Span(30e9)
 		before := runtime.GOMAXPROCS(1)
-		one := TraceHash(day, 7, 3, policy.Module)
+		one := TraceHash(sc, 7, 3, policy.Module)
 		runtime.GOMAXPROCS(max(2, before))
-		if two := TraceHash(day, 7, 3, policy.Module); one != two {
-			t.Errorf("%s: two traces of one seed: %s and %s", name, one, two)
+		if two := TraceHash(sc, 7, 3, policy.Module); one != two {
+			t.Errorf("%s: traces differ between 1 and more cores: %s and %s", name, one, two)
 		}
 		runtime.GOMAXPROCS(before)
-		if other := TraceHash(day, 7, 4, policy.Module); other == one {
-			t.Errorf("%s: two lucks have one trace", name)
+		if other := TraceHash(sc, 7, 4, policy.Module); other == one {
+			t.Errorf("%s: two noise seeds gave the same trace", name)
 		}
 	}
 }
 
 func TestDefectivePoliciesViolateTheirRules(t *testing.T) {
 	for _, c := range []struct {
-		weak, scenario string
-		rule           ledger.Rule
+		defect, scenario string
+		rule             ledger.Rule
 	}{
 		{"lossy", "farm", ledger.OneEnd},
 		{"restless", "farm", ledger.OneEnd},
@@ -64,149 +64,149 @@
 		{"disorderly", "ordered", ledger.Order},
 		{"deaf", "refusals", ledger.Waits},
 	} {
-		day := findScenario(t, c.scenario)
-		if c.weak == "forgetful" { // a window so short that repeats past it come often
-			for i := range day.Types {
-				if day.Types[i].Window > 0 {
-					day.Types[i].Window = 2e8
+		sc := findScenario(t, c.scenario)
+		if c.defect == "forgetful" { // a deduplication window so short that repeats often come after it
+			for i := range sc.Types {
+				if sc.Types[i].Window > 0 {
+					sc.Types[i].Window = 2e8
 				}
 			}
 		}
-		launch, err := policy.Find("module+" + c.weak)
+		launch, err := policy.Find("module+" + c.defect)
 		if err != nil {
 			t.Fatal(err)
 		}
-		caught := false
+		detected := false
 		for seed := range uint64(3) {
-			for _, b := range Run(day, seed, 0, launch, false, nil).Summary.Breaks {
+			for _, b := range Run(sc, seed, 0, launch, false, nil).Summary.Breaks {
 				evidence := b.Event > 0 && b.At > 0 &&
-					(len(b.Sends) > 0 || c.weak == "lossy" || c.weak == "deaf" ||
-						c.weak == "undrained" || c.weak == "disorderly") ||
+					(len(b.Sends) > 0 || c.defect == "lossy" || c.defect == "deaf" ||
+						c.defect == "undrained" || c.defect == "disorderly") ||
 					b.Rule == ledger.Returns
 				if b.Rule != c.rule &&
-					(c.weak != "restless" || b.Rule != ledger.Once) { // the one too many runs, too
-					t.Errorf("%s: %s", c.weak, b)
+					(c.defect != "restless" || b.Rule != ledger.Once) { // the extra attempt also runs
+					t.Errorf("%s: %s", c.defect, b)
 				} else if !evidence {
-					t.Errorf("%s: no evidence: %s", c.weak, b)
+					t.Errorf("%s: violation without evidence: %s", c.defect, b)
 				}
-				caught = true
+				detected = true
 			}
-			if r := Run(day, seed, 0, policy.Module, false, nil); r.Summary.Broken > 0 && c.weak != "forgetful" {
-				t.Errorf("%s: false alarm on the module as it is: %s", c.scenario, r.Summary.Breaks[0])
+			if r := Run(sc, seed, 0, policy.Module, false, nil); r.Summary.Broken > 0 && c.defect != "forgetful" {
+				t.Errorf("%s: violation by the module without defects: %s", c.scenario, r.Summary.Breaks[0])
 			}
 		}
-		if !caught {
-			t.Errorf("%s on %s: not caught", c.weak, c.scenario)
+		if !detected {
+			t.Errorf("%s on %s: no violation was detected", c.defect, c.scenario)
 		}
 	}
 }
 
 func TestNoViolationsWithoutFaults(t *testing.T) {
-	day := findScenario(t, "farm")
+	sc := findScenario(t, "farm")
 	n := 40
 	if fullLength() {
 		n = 200
 	} else {
-		day.Length = scenario.Span(20e9)
+		sc.Length = scenario.Span(20e9)
 	}
-	sets := []Variant{{Name: "module", Scenario: day, Launch: policy.Module}}
-	results, err := RunAll(context.Background(), sets, Seeds(1, n), false, nil)
+	variants := []Variant{{Name: "module", Scenario: sc, Launch: policy.Module}}
+	results, err := RunAll(context.Background(), variants, Seeds(1, n), false, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if broken, first := CountViolations(results[0]); broken > 0 {
-		t.Errorf("%d alarms over %d calm seeds: %s", broken, n, first)
+		t.Errorf("%d violations over %d seeds without faults: %s", broken, n, first)
 	}
 	for i := range results[0] {
 		if s := &results[0][i].Summary; s.Asked == 0 || s.G < 0.99 || s.Effects != s.Acked {
-			t.Errorf("seed %d is not calm: %+v", results[0][i].Seed, s)
+			t.Errorf("seed %d: want nearly all utility and one effect per delivered event, got %+v", results[0][i].Seed, s)
 		}
 	}
 }
 
-// A version beside itself: with the same requests and troubles, and chance drawn anew, the interval must hold
-// 0 as often as it says.
+// Compares a policy with itself: the requests and faults are the same and only the noise seeds differ, so the 95%
+// interval of the difference has to contain 0 as often as its confidence level says.
 func TestSelfComparisonIntervalCoverage(t *testing.T) {
-	day := findScenario(t, "refusals")
+	sc := findScenario(t, "refusals")
 	comparisons, seeds := 40, 12
-	least, most := 0.85, 1.0
+	lowest, highest := 0.85, 1.0
 	if fullLength() {
-		comparisons, seeds, least, most = 400, 30, 0.92, 0.98
+		comparisons, seeds, lowest, highest = 400, 30, 0.92, 0.98
 	}
-	day.Length = scenario.Span(20e9)
-	day.Loads[0].At, day.Loads[0].For = scenario.Span(5e9), scenario.Span(8e9)
-	holds := 0
+	sc.Length = scenario.Span(20e9)
+	sc.Loads[0].At, sc.Loads[0].For = scenario.Span(5e9), scenario.Span(8e9)
+	containing := 0
 	for c := range comparisons {
-		sets := []Variant{
-			{Scenario: day, Launch: policy.Module, NoiseSeed: uint64(2*c + 1)},
-			{Scenario: day, Launch: policy.Module, NoiseSeed: uint64(2*c + 2)},
+		variants := []Variant{
+			{Scenario: sc, Launch: policy.Module, NoiseSeed: uint64(2*c + 1)},
+			{Scenario: sc, Launch: policy.Module, NoiseSeed: uint64(2*c + 2)},
 		}
-		r, err := RunAll(context.Background(), sets, Seeds(uint64(1+c*seeds), seeds), false, nil)
+		r, err := RunAll(context.Background(), variants, Seeds(uint64(1+c*seeds), seeds), false, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if PairedDifference(r[0], r[1], G).Holds(0) {
-			holds++
+			containing++
 		}
 	}
-	part := float64(holds) / float64(comparisons)
-	t.Logf("the interval held 0 in %d of %d comparisons of %d seeds", holds, comparisons, seeds)
-	if part < least || part > most {
-		t.Errorf("the interval held 0 in %.3f of the comparisons, want %.2f to %.2f", part, least, most)
+	share := float64(containing) / float64(comparisons)
+	t.Logf("the interval contained 0 in %d of %d comparisons of %d seeds", containing, comparisons, seeds)
+	if share < lowest || share > highest {
+		t.Errorf("the interval contained 0 in %.3f of the comparisons, want %.2f to %.2f", share, lowest, highest)
 	}
 }
 
 func TestPairedDifferenceDetectsWorsePolicy(t *testing.T) {
-	day := findScenario(t, "silence")
-	a, _ := NewVariant("module", day, 0)
-	b, _ := NewVariant("once", day, 0)
+	sc := findScenario(t, "silence")
+	a, _ := NewVariant("module", sc, 0)
+	b, _ := NewVariant("once", sc, 0)
 	r, err := RunAll(context.Background(), []Variant{a, b}, Seeds(1, 8), false, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if d := PairedDifference(r[0], r[1], G); d.Most >= 0 {
-		t.Errorf("one try for each event is not seen to be worse: %+v", d)
+		t.Errorf("policy with a single attempt per event is not significantly worse: %+v", d)
 	}
 }
 
-// The interval's own promise, on values whose mean is known.
+// Checks the coverage of the bootstrap interval on distributions whose mean is known.
 func TestBootstrapIntervalCoverage(t *testing.T) {
-	chance := rand.New(rand.NewPCG(5, 5))
+	random := rand.New(rand.NewPCG(5, 5))
 	for name, draw := range map[string]func() float64{
-		"even": chance.Float64, "normal": chance.NormFloat64,
-		"skewed": func() float64 { return math.Sqrt(chance.ExpFloat64()) },
+		"uniform": random.Float64, "normal": random.NormFloat64,
+		"skewed": func() float64 { return math.Sqrt(random.ExpFloat64()) },
 	} {
-		mean := map[string]float64{"even": 0.5, "normal": 0, "skewed": math.Sqrt(math.Pi) / 2}[name]
-		holds, n := 0, 400
+		mean := map[string]float64{"uniform": 0.5, "normal": 0, "skewed": math.Sqrt(math.Pi) / 2}[name]
+		containing, n := 0, 400
 		for i := range n {
 			values := make([]float64, 30)
 			for k := range values {
 				values[k] = draw()
 			}
 			if stat.Bootstrap(values, uint64(i)).Holds(mean) {
-				holds++
+				containing++
 			}
 		}
-		if part := float64(holds) / float64(n); part < 0.92 || part > 0.985 {
-			t.Errorf("%s: the interval held the mean in %.3f of %d", name, part, n)
+		if share := float64(containing) / float64(n); share < 0.92 || share > 0.985 {
+			t.Errorf("%s: the interval contained the mean in %.3f of %d", name, share, n)
 		}
 	}
 }
 
-// What a run holds after its first minute must not grow with its length.
+// Guards against leaks in the simulation: the heap after the first minute must not grow with the run's length.
 func TestMemoryDoesNotGrowWithRunLength(t *testing.T) {
-	day := findScenario(t, "harvest")
+	sc := findScenario(t, "harvest")
 	minutes := 3
 	if fullLength() {
 		minutes = 10
 	}
-	day.Length = scenario.Span(minutes) * 60e9
-	for i := range day.Troubles {
-		day.Troubles[i].For, day.Troubles[i].Every = day.Length, scenario.Span(30e9)
+	sc.Length = scenario.Span(minutes) * 60e9
+	for i := range sc.Troubles {
+		sc.Troubles[i].For, sc.Troubles[i].Every = sc.Length, scenario.Span(30e9)
 	}
-	day.Loads[0].For = day.Length
+	sc.Loads[0].For = sc.Length
 	var heap []uint64
-	w := world.New(day, 1, 0, policy.Module, nil)
+	w := world.New(sc, 1, 0, policy.Module, nil)
 	w.Sampled(func(w *world.World) {
 		if (w.Now()/1e9)%60 == 59 {
 			runtime.GC()
@@ -218,7 +218,7 @@
 	w.Run()
 	t.Logf("heap after each minute, kB: %d", heap)
 	if first, last := heap[0], heap[len(heap)-1]; last > first+first/4+1<<20 {
-		t.Errorf("the heap grew from %d to %d bytes", first, last)
+		t.Errorf("heap grew from %d to %d bytes", first, last)
 	}
 }
 
@@ -245,9 +245,9 @@
 			t.Errorf("%q: got %v, want %q", c.text, err, c.want)
 		}
 	}
-	for _, name := range scenarios.Names() { // what is written is read back, and plays the same
-		day := findScenario(t, name)
-		text, err := day.Write()
+	for _, name := range scenarios.Names() { // a scenario that is written and read back gives the same run
+		sc := findScenario(t, name)
+		text, err := sc.Write()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -256,9 +256,9 @@
 			t.Errorf("%s: %v", name, err)
 			continue
 		}
-		day.Length, again.Length = scenario.Span(6e9), scenario.Span(6e9)
-		if TraceHash(day, 1, 0, policy.Module) != TraceHash(again, 1, 0, policy.Module) {
-			t.Errorf("%s: written and read back it plays another run", name)
+		sc.Length, again.Length = scenario.Span(6e9), scenario.Span(6e9)
+		if TraceHash(sc, 1, 0, policy.Module) != TraceHash(again, 1, 0, policy.Module) {
+			t.Errorf("%s: written and read back, it gives a different trace", name)
 		}
 	}
 }
@@ -272,30 +272,31 @@
 		{"200-endpoints", 50, 200}, {"1000-endpoints", 100, 1000},
 	} {
 		b.Run(size.name, func(b *testing.B) {
-			day := findScenario(b, "farm")
-			day.Fleet.Nodes, day.Length = size.nodes, scenario.Span(30e9)
+			sc := findScenario(b, "farm")
+			sc.Fleet.Nodes, sc.Length = size.nodes, scenario.Span(30e9)
 			rate := 0.0
-			for i := range day.Types {
-				day.Types[i].Rate *= float64(size.endpoints) / 24
-				rate += day.Types[i].Rate
+			for i := range sc.Types {
+				sc.Types[i].Rate *= float64(size.endpoints) / 24
+				rate += sc.Types[i].Rate
 			}
-			day.Partners[0].Destinations = max(1, size.endpoints/6)
-			day.Partners[1].Destinations = size.endpoints - 3*day.Partners[0].Destinations
+			sc.Partners[0].Destinations = max(1, size.endpoints/6)
+			sc.Partners[1].Destinations = size.endpoints - 3*sc.Partners[0].Destinations
 			events := int64(0)
 			for b.Loop() {
-				events += Run(day, 1, 0, policy.Module, false, nil).Summary.Asked
+				events += Run(sc, 1, 0, policy.Module, false, nil).Summary.Asked
 			}
 			b.ReportMetric(float64(events)/b.Elapsed().Seconds(), "events/s")
 		})
 	}
 }
 
-// What a recording plays again must be the run that it was made of, to the byte.
+// The replay of a recording must have the same trace, byte for byte, as the recorded run. A truncated recording must
+// be reported as an error and must not panic.
 func TestReplayReproducesRecordedRun(t *testing.T) {
-	day := findScenario(t, "clumps")
-	day.Length = scenario.Span(20e9)
+	sc := findScenario(t, "clumps")
+	sc.Length = scenario.Span(20e9)
 	var file bytes.Buffer
-	if err := Record(day, 5, 1, policy.Module, &file); err != nil {
+	if err := Record(sc, 5, 1, policy.Module, &file); err != nil {
 		t.Fatal(err)
 	}
 	text := file.Bytes()
@@ -305,7 +306,7 @@
 		t.Fatal(err)
 	}
 	if got, want := hex.EncodeToString(h.Sum(nil)), TraceHash(recorded, 5, 1, policy.Module); got != want {
-		t.Errorf("trace %s, want %s; %d asked for", got, want, r.Summary.Asked)
+		t.Errorf("trace %s, want %s; %d arrivals", got, want, r.Summary.Asked)
 	}
 	in, err := arrival.Open(bytes.NewReader(text))
 	if err != nil {
@@ -317,17 +318,17 @@
 		n++
 	}
 	if in.Err != nil || n != r.Summary.Asked {
-		t.Errorf("%d arrivals recorded, %d asked for: %v", n, r.Summary.Asked, in.Err)
+		t.Errorf("%d arrivals recorded, %d simulated: %v", n, r.Summary.Asked, in.Err)
 	}
-	for cut := 0; cut < len(text); cut += len(text)/60 + 1 { // it must say so, and not panic
-		in, err := arrival.Open(bytes.NewReader(text[:cut]))
+	for size := 0; size < len(text); size += len(text)/60 + 1 {
+		in, err := arrival.Open(bytes.NewReader(text[:size]))
 		if err != nil {
 			continue
 		}
 		for _, more := in.Next(); more; _, more = in.Next() {
 		}
 		if in.Err == nil {
-			t.Errorf("cut off at %d of %d bytes it passes for whole", cut, len(text))
+			t.Errorf("recording truncated to %d of %d bytes was read without an error", size, len(text))
 		}
 		in.Close()
 	}
