--- a/lab/report/page.go
+++ b/lab/report/page.go
@@ -2,7 +2,7 @@
 
 import (
 	"bytes"
-	_ "embed" // the page
+	_ "embed" // for page.html
 	"fmt"
 	"html/template"
 	"image/color"
@@ -28,60 +28,60 @@
 
 var faultColor = color.NRGBA{R: 200, G: 80, B: 40, A: 36}
 
-// series is one series of a chart.
+// series is a named line of a chart.
 type series struct {
 	name   string
 	points plotter.XYs
 	dashed bool
 }
 
-// renderChart draws lines over the seconds of a run, with the troubles as shaded spans, as SVG.
-func renderChart(title, y string, day *scenario.Scenario, lines []series) (template.HTML, error) {
+// renderChart draws lines over the time of a run as SVG. The durations of the scenario's faults are shaded.
+func renderChart(title, yLabel string, sc *scenario.Scenario, lines []series) (template.HTML, error) {
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds of the run", y
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds of the run", yLabel
 	p.Legend.Top, p.Legend.Left = true, true
 	p.Add(plotter.NewGrid())
-	top, end := 0.0, 1.0
+	maxY, end := 0.0, 1.0
 	for _, l := range lines {
 		for _, xy := range l.points {
-			top, end = math.Max(top, xy.Y), math.Max(end, xy.X)
+			maxY, end = math.Max(maxY, xy.Y), math.Max(end, xy.X)
 		}
 	}
-	if top == 0 {
-		top = 1
+	if maxY == 0 {
+		maxY = 1
 	}
-	if day != nil {
-		for _, t := range day.Troubles {
+	if sc != nil {
+		for _, t := range sc.Troubles {
 			from, to := float64(t.At)/1e9, float64(t.At+t.For)/1e9
 			if t.For == 0 {
 				to = from + end/300
 			}
-			box, err := plotter.NewPolygon(
-				plotter.XYs{{X: from, Y: 0}, {X: to, Y: 0}, {X: to, Y: top}, {X: from, Y: top}},
+			area, err := plotter.NewPolygon(
+				plotter.XYs{{X: from, Y: 0}, {X: to, Y: 0}, {X: to, Y: maxY}, {X: from, Y: maxY}},
 			)
 			if err != nil {
 				return "", err
 			}
-			box.Color, box.LineStyle.Width = faultColor, 0
-			p.Add(box)
+			area.Color, area.LineStyle.Width = faultColor, 0
+			p.Add(area)
 		}
 	}
 	for i, l := range lines {
 		if len(l.points) == 0 {
 			continue
 		}
-		drawn, err := plotter.NewLine(l.points)
+		curve, err := plotter.NewLine(l.points)
 		if err != nil {
 			return "", err
 		}
-		drawn.Color, drawn.Width = plotutil.Color(i), vg.Points(1.2)
+		curve.Color, curve.Width = plotutil.Color(i), vg.Points(1.2)
 		if l.dashed {
-			drawn.Dashes = []vg.Length{vg.Points(5), vg.Points(3)}
+			curve.Dashes = []vg.Length{vg.Points(5), vg.Points(3)}
 		}
-		p.Add(drawn)
-		p.Legend.Add(l.name, drawn)
+		p.Add(curve)
+		p.Legend.Add(l.name, curve)
 	}
-	p.X.Min, p.X.Max, p.Y.Min, p.Y.Max = 0, end, 0, top*1.15
+	p.X.Min, p.X.Max, p.Y.Min, p.Y.Max = 0, end, 0, maxY*1.15
 	c := vgsvg.New(chartWidth, chartHeight)
 	p.Draw(draw.New(c))
 	var b bytes.Buffer
@@ -90,30 +90,30 @@
 	}
 	svg := b.Bytes()
 	if at := bytes.Index(svg, []byte("<svg")); at > 0 {
-		svg = svg[at:] // the page has its own head
+		svg = svg[at:] // drops the XML declaration, because the SVG is embedded in HTML
 	}
 	return template.HTML(svg), nil
 }
 
-func secondSeries(seconds []runner.SecondStats, of func(*runner.SecondStats) float64) (xys plotter.XYs) {
+func secondSeries(seconds []runner.SecondStats, value func(*runner.SecondStats) float64) (xys plotter.XYs) {
 	for i := range seconds {
-		if v := of(&seconds[i]); !math.IsNaN(v) && !math.IsInf(v, 0) {
+		if v := value(&seconds[i]); !math.IsNaN(v) && !math.IsInf(v, 0) {
 			xys = append(xys, plotter.XY{X: float64(seconds[i].Start), Y: v})
 		}
 	}
 	return xys
 }
 
-// renderCharts draws what the sets' detailed runs show.
+// renderCharts draws the charts of the runs that have per-second statistics, and of the load results.
 func (f *File) renderCharts() (charts []template.HTML, err error) {
-	day, err := scenario.Read(scenarioFile, []byte(f.Scenario), nil)
+	sc, err := scenario.Read(scenarioFile, []byte(f.Scenario), nil)
 	if err != nil {
 		return nil, err
 	}
-	add := func(title, y string, lines []series) {
+	add := func(title, yLabel string, lines []series) {
 		if err == nil {
 			var c template.HTML
-			if c, err = renderChart(title, y, day, lines); err == nil {
+			if c, err = renderChart(title, yLabel, sc, lines); err == nil {
 				charts = append(charts, c)
 			}
 		}
@@ -126,7 +126,7 @@
 		}
 	}
 	if len(utility) > 0 {
-		add("Utility delivered of what each second asked for", "share", utility)
+		add("Share of the utility requested in each second that was delivered", "share", utility)
 	}
 	for i, s := range f.Variants {
 		if len(s.Results) == 0 || len(s.Results[0].Seconds) == 0 || (i > 0 && f.Kind == "sweep") || i > 2 {
@@ -138,7 +138,7 @@
 			latency = append(latency, series{name: fmt.Sprintf("p%g", p), points: secondSeries(seconds,
 				func(x *runner.SecondStats) float64 { return x.LatencyMs[n] })})
 		}
-		add(s.Name+": time from the asking to the delivery", "ms", latency)
+		add(s.Name+": latency from the first request to the delivery", "ms", latency)
 		var outcomes []series
 		for n, name := range ledger.Outcomes {
 			l := series{
@@ -149,9 +149,9 @@
 				outcomes = append(outcomes, l)
 			}
 		}
-		add(s.Name+": sends by outcome", "a second", outcomes)
+		add(s.Name+": attempts by outcome", "attempts per second", outcomes)
 		var load []series
-		for n, p := range day.Partners {
+		for n, p := range sc.Partners {
 			load = append(load, series{name: p.Name + " offered", points: secondSeries(seconds,
 				func(x *runner.SecondStats) float64 { return float64(x.Offered[n]) })})
 			if refused := (series{name: p.Name + " refused", points: secondSeries(seconds,
@@ -159,15 +159,15 @@
 				load = append(load, refused)
 			}
 			if p.Limit > 0 {
-				most := p.Limit * float64(p.Destinations)
+				limit := p.Limit * float64(p.Destinations)
 				if p.Routes {
-					most *= float64(p.Endpoints)
+					limit *= float64(p.Endpoints)
 				}
 				load = append(load, series{name: p.Name + " limit", dashed: true, points: secondSeries(seconds,
-					func(*runner.SecondStats) float64 { return most })})
+					func(*runner.SecondStats) float64 { return limit })})
 			}
 		}
-		add(s.Name+": calls offered to each kind of partner, beside its limit", "calls a second", load)
+		add(s.Name+": calls to each destination kind, and its limit", "calls per second", load)
 	}
 	if len(f.Loads) > 0 {
 		var lines []series
@@ -179,7 +179,7 @@
 			lines = append(lines, l)
 		}
 		var c template.HTML
-		if c, err = renderChart("Latency by offered events a second (on the x axis)", "ms", nil, lines); err == nil {
+		if c, err = renderChart("Latency by offered events per second (x axis)", "ms", nil, lines); err == nil {
 			charts = append(charts, c)
 		}
 	}
@@ -201,11 +201,11 @@
 var pageTemplate = template.Must(template.New("page").Funcs(template.FuncMap{
 	"f3":   func(v float64) string { return fmt.Sprintf("%.3f", v) },
 	"when": func(t time.Time) string { return t.Format("2006-01-02 15:04:05 UTC") },
-	"mean": func(results []runner.Result, what string) string {
+	"mean": func(results []runner.Result, metric string) string {
 		total := 0.0
 		for i := range results {
 			s := &results[i].Summary
-			switch what {
+			switch metric {
 			case "whole":
 				total += s.Whole
 			case "spell":
@@ -230,18 +230,18 @@
 	},
 }).Parse(pageHTML))
 
-// renderPage is the report as one HTML renderPage that needs nothing else.
+// renderPage renders the report as a self-contained HTML page.
 func (f *File) renderPage() ([]byte, error) {
 	charts, err := f.renderCharts()
 	if err != nil {
 		return nil, err
 	}
-	day, err := scenario.Read(scenarioFile, []byte(f.Scenario), nil)
+	sc, err := scenario.Read(scenarioFile, []byte(f.Scenario), nil)
 	if err != nil {
 		return nil, err
 	}
 	var b bytes.Buffer
-	err = pageTemplate.Execute(&b, map[string]any{"File": f, "Charts": charts, "Title": f.Kind + " " + day.Name,
-		"Hard": "Hard for: " + day.Hard})
+	err = pageTemplate.Execute(&b, map[string]any{"File": f, "Charts": charts, "Title": f.Kind + " " + sc.Name,
+		"Hard": "Hard for: " + sc.Hard})
 	return b.Bytes(), err
 }
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -1,5 +1,4 @@
-// Package report keeps what a run of the lab gave: result.json, tables as CSV, and one HTML page with its
-// charts.
+// Package report writes and reads the results of the lab: result.json, CSV tables, and an HTML page with charts.
 package report
 
 import (
@@ -19,52 +18,52 @@
 	"jaspersill/lab/stat"
 )
 
-// Version is the version of result.json; a file of another is refused.
+// Version is the format version of result.json; Read rejects any other.
 const Version = 1
 
-// VariantResult is what one policy, version or value gave.
+// VariantResult holds the results of one policy, build or value of a key.
 type VariantResult struct {
 	Name     string          `json:"name"`
 	Results  []runner.Result `json:"results"`
 	G        stat.Interval   `json:"g"`
 	Broken   int             `json:"broken"`
-	Position float64         `json:"place"` // between floor and top, where both were played; else 0
+	Position float64         `json:"place"` // between the policies once (0) and informed (1), if both were run; else 0
 }
 
-// Difference is what one set makes beside the first.
+// Difference is the paired difference in a metric between a variant and the first one.
 type Difference struct {
 	Name     string        `json:"name"`
 	Metric   string        `json:"figure"`
 	Interval stat.Interval `json:"by"`
 }
 
-// LoadResult is what the load tool measured, beside or without runs.
+// LoadResult holds the measurements of one run of the load generator.
 type LoadResult struct {
-	OfferedRate float64   `json:"offered"` // events a second, as intended
+	OfferedRate float64   `json:"offered"` // events per second, as planned
 	SentRate    float64   `json:"sent"`
 	Acked       int64     `json:"taken"`
 	Declined    int64     `json:"declined"`
 	Failed      int64     `json:"failed"`
-	LatencyMs   []float64 `json:"latency_ms"` // by run.Percentiles, from the intended time
-	SendLagMs   float64   `json:"lag_p99_ms"` // of the tool itself
+	LatencyMs   []float64 `json:"latency_ms"` // by runner.Percentiles, measured from the due time
+	SendLagMs   float64   `json:"lag_p99_ms"` // p99 of the delay that the load generator itself caused
 }
 
-// File is one folder's result.json.
+// File is the content of result.json.
 type File struct {
 	Version     int             `json:"version"`
 	Kind        string          `json:"kind"` // run, compare, sweep, hunt or load
 	CreatedAt   time.Time       `json:"at"`
 	Command     string          `json:"command"`
-	Scenario    string          `json:"scenario"` // its text
+	Scenario    string          `json:"scenario"` // the scenario file's text
 	Variants    []VariantResult `json:"sets,omitempty"`
 	Differences []Difference    `json:"differences,omitempty"`
 	Loads       []LoadResult    `json:"loads,omitempty"`
 	Notes       []string        `json:"notes,omitempty"`
 }
 
-// NewFile begins a file for a scenario.
-func NewFile(kind, command string, day *scenario.Scenario) (*File, error) {
-	text, err := day.Write()
+// NewFile returns a file without results for a scenario.
+func NewFile(kind, command string, sc *scenario.Scenario) (*File, error) {
+	text, err := sc.Write()
 	return &File{
 		Version:   Version,
 		Kind:      kind,
@@ -74,17 +73,17 @@
 	}, err
 }
 
-// Add adds a set's results.
+// Add adds the results of a variant.
 func (f *File) Add(name string, results []runner.Result) {
 	broken, first := runner.CountViolations(results)
 	f.Variants = append(f.Variants, VariantResult{Name: name, Results: results, Broken: broken,
 		G: stat.Bootstrap(runner.MetricValues(results, runner.G), 1)})
 	if broken > 0 {
-		f.Notes = append(f.Notes, fmt.Sprintf("%s: %d broken rules; the first: %s", name, broken, first))
+		f.Notes = append(f.Notes, fmt.Sprintf("%s: %d rule violations, the first: %s", name, broken, first))
 	}
 }
 
-// findVariant finds a findVariant by its name.
+// findVariant returns the variant with the given name, or nil.
 func (f *File) findVariant(name string) *VariantResult {
 	for i := range f.Variants {
 		if f.Variants[i].Name == name {
@@ -94,35 +93,35 @@
 	return nil
 }
 
-// ComputePlaces tells where each set stands between the floor, one try for each event, and the top, the policy that
-// sees everything; where both were played.
+// ComputePlaces computes the position of each variant between the worst and the best policy by mean G: "once", with a
+// single attempt per event, is 0, and "informed", which sees the whole simulation, is 1. It needs both of them.
 func (f *File) ComputePlaces() {
-	floor, top := f.findVariant("once"), f.findVariant("informed")
-	if floor == nil || top == nil || top.G.Mean <= floor.G.Mean {
+	lowest, highest := f.findVariant("once"), f.findVariant("informed")
+	if lowest == nil || highest == nil || highest.G.Mean <= lowest.G.Mean {
 		return
 	}
 	for i := range f.Variants {
-		f.Variants[i].Position = (f.Variants[i].G.Mean - floor.G.Mean) / (top.G.Mean - floor.G.Mean)
+		f.Variants[i].Position = (f.Variants[i].G.Mean - lowest.G.Mean) / (highest.G.Mean - lowest.G.Mean)
 	}
 }
 
-// ComputeDifferences notes the difference of each set to the first, in G and in what it is made of.
+// ComputeDifferences compares each variant with the first one by all metrics.
 func (f *File) ComputeDifferences() {
 	if len(f.Variants) < 2 {
 		return
 	}
 	for _, s := range f.Variants[1:] {
-		for _, figure := range metrics {
-			f.Differences = append(f.Differences, Difference{s.Name, figure.name,
-				runner.PairedDifference(f.Variants[0].Results, s.Results, figure.of)})
+		for _, metric := range metrics {
+			f.Differences = append(f.Differences, Difference{s.Name, metric.name,
+				runner.PairedDifference(f.Variants[0].Results, s.Results, metric.value)})
 		}
 	}
 }
 
-// metrics are what sets are compared by.
+// metrics lists what variants are compared by.
 var metrics = []struct {
-	name string
-	of   func(*runner.Result) float64
+	name  string
+	value func(*runner.Result) float64
 }{
 	{"G", runner.G},
 	{"whole", func(r *runner.Result) float64 { return r.Summary.Whole }},
@@ -139,7 +138,8 @@
 	scenarioFile = "scenario.toml"
 )
 
-// Write writes a folder: it is made if need be, and files of a former result in it are replaced.
+// Write writes all files of the result to a folder, which is created if necessary. It replaces the files of an
+// earlier result.
 func (f *File) Write(folder string) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return err
@@ -161,7 +161,7 @@
 	return nil
 }
 
-// Read reads a folder's result.
+// Read reads result.json from a folder.
 func Read(folder string) (*File, error) {
 	name := filepath.Join(folder, resultFile)
 	text, err := os.ReadFile(name)
@@ -178,7 +178,7 @@
 	return &f, nil
 }
 
-// Regenerate makes the tables and the page of a folder anew from its result.
+// Regenerate rewrites the tables and the page in a folder from its result.json.
 func Regenerate(folder string) error {
 	f, err := Read(folder)
 	if err != nil {
@@ -187,10 +187,10 @@
 	return f.Write(folder)
 }
 
-func csvTable(head []string, rows func(add func(...any))) []byte {
+func csvTable(header []string, rows func(add func(...any))) []byte {
 	var b bytes.Buffer
 	w := csv.NewWriter(&b)
-	w.Write(head)
+	w.Write(header)
 	rows(func(fields ...any) {
 		line := make([]string, len(fields))
 		for i, v := range fields {
@@ -208,7 +208,7 @@
 }
 
 func (f *File) runsCSV() []byte {
-	head := []string{
+	header := []string{
 		"set",
 		"seed",
 		"g",
@@ -228,7 +228,7 @@
 		"p99_ms",
 		"p999_ms",
 	}
-	return csvTable(head, func(add func(...any)) {
+	return csvTable(header, func(add func(...any)) {
 		for _, s := range f.Variants {
 			for _, r := range s.Results {
 				add(
@@ -257,11 +257,11 @@
 }
 
 func (f *File) secondsCSV() []byte {
-	head := []string{"set", "seed", "second", "utility", "held", "p50_ms", "p99_ms", "offered", "refused"}
+	header := []string{"set", "seed", "second", "utility", "held", "p50_ms", "p99_ms", "offered", "refused"}
 	for _, o := range ledger.Outcomes {
-		head = append(head, o)
+		header = append(header, o)
 	}
-	return csvTable(head, func(add func(...any)) {
+	return csvTable(header, func(add func(...any)) {
 		for _, s := range f.Variants {
 			for _, r := range s.Results {
 				for _, at := range r.Seconds {
@@ -292,7 +292,7 @@
 	return total
 }
 
-// FindResults tells the folders below one that hold a result.
+// FindResults returns the folder itself if it contains a result, else those of its subfolders that do.
 func FindResults(folder string) (folders []string, err error) {
 	if _, err := os.Stat(filepath.Join(folder, resultFile)); err == nil {
 		return []string{folder}, nil
@@ -307,7 +307,7 @@
 		}
 	}
 	if len(folders) == 0 {
-		return nil, errors.New(folder + ": no result in it")
+		return nil, errors.New(folder + ": no result found")
 	}
 	return folders, nil
 }
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -14,28 +14,28 @@
 )
 
 func TestWriteReadAndReject(t *testing.T) {
-	day, err := scenarios.Find("silence")
+	sc, err := scenarios.Find("silence")
 	if err != nil {
 		t.Fatal(err)
 	}
-	day.Length = scenario.Span(20e9)
-	var sets []runner.Variant
+	sc.Length = scenario.Span(20e9)
+	var variants []runner.Variant
 	for _, name := range []string{"once", "module", "informed", "module+deaf"} {
-		s, err := runner.NewVariant(name, day, 0)
+		s, err := runner.NewVariant(name, sc, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		sets = append(sets, s)
+		variants = append(variants, s)
 	}
-	results, err := runner.RunAll(context.Background(), sets, runner.Seeds(1, 2), true, nil)
+	results, err := runner.RunAll(context.Background(), variants, runner.Seeds(1, 2), true, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := NewFile("compare", "a command <script>", day)
+	f, err := NewFile("compare", "a command <script>", sc)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, s := range sets {
+	for i, s := range variants {
 		f.Add(s.Name, results[i])
 	}
 	f.Variants[0].Broken, f.Notes = 1, append(f.Notes, "once: 1 broken rules; the first: <b>")
@@ -50,10 +50,10 @@
 		t.Fatal(err)
 	}
 	if bytes.Contains(page, []byte("<script>")) || bytes.Contains(page, []byte("the first: <b>")) {
-		t.Error("what was given stands in the page as it is")
+		t.Error("the page contains unescaped input")
 	}
 	if n := bytes.Count(page, []byte("<svg")); n < 8 || !bytes.Contains(page, []byte(`class="bad"`)) {
-		t.Errorf("%d charts", n)
+		t.Errorf("want at least 8 charts and a marked note, got %d charts", n)
 	}
 	again, err := Read(folder)
 	if err != nil || len(again.Variants) != 4 || again.Variants[2].Position != 1 ||
@@ -80,6 +80,6 @@
 		}
 	}
 	if _, err := FindResults(t.TempDir()); err == nil {
-		t.Error("a folder without a result passes for one")
+		t.Error("FindResults accepted a folder without a result")
 	}
 }
