--- a/cmd/jaspersill-lab/loopback.go
+++ b/cmd/jaspersill-lab/loopback.go
@@ -23,7 +23,7 @@
 	"jaspersill/lab/scenarios"
 )
 
-// socketRunner is how days are played on loopback.
+// socketRunner holds the flags for runs with real nodes over loopback sockets.
 type socketRunner struct {
 	program   string
 	parallel  int
@@ -32,13 +32,13 @@
 
 func (r *socketRunner) addFlags(c *cobra.Command) {
 	c.Flags().
-		StringVar(&r.program, "node", siblingProgram("jaspersill"), "the delivery node's program, with --sockets")
+		StringVar(&r.program, "node", siblingProgram("jaspersill"), "path of the delivery node's program, with --sockets")
 	c.Flags().
-		IntVar(&r.parallel, "parallel", 1, "days at once, with --sockets; each keeps a good part of a core busy")
-	c.Flags().StringVar(&r.logFolder, "logs", "", "a folder for the nodes' logs, with --sockets")
+		IntVar(&r.parallel, "parallel", 1, "number of runs at the same time, with --sockets; each uses a large part of a core")
+	c.Flags().StringVar(&r.logFolder, "logs", "", "folder to keep the nodes' configurations, state and logs in, with --sockets")
 }
 
-// siblingProgram is a program in the folder of this one.
+// siblingProgram returns the path of a program in the folder of this one.
 func siblingProgram(name string) string {
 	self, err := os.Executable()
 	if err != nil {
@@ -47,13 +47,13 @@
 	return filepath.Join(filepath.Dir(self), name)
 }
 
-// runSeeds plays a day on each seed and adds the results to a file.
-func (r *socketRunner) runSeeds(ctx context.Context, f *report.File, day *scenario.Scenario, m *runOptions) error {
-	for _, t := range day.Types {
+// runSeeds runs a scenario with each seed and adds the results to f.
+func (r *socketRunner) runSeeds(ctx context.Context, f *report.File, sc *scenario.Scenario, options *runOptions) error {
+	for _, t := range sc.Types {
 		if t.Keys > 0 {
 			return fmt.Errorf(
-				"%s: the protocol on sockets has no word for the order of keys (type %s)",
-				day.Name,
+				"%s: stream type %s has ordering keys, which the wire protocol does not support",
+				sc.Name,
 				t.Name,
 			)
 		}
@@ -61,10 +61,10 @@
 	if r.parallel < 1 || r.parallel > 64 {
 		return usageError{fmt.Errorf("--parallel: want 1 to 64, got %d", r.parallel)}
 	}
-	seeds := runner.Seeds(m.firstSeed, m.seeds)
+	seeds := runner.Seeds(options.firstSeed, options.seeds)
 	results := make([]runner.Result, len(seeds))
 	errs := make([]error, len(seeds))
-	turns := make(chan struct{}, r.parallel)
+	slots := make(chan struct{}, r.parallel)
 	p := newProgress()
 	var mu sync.Mutex
 	done := 0
@@ -73,10 +73,10 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			turns <- struct{}{}
-			defer func() { <-turns }()
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			if ctx.Err() == nil {
-				results[i], errs[i] = r.runSeed(ctx, day, seed)
+				results[i], errs[i] = r.runSeed(ctx, sc, seed)
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// runSeed plays runSeed day.
-func (r *socketRunner) runSeed(ctx context.Context, day *scenario.Scenario, seed uint64) (runner.Result, error) {
+// runSeed runs a scenario with one seed.
+func (r *socketRunner) runSeed(ctx context.Context, sc *scenario.Scenario, seed uint64) (runner.Result, error) {
 	result := runner.Result{Seed: seed, LatencyMs: make([]float64, len(runner.Percentiles))}
 	folder := r.logFolder
 	if folder == "" {
@@ -108,7 +108,7 @@
 			return result, err
 		}
 	}
-	s, err := loopback.Open(day, seed, 0, nil)
+	s, err := loopback.Open(sc, seed, 0, nil)
 	if err != nil {
 		return result, err
 	}
@@ -120,12 +120,12 @@
 	if err != nil {
 		return result, err
 	}
-	times := hdrhistogram.New(1e5, 1e12, 3)
-	s.Latency(func(_ int, took int64) { times.RecordValue(max(1e5, took)) })
-	result.Summary = s.Play(ctx, nodes, arrival.New(day, seed), seed)
+	latencies := hdrhistogram.New(1e5, 1e12, 3)
+	s.Latency(func(_ int, latency int64) { latencies.RecordValue(max(1e5, latency)) })
+	result.Summary = s.Play(ctx, nodes, arrival.New(sc, seed), seed)
 	nodes.Stop()
 	for i, q := range runner.Percentiles {
-		result.LatencyMs[i] = float64(times.ValueAtQuantile(q)) / 1e6
+		result.LatencyMs[i] = float64(latencies.ValueAtQuantile(q)) / 1e6
 	}
 	return result, ctx.Err()
 }
@@ -135,22 +135,22 @@
 	var quiet bool
 	var seed uint64
 	c := &cobra.Command{Use: "emulate SCENARIO", Args: exactArgs(1),
-		Short: "Play partners, directory and platform on loopback until stopped, for nodes started by hand",
+		Short: "Emulate endpoints, directory and platform on loopback until stopped, for nodes started by hand",
 		RunE: func(c *cobra.Command, args []string) error {
-			day, err := scenarios.Find(args[0])
+			sc, err := scenarios.Find(args[0])
 			if err != nil {
 				return err
 			}
 			w := c.OutOrStdout()
 			var mu sync.Mutex
-			tell := func(format string, args ...any) {
+			printLine := func(format string, args ...any) {
 				mu.Lock()
 				defer mu.Unlock()
 				if !quiet {
 					fmt.Fprintf(w, time.Now().Format("15:04:05.000 ")+format+"\n", args...)
 				}
 			}
-			s, err := loopback.Open(day, seed, 0, tell)
+			s, err := loopback.Open(sc, seed, 0, printLine)
 			if err != nil {
 				return err
 			}
@@ -160,7 +160,7 @@
 			if err != nil {
 				return err
 			}
-			for i := range day.Fleet.Nodes {
+			for i := range sc.Fleet.Nodes {
 				config, state := nodes.Files(i)
 				fmt.Fprintf(
 					w,
@@ -175,26 +175,26 @@
 			<-c.Context().Done()
 			return nil
 		}}
-	c.Flags().StringVar(&folder, "folder", "state", "for the nodes' configurations and state")
-	c.Flags().StringVar(&listen, "listen", "127.0.0.1:8443", "where the first node is told to listen")
-	c.Flags().BoolVar(&quiet, "quiet", false, "print no line for each call")
-	c.Flags().Uint64Var(&seed, "seed", 1, "draws the destinations and whom troubles meet")
+	c.Flags().StringVar(&folder, "folder", "state", "folder for the nodes' configurations and state")
+	c.Flags().StringVar(&listen, "listen", "127.0.0.1:8443", "address that the first node is configured to listen on")
+	c.Flags().BoolVar(&quiet, "quiet", false, "do not print a line for each call")
+	c.Flags().Uint64Var(&seed, "seed", 1, "seed of the destinations and of what is affected by faults")
 	return c
 }
 
 func loadCommand() *cobra.Command {
 	var plan loadgen.Plan
 	var name, out, program, record, replay string
-	var knee, own bool
+	var knee, started bool
 	var p99 time.Duration
 	var cores float64
 	c := &cobra.Command{Use: "load [ADDRESS]",
-		Short: "Offer events to a node on loopback in an open loop, and tell the latencies from the intended times",
-		Long: "Offer events to a node on loopback in an open loop, and tell the latencies from the intended\n" +
+		Short: "Send events to a node on loopback in an open loop, and report the latencies from the due times",
+		Long: "Send events to a node on loopback in an open loop, and report the latencies from the due\n" +
 			"times.\n\n" +
-			"With an address the node there is loaded, as one beside `emulate`. Without one a node of --cores\n" +
-			"cores is started, " +
-			"cores, with the scenario's partners beside it, and ended again.",
+			"With an address, the events go to the node there, for example one started for `emulate`. Without one,\n" +
+			"a node with --cores " +
+			"cores is started, with the scenario's endpoints, and stopped again.",
 		Args: func(c *cobra.Command, args []string) error {
 			if len(args) > 1 {
 				return usageError{fmt.Errorf("load: want at most one ADDRESS, got %d", len(args))}
@@ -202,27 +202,27 @@
 			return nil
 		},
 		RunE: func(c *cobra.Command, args []string) error {
-			day, err := scenarios.Find(name)
+			sc, err := scenarios.Find(name)
 			if err != nil {
 				return err
 			}
 			if replay != "" {
-				if day, err = loadRecording(&plan, replay); err != nil {
+				if sc, err = loadRecording(&plan, replay); err != nil {
 					return err
 				}
 			} else {
-				plan.Mix, plan.CumulativeWeights = requestMix(day)
+				plan.Mix, plan.CumulativeWeights = requestMix(sc)
 			}
-			var heard *resultRecorder
+			var recorder *resultRecorder
 			if record != "" {
 				if knee {
-					return usageError{errors.New("load: --record goes with one step, not with --knee")}
+					return usageError{errors.New("load: --record cannot be combined with --knee")}
 				}
-				heard = &resultRecorder{day: day, plan: &plan}
-				plan.OnResult = heard.record
+				recorder = &resultRecorder{scenario: sc, plan: &plan}
+				plan.OnResult = recorder.record
 			}
-			if own = len(args) == 0; own {
-				s, err := loopback.Open(day, 1, 0, nil)
+			if started = len(args) == 0; started {
+				s, err := loopback.Open(sc, 1, 0, nil)
 				if err != nil {
 					return err
 				}
@@ -241,22 +241,22 @@
 					return err
 				}
 				defer nodes.Stop()
-				time.Sleep(300 * time.Millisecond) // its list is there
+				time.Sleep(300 * time.Millisecond) // lets the node receive its list of endpoints
 				plan.Address = nodes.Address(0)
 				defer func() {
-					fmt.Fprintf(c.OutOrStdout(), "the node: %s\n", memoryUsage(nodes.Pid(0)))
+					fmt.Fprintf(c.OutOrStdout(), "node memory: %s\n", memoryUsage(nodes.Pid(0)))
 				}()
 			} else {
 				plan.Address = args[0]
 			}
-			f, err := report.NewFile("load", commandLine(c, args), day)
+			f, err := report.NewFile("load", commandLine(c, args), sc)
 			if err != nil {
 				return err
 			}
 			if knee {
 				var best float64
 				best, f.Loads, err = loadgen.FindKnee(c.Context(), plan, p99, nil)
-				f.Notes = append(f.Notes, fmt.Sprintf("borne with p99 under %v: %.0f events/s", p99, best))
+				f.Notes = append(f.Notes, fmt.Sprintf("highest rate sustained with p99 of at most %v: %.0f events/s", p99, best))
 			} else {
 				var l report.LoadResult
 				l, err = loadgen.Run(c.Context(), &plan)
@@ -266,8 +266,8 @@
 			for _, l := range f.Loads {
 				fmt.Fprintf(
 					w,
-					"offered %.0f/s, sent %.0f/s: %d taken on, %d declined, %d failed; ms p50 %.2f p90 %.2f p99 %.2f "+
-						"p99.9 %.2f; own lag p99 %.3f ms\n",
+					"offered %.0f/s, sent %.0f/s: %d accepted, %d declined, %d failed; ms p50 %.2f p90 %.2f p99 %.2f "+
+						"p99.9 %.2f; generator lag p99 %.3f ms\n",
 					l.OfferedRate,
 					l.SentRate,
 					l.Acked,
@@ -286,59 +286,60 @@
 			if err != nil {
 				return err
 			}
-			if heard != nil {
-				if err := heard.write(record); err != nil {
+			if recorder != nil {
+				if err := recorder.write(record); err != nil {
 					return err
 				}
 			}
 			return saveResult(c, f, out)
 		}}
-	c.Flags().StringVar(&record, "record", "", "write what was offered, and what came of it, into this file")
-	c.Flags().StringVar(&replay, "replay", "", "offer the arrivals of this recording, rather than a rate")
+	c.Flags().StringVar(&record, "record", "", "write the submitted events, with their results, to this file")
+	c.Flags().StringVar(&replay, "replay", "", "send the arrivals of this recording, at the recorded times, instead of at a rate")
 	c.Flags().
-		StringVar(&name, "scenario", "throughput", "its stream types and destinations are what is offered")
-	c.Flags().Float64Var(&plan.Rate, "rate", 1000, "events a second")
-	c.Flags().Float64Var(&plan.EndRate, "to", 0, "grow the rate evenly up to this one")
-	c.Flags().DurationVar(&plan.Duration, "for", 5*time.Second, "how long, or each step of --knee")
-	c.Flags().IntVar(&plan.Connections, "connections", 64, "each carries one request at a time")
-	c.Flags().Uint64Var(&plan.Seed, "seed", uint64(time.Now().UnixNano()), "draws ids and the mix")
-	c.Flags().BoolVar(&knee, "knee", false, "search the highest rate that is borne, from --rate on")
-	c.Flags().DurationVar(&p99, "p99", 50*time.Millisecond, "the bound that --knee keeps")
-	c.Flags().Float64Var(&cores, "cores", 1, "of the node that is started")
-	c.Flags().StringVar(&program, "node", siblingProgram("jaspersill"), "the delivery node's program")
-	c.Flags().StringVar(&out, "out", "", `the folder for the result; "none" keeps none`)
+		StringVar(&name, "scenario", "throughput", "scenario that gives the stream types and destinations of the events")
+	c.Flags().Float64Var(&plan.Rate, "rate", 1000, "events per second")
+	c.Flags().Float64Var(&plan.EndRate, "to", 0, "final rate of a linear ramp; 0 for a constant rate")
+	c.Flags().DurationVar(&plan.Duration, "for", 5*time.Second, "duration of the run, or of each step of --knee")
+	c.Flags().IntVar(&plan.Connections, "connections", 64, "number of connections; each carries one request at a time")
+	c.Flags().Uint64Var(&plan.Seed, "seed", uint64(time.Now().UnixNano()), "seed of the request ids and of the choice among the mix")
+	c.Flags().BoolVar(&knee, "knee", false, "search for the highest sustained rate, starting at --rate")
+	c.Flags().DurationVar(&p99, "p99", 50*time.Millisecond, "highest p99 latency that --knee accepts")
+	c.Flags().Float64Var(&cores, "cores", 1, "number of cores of the node that is started")
+	c.Flags().StringVar(&program, "node", siblingProgram("jaspersill"), "path of the delivery node's program")
+	c.Flags().StringVar(&out, "out", "", `folder for the result; "none" writes none (default a new one below results)`)
 	return c
 }
 
-// requestMix is what a scenario's clients hand in.
-func requestMix(day *scenario.Scenario) (list []loadgen.Request, weights []float64) {
-	sum := 0.0
-	for _, t := range day.Types {
+// requestMix returns the requests of a scenario's clients, one per stream type and destination, and the running totals
+// of their weights.
+func requestMix(sc *scenario.Scenario) (requests []loadgen.Request, weights []float64) {
+	total := 0.0
+	for _, t := range sc.Types {
 		dest := 0
-		for _, p := range day.Partners {
+		for _, p := range sc.Partners {
 			for range p.Destinations {
-				list = append(list, loadgen.Request{Kind: t.Name, Owner: day.Owners[0].Name, Dest: dest,
+				requests = append(requests, loadgen.Request{Kind: t.Name, Owner: sc.Owners[0].Name, Dest: dest,
 					Timeout: time.Duration(
 						t.MaxAge,
 					), HasIdempotencyKey: t.Safety == "deduplicated", Body: make([]byte, 300)})
-				sum += t.Rate * p.Weight
-				weights = append(weights, sum)
+				total += t.Rate * p.Weight
+				weights = append(weights, total)
 				dest++
 			}
 		}
 	}
-	for i := range list {
-		for k := range list[i].Body {
-			list[i].Body[k] = byte('a' + (i+k)%26)
+	for i := range requests {
+		for k := range requests[i].Body {
+			requests[i].Body[k] = byte('a' + (i+k)%26)
 		}
 	}
-	return list, weights
+	return requests, weights
 }
 
-// memoryUsage tells what a process takes, where the system says so.
+// memoryUsage describes the current and peak memory of a process. It is only available on Linux.
 func memoryUsage(pid int) string {
 	if runtime.GOOS != "linux" {
-		return "no figures on this system"
+		return "not available on this system"
 	}
 	var rss, peak string
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
@@ -350,7 +351,7 @@
 			peak = line[6:]
 		}
 	}
-	return fmt.Sprintf("RSS%s, at most%s", collapseSpaces(rss), collapseSpaces(peak))
+	return fmt.Sprintf("RSS%s, peak%s", collapseSpaces(rss), collapseSpaces(peak))
 }
 
 func splitLines(text string) []string { return strings.Split(text, "\n") }
--- a/cmd/jaspersill-lab/main.go
+++ b/cmd/jaspersill-lab/main.go
@@ -1,5 +1,5 @@
-// Command jaspersill-lab plays delivery nodes against simulated partners, in virtual time and on loopback,
-// and says what came of it.
+// Command jaspersill-lab tests delivery nodes against simulated endpoints, clients and faults, in virtual time or
+// over loopback sockets, and reports the results.
 package main
 
 import (
@@ -38,19 +38,19 @@
 		return
 	}
 	fmt.Fprintln(os.Stderr, "jaspersill-lab:", err)
-	var wrong usageError
-	if errors.As(err, &wrong) {
+	var usage usageError
+	if errors.As(err, &usage) {
 		os.Exit(exitUsage)
 	}
 	os.Exit(exitFailed)
 }
 
 func newRootCommand() *cobra.Command {
-	root := &cobra.Command{Use: "jaspersill-lab", Short: "Play delivery nodes against simulated partners",
+	root := &cobra.Command{Use: "jaspersill-lab", Short: "Test delivery nodes against simulated endpoints and faults",
 		SilenceUsage: true, SilenceErrors: true, SuggestionsMinimumDistance: 2, Args: exactArgs(0),
 		RunE: func(c *cobra.Command, _ []string) error {
 			c.Help()
-			return usageError{errors.New("a command is needed")}
+			return usageError{errors.New("no command given")}
 		}}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
 	root.AddCommand(
@@ -67,7 +67,7 @@
 	return root
 }
 
-// exactArgs wants so many arguments, and tells the nearest command where there are commands.
+// exactArgs requires exactly n arguments. For an unknown subcommand the error suggests similar ones.
 func exactArgs(n int) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if len(args) == n {
@@ -75,34 +75,35 @@
 		}
 		text := fmt.Sprintf("%s: want %d arguments, got %d", c.CommandPath(), n, len(args))
 		if len(args) > 0 && c.HasSubCommands() {
-			text = fmt.Sprintf("%s: no such command: %q", c.CommandPath(), args[0])
-			if near := c.SuggestionsFor(args[0]); len(near) > 0 {
-				text += "; did you mean " + strings.Join(near, " or ") + "?"
+			text = fmt.Sprintf("%s: unknown command: %q", c.CommandPath(), args[0])
+			if similar := c.SuggestionsFor(args[0]); len(similar) > 0 {
+				text += "; did you mean " + strings.Join(similar, " or ") + "?"
 			}
 		}
 		return usageError{errors.New(text)}
 	}
 }
 
-// saveResult writes a result into a folder: the one named, or one of its own below results.
+// saveResult writes a result to the given folder, or if that is empty to a new folder below results. It writes
+// nothing if the folder is "none".
 func saveResult(c *cobra.Command, f *report.File, folder string) error {
 	if folder == "none" {
 		return nil
 	}
 	if folder == "" {
-		day, err := scenario.Read("scenario", []byte(f.Scenario), nil)
+		sc, err := scenario.Read("scenario", []byte(f.Scenario), nil)
 		if err != nil {
 			return err
 		}
 		folder = filepath.Join(
 			"results",
-			fmt.Sprintf("%s-%s-%s", f.Kind, day.Name, f.CreatedAt.Format("20060102T150405")),
+			fmt.Sprintf("%s-%s-%s", f.Kind, sc.Name, f.CreatedAt.Format("20060102T150405")),
 		)
 	}
 	if err := f.Write(folder); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(c.OutOrStdout(), "kept in %s\n", folder)
+	_, err := fmt.Fprintf(c.OutOrStdout(), "result written to %s\n", folder)
 	return err
 }
 
@@ -113,7 +114,7 @@
 	return strings.Join(text, " ")
 }
 
-// progress tells on a terminal how much is done and how long the rest takes.
+// progress shows the number of finished runs and the estimated time left, if stderr is a terminal.
 type progress struct {
 	startedAt time.Time
 	lastShown time.Time
@@ -125,22 +126,22 @@
 	return &progress{startedAt: time.Now(), tty: err == nil && info.Mode()&os.ModeCharDevice != 0}
 }
 
-func (p *progress) update(done, of int) {
+func (p *progress) update(done, total int) {
 	now := time.Now()
-	if !p.tty || (done < of && now.Sub(p.lastShown) < 200*time.Millisecond) {
+	if !p.tty || (done < total && now.Sub(p.lastShown) < 200*time.Millisecond) {
 		return
 	}
 	p.lastShown = now
-	left := time.Duration(float64(now.Sub(p.startedAt)) / float64(done) * float64(of-done)).Round(time.Second)
-	fmt.Fprintf(os.Stderr, "\r%d of %d, %v left   ", done, of, left)
-	if done == of {
+	remaining := time.Duration(float64(now.Sub(p.startedAt)) / float64(done) * float64(total-done)).Round(time.Second)
+	fmt.Fprintf(os.Stderr, "\r%d of %d, %v left   ", done, total, remaining)
+	if done == total {
 		fmt.Fprint(os.Stderr, "\r\033[K")
 	}
 }
 
 func reportCommand() *cobra.Command {
 	return &cobra.Command{Use: "report DIR", Args: exactArgs(1),
-		Short: "Make the tables and the page of results anew; DIR holds one result or a folder of each",
+		Short: "Regenerate the tables and pages of results; DIR contains a result or folders with one each",
 		RunE: func(c *cobra.Command, args []string) error {
 			folders, err := report.FindResults(args[0])
 			for _, folder := range folders {
@@ -156,42 +157,42 @@
 func scenarioCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:                        "scenario",
-		Short:                      "The lab's scenarios",
+		Short:                      "List, print and check scenarios",
 		SuggestionsMinimumDistance: 2,
 		Args:                       exactArgs(0),
 		RunE: func(c *cobra.Command, _ []string) error {
 			c.Help()
-			return usageError{errors.New("scenario: a command is needed")}
+			return usageError{errors.New("scenario: no command given")}
 		},
 	}
 	c.AddCommand(
-		&cobra.Command{Use: "ls", Short: "List them, with what each is hard for", Args: exactArgs(0),
+		&cobra.Command{Use: "ls", Short: "List the built-in scenarios and what makes each of them hard", Args: exactArgs(0),
 			RunE: func(c *cobra.Command, _ []string) error {
 				for _, name := range scenarios.Names() {
-					day, err := scenarios.Find(name)
+					sc, err := scenarios.Find(name)
 					if err != nil {
 						return err
 					}
-					fmt.Fprintf(c.OutOrStdout(), "%-14s %s\n", name, day.Hard)
+					fmt.Fprintf(c.OutOrStdout(), "%-14s %s\n", name, sc.Hard)
 				}
 				return nil
 			}},
-		&cobra.Command{Use: "show NAME", Short: "Print one in full", Args: exactArgs(1),
+		&cobra.Command{Use: "show NAME", Short: "Print a scenario with all keys", Args: exactArgs(1),
 			RunE: func(c *cobra.Command, args []string) error {
-				day, err := scenarios.Find(args[0])
+				sc, err := scenarios.Find(args[0])
 				if err != nil {
 					return err
 				}
-				text, err := day.Write()
+				text, err := sc.Write()
 				c.OutOrStdout().Write(text)
 				return err
 			}},
-		&cobra.Command{Use: "check FILE", Short: "Tell all that is wrong with a file", Args: exactArgs(1),
+		&cobra.Command{Use: "check FILE", Short: "Report all errors in a scenario file", Args: exactArgs(1),
 			RunE: func(c *cobra.Command, args []string) error {
 				_, err := scenarios.Find(args[0])
 				return err
 			}},
-		&cobra.Command{Use: "reference", Short: "Print the kinds of troubles as Markdown", Args: exactArgs(0),
+		&cobra.Command{Use: "reference", Short: "Print the kinds of faults as Markdown", Args: exactArgs(0),
 			RunE: func(c *cobra.Command, _ []string) error {
 				_, err := fmt.Fprint(c.OutOrStdout(), scenario.Reference())
 				return err
--- a/cmd/jaspersill-lab/recording.go
+++ b/cmd/jaspersill-lab/recording.go
@@ -14,9 +14,9 @@
 	"jaspersill/lab/scenario"
 )
 
-const maxArrivals = 5_000_000 // arrivals of a recording that are offered; memory stays bounded
+const maxArrivals = 5_000_000 // the arrivals that are read or recorded at most, which bounds the memory
 
-// loadRecording has a plan offer the arrivals of a recording.
+// loadRecording makes a plan submit the arrivals of a recording. It returns the scenario of the recording.
 func loadRecording(plan *loadgen.Plan, name string) (*scenario.Scenario, error) {
 	file, err := os.Open(name)
 	if err != nil {
@@ -38,51 +38,51 @@
 		return nil, r.Err
 	}
 	if len(plan.ArrivalTimes) == 0 {
-		return nil, errors.New(name + ": want arrivals, got none")
+		return nil, errors.New(name + ": the recording contains no arrivals")
 	}
 	plan.Duration = plan.ArrivalTimes[len(plan.ArrivalTimes)-1] + time.Second
 	plan.Rate, plan.EndRate = float64(len(plan.ArrivalTimes))/plan.Duration.Seconds(), 0
 	return r.Day, nil
 }
 
-// resultRecorder gathers what came of what was offered.
+// resultRecorder collects the results of the submitted events for a recording.
 type resultRecorder struct {
-	day     *scenario.Scenario
-	plan    *loadgen.Plan
-	mu      sync.Mutex
-	results []requestResult
+	scenario *scenario.Scenario
+	plan     *loadgen.Plan
+	mu       sync.Mutex
+	results  []requestResult
 }
 
 type requestResult struct {
-	due, took    time.Duration
-	status, pick int
+	due, latency     time.Duration
+	status, mixIndex int
 }
 
-func (l *resultRecorder) record(due, took time.Duration, status, pick int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if len(l.results) < maxArrivals {
-		l.results = append(l.results, requestResult{due, took, status, pick})
+func (r *resultRecorder) record(due, latency time.Duration, status, mixIndex int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if len(r.results) < maxArrivals {
+		r.results = append(r.results, requestResult{due, latency, status, mixIndex})
 	}
 }
 
-// write writes the recording.
-func (l *resultRecorder) write(name string) error {
-	slices.SortStableFunc(l.results, func(a, b requestResult) int { return cmp.Compare(a.due, b.due) })
+// write writes the recording, in the order of the due times.
+func (r *resultRecorder) write(name string) error {
+	slices.SortStableFunc(r.results, func(a, b requestResult) int { return cmp.Compare(a.due, b.due) })
 	file, err := os.Create(name)
 	if err != nil {
 		return err
 	}
-	w, err := arrival.NewWriter(file, l.day)
+	w, err := arrival.NewWriter(file, r.scenario)
 	if err != nil {
 		return errors.Join(err, file.Close())
 	}
-	dests := len(l.plan.Mix) / len(l.day.Types)
-	for _, o := range l.results {
-		t := &l.day.Types[o.pick/dests]
+	dests := len(r.plan.Mix) / len(r.scenario.Types)
+	for _, o := range r.results {
+		t := &r.scenario.Types[o.mixIndex/dests]
 		a := arrival.Asking{At: int64(o.due), Deadline: int64(o.due) + int64(t.MaxAge), Work: int64(t.Work),
-			Type: int32(o.pick / dests), Dest: int32(o.pick % dests)}
-		if err := w.Write(a, "status "+strconv.Itoa(o.status), int64(o.took)); err != nil {
+			Type: int32(o.mixIndex / dests), Dest: int32(o.mixIndex % dests)}
+		if err := w.Write(a, "status "+strconv.Itoa(o.status), int64(o.latency)); err != nil {
 			return errors.Join(err, file.Close())
 		}
 	}
--- a/cmd/jaspersill-lab/simulate.go
+++ b/cmd/jaspersill-lab/simulate.go
@@ -26,30 +26,29 @@
 
 type flag = pflag.Flag
 
-// runOptions is how runOptions runs, and where the result goes.
+// runOptions holds the flags for the seeds and for the folder of the result.
 type runOptions struct {
 	seeds     int
 	firstSeed uint64
 	out       string
 }
 
-func (m *runOptions) addFlags(c *cobra.Command) {
-	c.Flags().IntVar(&m.seeds, "seeds", 10, "runs of each, one a seed")
-	c.Flags().Uint64Var(&m.firstSeed, "first", 1, "the first seed")
+func (o *runOptions) addFlags(c *cobra.Command) {
+	c.Flags().IntVar(&o.seeds, "seeds", 10, "number of seeds, with one run of each policy per seed")
+	c.Flags().Uint64Var(&o.firstSeed, "first", 1, "first seed")
 	c.Flags().
-		StringVar(&m.out, "out", "", `the folder for the result; "none" keeps none (default one below results)`)
+		StringVar(&o.out, "out", "", `folder for the result; "none" writes none (default a new one below results)`)
 }
 
-func (m *runOptions) validate() error {
-	if m.seeds < 1 || m.seeds > 100000 {
-		return usageError{fmt.Errorf("--seeds: want 1 to 100000, got %d", m.seeds)}
+func (o *runOptions) validate() error {
+	if o.seeds < 1 || o.seeds > 100000 {
+		return usageError{fmt.Errorf("--seeds: want 1 to 100000, got %d", o.seeds)}
 	}
 	return nil
 }
 
-// parseVariant reads what to play: a policy, a policy with changed keys behind commas, or another build of this
-// program.
-func parseVariant(spec string, day *scenario.Scenario, luck uint64) (runner.Variant, error) {
+// parseVariant parses a variant given as POLICY or POLICY,KEY=VALUE,..., which overrides keys of the scenario.
+func parseVariant(spec string, sc *scenario.Scenario, noiseSeed uint64) (runner.Variant, error) {
 	parts := strings.Split(spec, ",")
 	for _, change := range parts[1:] {
 		key, value, ok := strings.Cut(change, "=")
@@ -57,16 +56,16 @@
 			return runner.Variant{}, usageError{fmt.Errorf("%s: want POLICY,KEY=VALUE, got %q", spec, change)}
 		}
 		var err error
-		if day, err = day.With(key, value); err != nil {
+		if sc, err = sc.With(key, value); err != nil {
 			return runner.Variant{}, err
 		}
 	}
-	s, err := runner.NewVariant(parts[0], day, luck)
+	s, err := runner.NewVariant(parts[0], sc, noiseSeed)
 	s.Name = spec
 	return s, err
 }
 
-// splitPolicies splits lists of policies; what changes a key stays with the policy before it.
+// splitPolicies splits comma-separated lists of policies. A KEY=VALUE part stays with the policy before it.
 func splitPolicies(lists []string) (specs []string) {
 	for _, list := range lists {
 		for i, part := range strings.Split(list, ",") {
@@ -80,53 +79,54 @@
 	return specs
 }
 
-// runVariants plays sets and adds them to a file. A set whose name is a path is another build of this program.
+// runVariants simulates the given variants and adds the results to f. A variant whose name contains a path separator is
+// the path of another build of this program.
 func runVariants(
 	ctx context.Context,
 	f *report.File,
 	specs []string,
-	day *scenario.Scenario,
-	m *runOptions,
-	lucks bool,
+	sc *scenario.Scenario,
+	options *runOptions,
+	ownNoise bool,
 ) error {
-	var sets []runner.Variant
-	var at []int
+	var variants []runner.Variant
+	var positions []int
 	results := make([][]runner.Result, len(specs))
 	for i, spec := range specs {
 		if strings.ContainsRune(spec, os.PathSeparator) {
-			r, err := runOtherBuild(ctx, spec, f.Scenario, m, uint64(i))
+			r, err := runOtherBuild(ctx, spec, f.Scenario, options, uint64(i))
 			if err != nil {
 				return err
 			}
 			results[i] = r
 			continue
 		}
-		luck := uint64(0)
-		if lucks {
-			luck = uint64(i)
+		noiseSeed := uint64(0)
+		if ownNoise {
+			noiseSeed = uint64(i)
 		}
-		s, err := parseVariant(spec, day, luck)
+		s, err := parseVariant(spec, sc, noiseSeed)
 		if err != nil {
 			return err
 		}
-		sets, at = append(sets, s), append(at, i)
+		variants, positions = append(variants, s), append(positions, i)
 	}
-	played, err := runner.RunAll(ctx, sets, runner.Seeds(m.firstSeed, m.seeds), true, newProgress().update)
+	simulated, err := runner.RunAll(ctx, variants, runner.Seeds(options.firstSeed, options.seeds), true, newProgress().update)
 	if err != nil {
 		return err
 	}
-	for i, r := range played {
-		results[at[i]] = r
+	for i, r := range simulated {
+		results[positions[i]] = r
 	}
 	for i, spec := range specs {
 		f.Add(spec, results[i])
 	}
-	f.ComputePlaces()
+	f.ComputePositions()
 	return nil
 }
 
-// runOtherBuild has another build of this program play the scenario.
-func runOtherBuild(ctx context.Context, path, text string, m *runOptions, luck uint64) ([]runner.Result, error) {
+// runOtherBuild simulates the scenario with another build of this program.
+func runOtherBuild(ctx context.Context, path, text string, options *runOptions, noiseSeed uint64) ([]runner.Result, error) {
 	file, err := os.CreateTemp("", "scenario-*.toml")
 	if err != nil {
 		return nil, err
@@ -138,8 +138,8 @@
 	if err != nil {
 		return nil, err
 	}
-	c := exec.CommandContext(ctx, path, "run", file.Name(), "--seeds", strconv.Itoa(m.seeds), "--first",
-		strconv.FormatUint(m.firstSeed, 10), "--luck", strconv.FormatUint(luck, 10), "--out", "none", "--json")
+	c := exec.CommandContext(ctx, path, "run", file.Name(), "--seeds", strconv.Itoa(options.seeds), "--first",
+		strconv.FormatUint(options.firstSeed, 10), "--luck", strconv.FormatUint(noiseSeed, 10), "--out", "none", "--json")
 	c.Stderr = os.Stderr
 	out, err := c.Output()
 	if err != nil {
@@ -151,7 +151,7 @@
 	}
 	if f.Version != report.Version || len(f.Variants) != 1 {
 		return nil, fmt.Errorf(
-			"%s: want one set of version %d, got %d of %d",
+			"%s: want 1 set of results of version %d, got %d of version %d",
 			path,
 			report.Version,
 			len(f.Variants),
@@ -161,15 +161,15 @@
 	return f.Variants[0].Results, nil
 }
 
-// printResult prints the sets of a file.
+// printResult prints the variants, differences and notes of a result.
 func printResult(c *cobra.Command, f *report.File) error {
 	t := tabwriter.NewWriter(c.OutOrStdout(), 0, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "SET\tG\t95%\tPLACE\tWORST 10 S\tWORST TYPE\tWASTE\tP99 MS\tBROKEN")
 	for _, s := range f.Variants {
-		mean := func(of func(*runner.Result) float64) float64 {
+		mean := func(metric func(*runner.Result) float64) float64 {
 			total := 0.0
 			for i := range s.Results {
-				total += of(&s.Results[i])
+				total += metric(&s.Results[i])
 			}
 			return total / float64(max(1, len(s.Results)))
 		}
@@ -216,51 +216,51 @@
 }
 
 func runCommand() *cobra.Command {
-	var m runOptions
+	var options runOptions
 	var policies []string
-	var luck uint64
+	var noiseSeed uint64
 	var asJSON, sockets bool
-	var real socketRunner
+	var socketRuns socketRunner
 	var trace, record, replay string
 	c := &cobra.Command{Use: "run SCENARIO", Args: exactArgs(1),
-		Short: "Play a scenario, in virtual time or on loopback sockets, a run on each seed, and report it",
+		Short: "Run a scenario with each seed, in virtual time or over loopback sockets, and report the results",
 		RunE: func(c *cobra.Command, args []string) error {
-			day, err := scenarios.Find(args[0])
+			sc, err := scenarios.Find(args[0])
 			if err == nil {
-				err = m.validate()
+				err = options.validate()
 			}
 			if err != nil {
 				return err
 			}
-			f, err := report.NewFile("run", commandLine(c, args), day)
+			f, err := report.NewFile("run", commandLine(c, args), sc)
 			if err != nil {
 				return err
 			}
 			policies = splitPolicies(policies)
 			if sockets {
-				if err := real.runSeeds(c.Context(), f, day, &m); err != nil {
+				if err := socketRuns.runSeeds(c.Context(), f, sc, &options); err != nil {
 					return err
 				}
 				if err := printResult(c, f); err != nil {
 					return err
 				}
-				return saveResult(c, f, m.out)
+				return saveResult(c, f, options.out)
 			}
 			if record != "" || replay != "" {
-				return recordOrReplay(c, day, f, policies[0], &m, luck, record, replay)
+				return recordOrReplay(c, sc, f, policies[0], &options, noiseSeed, record, replay)
 			}
 			if trace != "" {
-				return writeTrace(trace, day, policies[0], m.firstSeed, luck)
+				return writeTrace(trace, sc, policies[0], options.firstSeed, noiseSeed)
 			}
-			if luck > 0 { // one set, with chance of its own
-				s, err := parseVariant(policies[0], day, luck)
+			if noiseSeed > 0 { // a single variant with its own noise seed
+				s, err := parseVariant(policies[0], sc, noiseSeed)
 				if err != nil {
 					return err
 				}
 				r, err := runner.RunAll(
 					c.Context(),
 					[]runner.Variant{s},
-					runner.Seeds(m.firstSeed, m.seeds),
+					runner.Seeds(options.firstSeed, options.seeds),
 					true,
 					newProgress().update,
 				)
@@ -268,7 +268,7 @@
 					return err
 				}
 				f.Add(s.Name, r[0])
-			} else if err := runVariants(c.Context(), f, policies, day, &m, false); err != nil {
+			} else if err := runVariants(c.Context(), f, policies, sc, &options, false); err != nil {
 				return err
 			}
 			if asJSON {
@@ -277,35 +277,36 @@
 			if err := printResult(c, f); err != nil {
 				return err
 			}
-			if err := saveResult(c, f, m.out); err != nil {
+			if err := saveResult(c, f, options.out); err != nil {
 				return err
 			}
 			for _, s := range f.Variants {
 				if strings.HasPrefix(s.Name, "module") && s.Broken > 0 {
-					return fmt.Errorf("%s broke %d rules", s.Name, s.Broken)
+					return fmt.Errorf("%s: %d rule violations", s.Name, s.Broken)
 				}
 			}
 			return nil
 		}}
-	m.addFlags(c)
+	options.addFlags(c)
 	c.Flags().
-		StringArrayVar(&policies, "policy", []string{"module"}, "what decides: "+strings.Join(policy.Names, ", ")+
-			"; several behind commas give our place between floor and top, KEY=VALUE changes the one before")
+		StringArrayVar(&policies, "policy", []string{"module"}, "delivery policy: "+strings.Join(policy.Names, ", ")+
+			"; several are separated by commas (with once and informed, the place of each between these two is shown); "+
+			"KEY=VALUE overrides a key of the scenario for the policy before it")
 	c.Flags().
-		Uint64Var(&luck, "luck", 0, "draw chance anew, with the same destinations, requests and troubles")
-	c.Flags().BoolVar(&sockets, "sockets", false, "play it in real time on loopback, with real nodes")
-	real.addFlags(c)
+		Uint64Var(&noiseSeed, "luck", 0, "seed of all randomness except for the destinations, requests and faults")
+	c.Flags().BoolVar(&sockets, "sockets", false, "run real nodes in real time, over loopback sockets")
+	socketRuns.addFlags(c)
 	c.Flags().BoolVar(&asJSON, "json", false, "print the result as JSON")
 	c.Flags().
-		StringVar(&record, "record", "", "write the first seed's arrivals, and what came of them, into this file")
+		StringVar(&record, "record", "", "write the arrivals of the first seed, with their results, to this file")
 	c.Flags().
-		StringVar(&replay, "replay", "", "play the arrivals of this recording, on the day that it was made on")
-	c.Flags().StringVar(&trace, "trace", "", "write the first seed's trace into this file, and nothing else")
+		StringVar(&replay, "replay", "", "replay the arrivals of this recording, on the scenario that it contains")
+	c.Flags().StringVar(&trace, "trace", "", "only write the trace of the first seed to this file")
 	return c
 }
 
-func writeTrace(name string, day *scenario.Scenario, spec string, seed, luck uint64) error {
-	s, err := parseVariant(spec, day, luck)
+func writeTrace(name string, sc *scenario.Scenario, spec string, seed, noiseSeed uint64) error {
+	s, err := parseVariant(spec, sc, noiseSeed)
 	if err != nil {
 		return err
 	}
@@ -313,21 +314,22 @@
 	if err != nil {
 		return err
 	}
-	runner.Run(s.Scenario, seed, luck, s.Launch, false, file)
+	runner.Run(s.Scenario, seed, noiseSeed, s.Launch, false, file)
 	return file.Close()
 }
 
-// recordOrReplay writes a recordOrReplay of a run, or plays one.
+// recordOrReplay writes a recording of the first seed's run to the file record, or if that is empty replays the file
+// replay.
 func recordOrReplay(
 	c *cobra.Command,
-	day *scenario.Scenario,
+	sc *scenario.Scenario,
 	f *report.File,
 	spec string,
-	m *runOptions,
-	luck uint64,
+	options *runOptions,
+	noiseSeed uint64,
 	record, replay string,
 ) error {
-	s, err := parseVariant(spec, day, luck)
+	s, err := parseVariant(spec, sc, noiseSeed)
 	if err != nil {
 		return err
 	}
@@ -336,14 +338,14 @@
 		if err != nil {
 			return err
 		}
-		return errors.Join(runner.Record(s.Scenario, m.firstSeed, luck, s.Launch, file), file.Close())
+		return errors.Join(runner.Record(s.Scenario, options.firstSeed, noiseSeed, s.Launch, file), file.Close())
 	}
 	file, err := os.Open(replay)
 	if err != nil {
 		return err
 	}
 	defer file.Close()
-	r, recorded, err := runner.Replay(file, m.firstSeed, luck, s.Launch, nil)
+	r, recorded, err := runner.Replay(file, options.firstSeed, noiseSeed, s.Launch, nil)
 	if err != nil {
 		return fmt.Errorf("%s: %w", replay, err)
 	}
@@ -356,30 +358,30 @@
 	if err := printResult(c, f); err != nil {
 		return err
 	}
-	return saveResult(c, f, m.out)
+	return saveResult(c, f, options.out)
 }
 
 func compareCommand() *cobra.Command {
-	var m runOptions
+	var options runOptions
 	var name string
 	c := &cobra.Command{Use: "compare A B", Args: exactArgs(2),
-		Short: "Play two policies, settings or builds on the same seeds, and tell the difference with its interval",
-		Long: "Play two sets on the same seeds, and tell the difference with its 95% interval.\n\n" +
-			"A set is a policy (module), a policy with changed keys of the scenario (module,fleet.slots=12),\n" +
-			"or the path of another build of this program. Destinations, requests and troubles are the same for\n" +
+		Short: "Run two policies, settings or builds with the same seeds, and report the difference with its confidence interval",
+		Long: "Run A and B with the same seeds, and report the difference with its 95% confidence interval.\n\n" +
+			"Each is a policy (module), a policy with overridden keys of the scenario (module,fleet.slots=12),\n" +
+			"or the path of another build of this program. Destinations, requests and faults are the same for\n" +
 			"both; all other " +
-			"chance is drawn anew, so that a set compared with itself shows how much is chance.",
+			"randomness differs, so that comparing a policy with itself shows the variation by chance.",
 		RunE: func(c *cobra.Command, args []string) error {
-			day, err := scenarios.Find(name)
+			sc, err := scenarios.Find(name)
 			if err == nil {
-				err = m.validate()
+				err = options.validate()
 			}
 			if err != nil {
 				return err
 			}
-			f, err := report.NewFile("compare", commandLine(c, args), day)
+			f, err := report.NewFile("compare", commandLine(c, args), sc)
 			if err == nil {
-				err = runVariants(c.Context(), f, args, day, &m, true)
+				err = runVariants(c.Context(), f, args, sc, &options, true)
 			}
 			if err != nil {
 				return err
@@ -388,101 +390,101 @@
 			if err := printResult(c, f); err != nil {
 				return err
 			}
-			return saveResult(c, f, m.out)
+			return saveResult(c, f, options.out)
 		}}
-	m.addFlags(c)
-	c.Flags().StringVar(&name, "scenario", "harvest", "the scenario to play")
+	options.addFlags(c)
+	c.Flags().StringVar(&name, "scenario", "harvest", "scenario to run")
 	return c
 }
 
 func sweepCommand() *cobra.Command {
-	var m runOptions
-	var name, what string
+	var options runOptions
+	var name, policyName string
 	c := &cobra.Command{Use: "sweep KEY=A,B,C", Args: exactArgs(1),
-		Short: "Play a scenario with one key of it at several values",
+		Short: "Run a scenario with several values of one of its keys",
 		RunE: func(c *cobra.Command, args []string) error {
 			key, list, ok := strings.Cut(args[0], "=")
 			if !ok || key == "" || list == "" {
 				return usageError{fmt.Errorf("sweep: want KEY=A,B,C, got %q", args[0])}
 			}
-			day, err := scenarios.Find(name)
+			sc, err := scenarios.Find(name)
 			if err == nil {
-				err = m.validate()
+				err = options.validate()
 			}
 			if err != nil {
 				return err
 			}
-			f, err := report.NewFile("sweep", commandLine(c, args), day)
+			f, err := report.NewFile("sweep", commandLine(c, args), sc)
 			if err != nil {
 				return err
 			}
 			var specs []string
 			for value := range strings.SplitSeq(list, ",") {
-				specs = append(specs, what+","+key+"="+value)
+				specs = append(specs, policyName+","+key+"="+value)
 			}
-			if err := runVariants(c.Context(), f, specs, day, &m, false); err != nil {
+			if err := runVariants(c.Context(), f, specs, sc, &options, false); err != nil {
 				return err
 			}
 			f.ComputeDifferences()
 			if err := printResult(c, f); err != nil {
 				return err
 			}
-			return saveResult(c, f, m.out)
+			return saveResult(c, f, options.out)
 		}}
-	m.addFlags(c)
-	c.Flags().StringVar(&name, "scenario", "harvest", "the scenario to play")
-	c.Flags().StringVar(&what, "policy", "module", "what decides")
+	options.addFlags(c)
+	c.Flags().StringVar(&name, "scenario", "harvest", "scenario to run")
+	c.Flags().StringVar(&policyName, "policy", "module", "delivery policy")
 	return c
 }
 
 func huntCommand() *cobra.Command {
-	var most int
+	var maxRuns int
 	var limit time.Duration
 	var seed uint64
-	var what, out string
-	var first, asFound bool
+	var policyName, out string
+	var untilBroken, asFound bool
 	c := &cobra.Command{Use: "hunt SCENARIO", Args: exactArgs(1),
-		Short: "Play random mixes of troubles; keep the worst day and any that breaks a rule, made small",
+		Short: "Search random mixes of faults for the lowest G and for rule violations; write what is found, minimized",
 		RunE: func(c *cobra.Command, args []string) error {
-			day, err := scenarios.Find(args[0])
+			sc, err := scenarios.Find(args[0])
 			if err != nil {
 				return err
 			}
-			if most < 1 || limit <= 0 {
-				return usageError{errors.New("hunt: --runs and --time want more than nothing")}
+			if maxRuns < 1 || limit <= 0 {
+				return usageError{errors.New("hunt: want --runs of at least 1 and a positive --time")}
 			}
-			launch, err := policy.Find(what)
+			launch, err := policy.Find(policyName)
 			if err != nil {
 				return err
 			}
 			ctx, cancel := context.WithTimeout(c.Context(), limit)
 			defer cancel()
-			p, brokenDays := newProgress(), 0
-			worst, broke, played := hunt.Hunt(ctx, day, seed, most, runtime.GOMAXPROCS(0), first, launch,
-				func(played int, _ float64, broken int) {
-					brokenDays = broken
-					p.update(played, max(most, played))
+			p, violating := newProgress(), 0
+			worst, violation, simulated := hunt.Hunt(ctx, sc, seed, maxRuns, runtime.GOMAXPROCS(0), untilBroken, launch,
+				func(simulated int, _ float64, broken int) {
+					violating = broken
+					p.update(simulated, max(maxRuns, simulated))
 				})
 			w := c.OutOrStdout()
 			if worst == nil {
-				return errors.New("hunt: no day was played in time")
+				return errors.New("hunt: no run finished within the time limit")
 			}
 			fmt.Fprintf(
 				w,
-				"%d days played, %d of them with a broken rule; the worst has G %.3f\n",
-				played,
-				brokenDays,
+				"%d scenarios run, %d of them with a rule violation; the lowest G is %.3f\n",
+				simulated,
+				violating,
 				worst.G,
 			)
 			shrinking, stop := context.WithTimeout(c.Context(), limit)
 			defer stop()
-			kept := func(f *hunt.Found, name string) error {
-				small := *f
+			write := func(f *hunt.Found, name string) error {
+				minimized := *f
 				if !asFound {
-					small = hunt.Shrink(shrinking, *f, launch)
+					minimized = hunt.Shrink(shrinking, *f, launch)
 				}
-				small.Day.Name = name
-				text, err := small.Day.Write()
+				minimized.Day.Name = name
+				text, err := minimized.Day.Write()
 				if err != nil {
 					return err
 				}
@@ -497,30 +499,30 @@
 					if err := os.WriteFile(name, text, 0o644); err != nil {
 						return err
 					}
-					fmt.Fprintf(w, "kept in %s; it shows with --first %d --seeds 1\n", name, small.Seed)
+					fmt.Fprintf(w, "written to %s; reproduce it with --first %d --seeds 1\n", name, minimized.Seed)
 				}
-				fmt.Fprintf(w, "%d troubles, %v, %d nodes: %s\n", len(small.Day.Troubles), small.Day.Length,
-					small.Day.Fleet.Nodes, small.Day.Hard)
+				fmt.Fprintf(w, "%d faults, %v, %d nodes: %s\n", len(minimized.Day.Troubles), minimized.Day.Length,
+					minimized.Day.Fleet.Nodes, minimized.Day.Hard)
 				return nil
 			}
-			if broke == nil {
-				fmt.Fprintln(w, "no rule was broken")
-				return kept(worst, "hunted-worst")
+			if violation == nil {
+				fmt.Fprintln(w, "no rule violation found")
+				return write(worst, "hunted-worst")
 			}
-			fmt.Fprintln(w, broke.Rule)
-			if err := kept(broke, "hunted-broken"); err != nil {
+			fmt.Fprintln(w, violation.Rule)
+			if err := write(violation, "hunted-broken"); err != nil {
 				return err
 			}
-			return errors.New("hunt: a rule is broken")
+			return errors.New("hunt: a rule was violated")
 		}}
-	c.Flags().IntVar(&most, "runs", 200, "days at most")
+	c.Flags().IntVar(&maxRuns, "runs", 200, "maximum number of scenarios to run")
 	c.Flags().
-		DurationVar(&limit, "time", 10*time.Minute, "time at most, and as much again for making days small")
-	c.Flags().Uint64Var(&seed, "seed", 1, "draws the mixes")
+		DurationVar(&limit, "time", 10*time.Minute, "time limit of the search, and of the minimization after it")
+	c.Flags().Uint64Var(&seed, "seed", 1, "seed of the random mixes")
 	c.Flags().
-		StringVar(&what, "policy", "module", "what decides; module+WEAKNESS proves that the hunt finds it")
-	c.Flags().StringVar(&out, "out", "found", `the folder for the days found; "none" keeps none`)
-	c.Flags().BoolVar(&asFound, "as-found", false, "do not make the days small")
-	c.Flags().BoolVar(&first, "until-broken", false, "stop at the first broken rule")
+		StringVar(&policyName, "policy", "module", "delivery policy; module+DEFECT shows that the search finds that defect")
+	c.Flags().StringVar(&out, "out", "found", `folder for the scenarios found; "none" writes none`)
+	c.Flags().BoolVar(&asFound, "as-found", false, "do not minimize the scenarios")
+	c.Flags().BoolVar(&untilBroken, "until-broken", false, "stop at the first rule violation")
 	return c
 }
--- a/cmd/jaspersill-lab/soak.go
+++ b/cmd/jaspersill-lab/soak.go
@@ -16,7 +16,7 @@
 	"jaspersill/lab/soak"
 )
 
-// soakRunner is what the command is told.
+// soakRunner holds the flags of the soak command.
 type soakRunner struct {
 	options   soak.Options
 	firstSeed uint64
@@ -28,21 +28,21 @@
 
 func soakCommand() *cobra.Command {
 	s := &soakRunner{}
-	c := &cobra.Command{Use: "soak", Short: "Play real nodes under random faults and judge every request", Args: exactArgs(0),
-		Long: "Play real nodes on loopback under random faults that overlap, among them failing system calls of the nodes, and hold " +
-			"every request to the rules. A seed with a violation prints its timeline.",
+	c := &cobra.Command{Use: "soak", Short: "Run real nodes under random faults and check every request", Args: exactArgs(0),
+		Long: "Run real nodes on loopback under random, overlapping faults, including failing system calls of the nodes, and check " +
+			"every request against the rules. The timeline of each seed with a violation is printed.",
 		RunE: func(c *cobra.Command, _ []string) error { return s.runSeeds(c) }}
-	c.Flags().StringVar(&s.options.Program, "node", siblingProgram("jaspersill"), "the delivery node's program")
-	c.Flags().StringVar(&s.options.Folder, "keep", "", "a folder for configurations, state and logs; a temporary one if empty")
-	c.Flags().IntVar(&s.options.Nodes, "nodes", 10, "processes of each run")
-	c.Flags().DurationVar(&s.options.Length, "length", 6*time.Second, "for how long clients hand in requests")
-	c.Flags().StringVar(&s.options.Only, "only", "", "one kind of fault alone: "+strings.Join(soak.Only(), ", "))
-	c.Flags().BoolVar(&s.options.Paths, "paths", false, "disturb the bytes between all ends beside the other faults")
-	c.Flags().Uint64Var(&s.firstSeed, "seed", 1, "the first seed")
-	c.Flags().IntVar(&s.seeds, "seeds", 1, "how many seeds")
-	c.Flags().IntVar(&s.parallel, "parallel", 1, "runs at once")
-	c.Flags().BoolVar(&s.timeline, "timeline", false, "print what was done to the system in every run")
-	c.Flags().IntVar(&s.maxShown, "show", 5, "violations of a seed that are printed with their timelines")
+	c.Flags().StringVar(&s.options.Program, "node", siblingProgram("jaspersill"), "path of the delivery node's program")
+	c.Flags().StringVar(&s.options.Folder, "keep", "", "folder to keep configurations, state and logs in; if empty, a temporary one is used")
+	c.Flags().IntVar(&s.options.Nodes, "nodes", 10, "number of node processes in each run")
+	c.Flags().DurationVar(&s.options.Length, "length", 6*time.Second, "how long clients submit requests")
+	c.Flags().StringVar(&s.options.Only, "only", "", "use only one kind of fault: "+strings.Join(soak.Only(), ", "))
+	c.Flags().BoolVar(&s.options.Paths, "paths", false, "also disturb the byte streams on all connections")
+	c.Flags().Uint64Var(&s.firstSeed, "seed", 1, "first seed")
+	c.Flags().IntVar(&s.seeds, "seeds", 1, "number of seeds")
+	c.Flags().IntVar(&s.parallel, "parallel", 1, "number of runs at the same time")
+	c.Flags().BoolVar(&s.timeline, "timeline", false, "print the timeline of every run")
+	c.Flags().IntVar(&s.maxShown, "show", 5, "maximum number of violations to print for each seed")
 	return c
 }
 
@@ -65,31 +65,31 @@
 	}
 	s.options.Program = program
 	var (
-		mu     sync.Mutex
-		broken []string
-		runs   sync.WaitGroup
+		mu       sync.Mutex
+		failures []string
+		running  sync.WaitGroup
 	)
-	turns := make(chan struct{}, s.parallel)
+	slots := make(chan struct{}, s.parallel)
 	for _, seed := range runner.Seeds(s.firstSeed, s.seeds) {
-		turns <- struct{}{}
-		runs.Go(func() {
-			defer func() { <-turns }()
+		slots <- struct{}{}
+		running.Go(func() {
+			defer func() { <-slots }()
 			report, err := s.runSeed(c.Context(), seed, filepath.Join(folder, strconv.FormatUint(seed, 10)))
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				broken = append(broken, fmt.Sprintf("seed %d: %v", seed, err))
+				failures = append(failures, fmt.Sprintf("seed %d: %v", seed, err))
 				return
 			}
 			if len(report.Violations) > 0 {
-				broken = append(broken, fmt.Sprintf("seed %d: %d violations", seed, len(report.Violations)))
+				failures = append(failures, fmt.Sprintf("seed %d: %d violations", seed, len(report.Violations)))
 			}
 			s.print(c, report)
 		})
 	}
-	runs.Wait()
-	if len(broken) > 0 {
-		return fmt.Errorf("%d of %d seeds broke a rule: %s", len(broken), s.seeds, strings.Join(broken, "; "))
+	running.Wait()
+	if len(failures) > 0 {
+		return fmt.Errorf("%d of %d seeds broke a rule: %s", len(failures), s.seeds, strings.Join(failures, "; "))
 	}
 	return nil
 }
@@ -111,15 +111,15 @@
 			fmt.Fprintln(out, "  ", line)
 		}
 	}
-	kinds := map[soak.Rule]int{}
+	byRule := map[soak.Rule]int{}
 	for i, v := range report.Violations {
-		kinds[v.Rule]++
+		byRule[v.Rule]++
 		if i < s.maxShown {
 			fmt.Fprintln(out, "  VIOLATION", v)
 		}
 	}
-	if len(kinds) > 0 {
-		fmt.Fprintf(out, "  by rule: %v\n", kinds)
+	if len(byRule) > 0 {
+		fmt.Fprintf(out, "  by rule: %v\n", byRule)
 		fmt.Fprintf(out, "  again: jaspersill-lab soak --seed %d --nodes %d --length %v --only %q --paths=%v\n", report.Seed, s.options.Nodes,
 			s.options.Length, s.options.Only, s.options.Paths)
 	}
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -93,9 +93,9 @@
 	return nil
 }
 
-// ComputePlaces computes the position of each variant between the worst and the best policy by mean G: "once", with a
+// ComputePositions computes the position of each variant between the worst and the best policy by mean G: "once", with a
 // single attempt per event, is 0, and "informed", which sees the whole simulation, is 1. It needs both of them.
-func (f *File) ComputePlaces() {
+func (f *File) ComputePositions() {
 	lowest, highest := f.findVariant("once"), f.findVariant("informed")
 	if lowest == nil || highest == nil || highest.G.Mean <= lowest.G.Mean {
 		return
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -39,7 +39,7 @@
 		f.Add(s.Name, results[i])
 	}
 	f.Variants[0].Broken, f.Notes = 1, append(f.Notes, "once: 1 broken rules; the first: <b>")
-	f.ComputePlaces()
+	f.ComputePositions()
 	f.ComputeDifferences()
 	folder := filepath.Join(t.TempDir(), "result")
 	if err := f.Write(folder); err != nil {
@@ -53,7 +53,7 @@
 		t.Error("the page contains unescaped input")
 	}
 	if n := bytes.Count(page, []byte("<svg")); n < 8 || !bytes.Contains(page, []byte(`class="bad"`)) {
-		t.Errorf("want at least 8 charts and a marked note, got %d charts", n)
+		t.Errorf("want at least 8 charts and a marked violation, got %d charts", n)
 	}
 	again, err := Read(folder)
 	if err != nil || len(again.Variants) != 4 || again.Variants[2].Position != 1 ||
