--- a/cmd/jaspersill-lab/loopback.go
+++ b/cmd/jaspersill-lab/loopback.go
@@ -14,13 +14,13 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/spf13/cobra"
 
-	"jaspersill/lab/arrival"
+	"jaspersill/lab/emulator"
 	"jaspersill/lab/loadgen"
-	"jaspersill/lab/loopback"
 	"jaspersill/lab/report"
 	"jaspersill/lab/runner"
 	"jaspersill/lab/scenario"
 	"jaspersill/lab/scenarios"
+	"jaspersill/lab/workload"
 )
 
 // socketRunner holds the flags for runs with real nodes over loopback sockets.
@@ -108,12 +108,12 @@
 			return result, err
 		}
 	}
-	s, err := loopback.Open(sc, seed, 0, nil)
+	s, err := emulator.Open(sc, seed, 0, nil)
 	if err != nil {
 		return result, err
 	}
 	defer s.Close()
-	nodes, err := loopback.Configure(s, folder, "", 0, 1)
+	nodes, err := emulator.ConfigureNodes(s, folder, "", 0, 1)
 	if err == nil {
 		err = nodes.Start(ctx, r.program)
 	}
@@ -121,8 +121,8 @@
 		return result, err
 	}
 	latencies := hdrhistogram.New(1e5, 1e12, 3)
-	s.Latency(func(_ int, latency int64) { latencies.RecordValue(max(1e5, latency)) })
-	result.Summary = s.Play(ctx, nodes, arrival.New(sc, seed), seed)
+	s.OnDelivery(func(_ int, latency int64) { latencies.RecordValue(max(1e5, latency)) })
+	result.Summary = s.Run(ctx, nodes, workload.NewGenerator(sc, seed), seed)
 	nodes.Stop()
 	for i, q := range runner.Percentiles {
 		result.LatencyMs[i] = float64(latencies.ValueAtQuantile(q)) / 1e6
@@ -150,13 +150,13 @@
 					fmt.Fprintf(w, time.Now().Format("15:04:05.000 ")+format+"\n", args...)
 				}
 			}
-			s, err := loopback.Open(sc, seed, 0, printLine)
+			s, err := emulator.Open(sc, seed, 0, printLine)
 			if err != nil {
 				return err
 			}
 			defer s.Close()
-			s.Anyone()
-			nodes, err := loopback.Configure(s, folder, listen, 0, 1)
+			s.AcceptUnknownEvents()
+			nodes, err := emulator.ConfigureNodes(s, folder, listen, 0, 1)
 			if err != nil {
 				return err
 			}
@@ -171,7 +171,7 @@
 					nodes.Address(i),
 				)
 			}
-			s.Begin(c.Context(), nil)
+			s.Start(c.Context(), nil)
 			<-c.Context().Done()
 			return nil
 		}}
@@ -222,18 +222,18 @@
 				plan.OnResult = recorder.record
 			}
 			if started = len(args) == 0; started {
-				s, err := loopback.Open(sc, 1, 0, nil)
+				s, err := emulator.Open(sc, 1, 0, nil)
 				if err != nil {
 					return err
 				}
 				defer s.Close()
-				s.Anyone()
+				s.AcceptUnknownEvents()
 				folder, err := os.MkdirTemp("", "lab-")
 				if err != nil {
 					return err
 				}
 				defer os.RemoveAll(folder)
-				nodes, err := loopback.Configure(s, folder, "", 0, cores)
+				nodes, err := emulator.ConfigureNodes(s, folder, "", 0, cores)
 				if err == nil {
 					err = nodes.Start(c.Context(), program)
 				}
@@ -244,7 +244,7 @@
 				time.Sleep(300 * time.Millisecond) // lets the node receive its list of endpoints
 				plan.Address = nodes.Address(0)
 				defer func() {
-					fmt.Fprintf(c.OutOrStdout(), "node memory: %s\n", memoryUsage(nodes.Pid(0)))
+					fmt.Fprintf(c.OutOrStdout(), "node memory: %s\n", memoryUsage(nodes.PID(0)))
 				}()
 			} else {
 				plan.Address = args[0]
@@ -316,9 +316,9 @@
 	total := 0.0
 	for _, t := range sc.Types {
 		dest := 0
-		for _, p := range sc.Partners {
+		for _, p := range sc.DestinationKinds {
 			for range p.Destinations {
-				requests = append(requests, loadgen.Request{Kind: t.Name, Owner: sc.Owners[0].Name, Dest: dest,
+				requests = append(requests, loadgen.Request{Kind: t.Name, Owner: sc.Customers[0].Name, Dest: dest,
 					Timeout: time.Duration(
 						t.MaxAge,
 					), HasIdempotencyKey: t.Safety == "deduplicated", Body: make([]byte, 300)})
--- a/cmd/jaspersill-lab/main.go
+++ b/cmd/jaspersill-lab/main.go
@@ -29,7 +29,7 @@
 type usageError struct{ error }
 
 func main() {
-	sysfault.BecomeProgramIfAsked()
+	sysfault.ExecUnderFilterIfRequested()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	root := newRootCommand()
@@ -173,7 +173,7 @@
 					if err != nil {
 						return err
 					}
-					fmt.Fprintf(c.OutOrStdout(), "%-14s %s\n", name, sc.Hard)
+					fmt.Fprintf(c.OutOrStdout(), "%-14s %s\n", name, sc.Challenge)
 				}
 				return nil
 			}},
--- a/cmd/jaspersill-lab/recording.go
+++ b/cmd/jaspersill-lab/recording.go
@@ -9,9 +9,9 @@
 	"sync"
 	"time"
 
-	"jaspersill/lab/arrival"
 	"jaspersill/lab/loadgen"
 	"jaspersill/lab/scenario"
+	"jaspersill/lab/workload"
 )
 
 const maxArrivals = 5_000_000 // the arrivals that are read or recorded at most, which bounds the memory
@@ -23,13 +23,13 @@
 		return nil, err
 	}
 	defer file.Close()
-	r, err := arrival.Open(file)
+	r, err := workload.Open(file)
 	if err != nil {
 		return nil, err
 	}
 	defer r.Close()
-	plan.Mix, plan.CumulativeWeights = requestMix(r.Day)
-	dests := len(plan.Mix) / len(r.Day.Types)
+	plan.Mix, plan.CumulativeWeights = requestMix(r.Scenario)
+	dests := len(plan.Mix) / len(r.Scenario.Types)
 	for a, more := r.Next(); more && len(plan.ArrivalTimes) < maxArrivals; a, more = r.Next() {
 		plan.ArrivalTimes = append(plan.ArrivalTimes, time.Duration(a.At))
 		plan.MixIndices = append(plan.MixIndices, int(a.Type)*dests+int(a.Dest))
@@ -42,7 +42,7 @@
 	}
 	plan.Duration = plan.ArrivalTimes[len(plan.ArrivalTimes)-1] + time.Second
 	plan.Rate, plan.EndRate = float64(len(plan.ArrivalTimes))/plan.Duration.Seconds(), 0
-	return r.Day, nil
+	return r.Scenario, nil
 }
 
 // resultRecorder collects the results of the submitted events for a recording.
@@ -73,14 +73,14 @@
 	if err != nil {
 		return err
 	}
-	w, err := arrival.NewWriter(file, r.scenario)
+	w, err := workload.NewWriter(file, r.scenario)
 	if err != nil {
 		return errors.Join(err, file.Close())
 	}
 	dests := len(r.plan.Mix) / len(r.scenario.Types)
 	for _, o := range r.results {
 		t := &r.scenario.Types[o.mixIndex/dests]
-		a := arrival.Asking{At: int64(o.due), Deadline: int64(o.due) + int64(t.MaxAge), Work: int64(t.Work),
+		a := workload.Arrival{At: int64(o.due), Deadline: int64(o.due) + int64(t.MaxAge), Work: int64(t.Work),
 			Type: int32(o.mixIndex / dests), Dest: int32(o.mixIndex % dests)}
 		if err := w.Write(a, "status "+strconv.Itoa(o.status), int64(o.latency)); err != nil {
 			return errors.Join(err, file.Close())
--- a/cmd/jaspersill-lab/simulate.go
+++ b/cmd/jaspersill-lab/simulate.go
@@ -16,12 +16,12 @@
 	"github.com/spf13/cobra"
 	"github.com/spf13/pflag"
 
-	"jaspersill/lab/hunt"
 	"jaspersill/lab/policy"
 	"jaspersill/lab/report"
 	"jaspersill/lab/runner"
 	"jaspersill/lab/scenario"
 	"jaspersill/lab/scenarios"
+	"jaspersill/lab/search"
 )
 
 type flag = pflag.Flag
@@ -56,7 +56,7 @@
 			return runner.Variant{}, usageError{fmt.Errorf("%s: want POLICY,KEY=VALUE, got %q", spec, change)}
 		}
 		var err error
-		if sc, err = sc.With(key, value); err != nil {
+		if sc, err = sc.WithKey(key, value); err != nil {
 			return runner.Variant{}, err
 		}
 	}
@@ -185,7 +185,7 @@
 			s.G.Least,
 			s.G.Most,
 			place,
-			mean(func(r *runner.Result) float64 { return r.Summary.WorstSpell }),
+			mean(func(r *runner.Result) float64 { return r.Summary.WorstWindow }),
 			mean(func(r *runner.Result) float64 { return r.Summary.WorstType }),
 			mean(func(r *runner.Result) float64 { return r.Summary.Waste }),
 			mean(func(r *runner.Result) float64 { return r.LatencyMs[2] }),
@@ -460,7 +460,7 @@
 			ctx, cancel := context.WithTimeout(c.Context(), limit)
 			defer cancel()
 			p, violating := newProgress(), 0
-			worst, violation, simulated := hunt.Hunt(ctx, sc, seed, maxRuns, runtime.GOMAXPROCS(0), untilBroken, launch,
+			worst, violation, simulated := search.Run(ctx, sc, seed, maxRuns, runtime.GOMAXPROCS(0), untilBroken, launch,
 				func(simulated int, _ float64, broken int) {
 					violating = broken
 					p.update(simulated, max(maxRuns, simulated))
@@ -478,13 +478,13 @@
 			)
 			shrinking, stop := context.WithTimeout(c.Context(), limit)
 			defer stop()
-			write := func(f *hunt.Found, name string) error {
+			write := func(f *search.Finding, name string) error {
 				minimized := *f
 				if !asFound {
-					minimized = hunt.Shrink(shrinking, *f, launch)
+					minimized = search.Shrink(shrinking, *f, launch)
 				}
-				minimized.Day.Name = name
-				text, err := minimized.Day.Write()
+				minimized.Scenario.Name = name
+				text, err := minimized.Scenario.Write()
 				if err != nil {
 					return err
 				}
@@ -501,15 +501,15 @@
 					}
 					fmt.Fprintf(w, "written to %s; reproduce it with --first %d --seeds 1\n", name, minimized.Seed)
 				}
-				fmt.Fprintf(w, "%d faults, %v, %d nodes: %s\n", len(minimized.Day.Troubles), minimized.Day.Length,
-					minimized.Day.Fleet.Nodes, minimized.Day.Hard)
+				fmt.Fprintf(w, "%d faults, %v, %d nodes: %s\n", len(minimized.Scenario.Faults), minimized.Scenario.Length,
+					minimized.Scenario.Fleet.Nodes, minimized.Scenario.Challenge)
 				return nil
 			}
 			if violation == nil {
 				fmt.Fprintln(w, "no rule violation found")
 				return write(worst, "hunted-worst")
 			}
-			fmt.Fprintln(w, violation.Rule)
+			fmt.Fprintln(w, violation.Violation)
 			if err := write(violation, "hunted-broken"); err != nil {
 				return err
 			}
--- a/cmd/jaspersill-lab/soak.go
+++ b/cmd/jaspersill-lab/soak.go
@@ -36,8 +36,8 @@
 	c.Flags().StringVar(&s.options.Folder, "keep", "", "folder to keep configurations, state and logs in; if empty, a temporary one is used")
 	c.Flags().IntVar(&s.options.Nodes, "nodes", 10, "number of node processes in each run")
 	c.Flags().DurationVar(&s.options.Length, "length", 6*time.Second, "how long clients submit requests")
-	c.Flags().StringVar(&s.options.Only, "only", "", "use only one kind of fault: "+strings.Join(soak.Only(), ", "))
-	c.Flags().BoolVar(&s.options.Paths, "paths", false, "also disturb the byte streams on all connections")
+	c.Flags().StringVar(&s.options.Only, "only", "", "use only one kind of fault: "+strings.Join(soak.FaultGroups(), ", "))
+	c.Flags().BoolVar(&s.options.PathFaults, "paths", false, "also disturb the byte streams on all connections")
 	c.Flags().Uint64Var(&s.firstSeed, "seed", 1, "first seed")
 	c.Flags().IntVar(&s.seeds, "seeds", 1, "number of seeds")
 	c.Flags().IntVar(&s.parallel, "parallel", 1, "number of runs at the same time")
@@ -100,14 +100,14 @@
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return nil, err
 	}
-	return soak.Play(ctx, options)
+	return soak.Run(ctx, options)
 }
 
 func (s *soakRunner) print(c *cobra.Command, report *soak.Report) {
 	out := c.OutOrStdout()
 	fmt.Fprintln(out, report.Summary())
 	if s.timeline || len(report.Violations) > 0 {
-		for _, line := range report.Events {
+		for _, line := range report.Actions {
 			fmt.Fprintln(out, "  ", line)
 		}
 	}
@@ -121,6 +121,6 @@
 	if len(byRule) > 0 {
 		fmt.Fprintf(out, "  by rule: %v\n", byRule)
 		fmt.Fprintf(out, "  again: jaspersill-lab soak --seed %d --nodes %d --length %v --only %q --paths=%v\n", report.Seed, s.options.Nodes,
-			s.options.Length, s.options.Only, s.options.Paths)
+			s.options.Length, s.options.Only, s.options.PathFaults)
 	}
 }
--- a/lab/loopback/node_bench_test.go
+++ b/lab/emulator/node_bench_test.go
@@ -1,4 +1,4 @@
-package loopback
+package emulator
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"jaspersill/lab/scenarios"
 	"jaspersill/node"
 	"jaspersill/scheduler"
-	"jaspersill/start"
+	"jaspersill/settings"
 )
 
 // BenchmarkNodeUnderLoad has a node in this process, so that its profiles show where its time and its memory
@@ -26,31 +26,31 @@
 		b.Fatal(err)
 	}
 	defer s.Close()
-	s.Anyone()
-	text, err := json.Marshal(Told(day, 0))
+	s.AcceptUnknownEvents()
+	text, err := json.Marshal(NodeSettings(day, 0))
 	if err != nil {
 		b.Fatal(err)
 	}
-	told, err := start.JSON(text)
+	told, err := settings.ParseJSON(text)
 	if err != nil {
 		b.Fatal(err)
 	}
 	told.Directory.RequiresWatch = true
-	listen, err := free("tcp")
+	listen, err := freeAddress("tcp")
 	if err != nil {
 		b.Fatal(err)
 	}
 	module := scheduler.New(
 		1,
-		told.Types,
-		told.Partners,
-		told.Room,
+		told.StreamTypes,
+		told.DestinationKinds,
+		told.Limits,
 		told.Recovery,
 		told.Directory,
-		told.Fleet,
+		told.Cluster,
 		0,
 	)
-	n, err := node.Open(node.Config{Listen: listen, Directory: s.Directory(0), StateFolder: b.TempDir()},
+	n, err := node.Open(node.Config{Listen: listen, Directory: s.DirectoryAddress(0), StateFolder: b.TempDir()},
 		node.Limits{DiskMB: 64, Sockets: 4096}, node.ClientTimeouts{}, told, module)
 	if err != nil {
 		b.Fatal(err)
@@ -63,7 +63,7 @@
 	var mix []loadgen.Request
 	var weights []float64
 	for i, t := range day.Types {
-		for dest := range day.Partners[0].Destinations {
+		for dest := range day.DestinationKinds[0].Destinations {
 			mix = append(
 				mix,
 				loadgen.Request{Kind: t.Name, Owner: "all", Dest: dest, Timeout: time.Duration(t.MaxAge),
--- a/lab/report/page.go
+++ b/lab/report/page.go
@@ -16,7 +16,7 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"jaspersill/lab/ledger"
+	"jaspersill/lab/checker"
 	"jaspersill/lab/runner"
 	"jaspersill/lab/scenario"
 )
@@ -51,9 +51,9 @@
 		maxY = 1
 	}
 	if sc != nil {
-		for _, t := range sc.Troubles {
-			from, to := float64(t.At)/1e9, float64(t.At+t.For)/1e9
-			if t.For == 0 {
+		for _, t := range sc.Faults {
+			from, to := float64(t.Start)/1e9, float64(t.Start+t.Duration)/1e9
+			if t.Duration == 0 {
 				to = from + end/300
 			}
 			area, err := plotter.NewPolygon(
@@ -140,7 +140,7 @@
 		}
 		add(s.Name+": latency from the first request to the delivery", "ms", latency)
 		var outcomes []series
-		for n, name := range ledger.Outcomes {
+		for n, name := range checker.OutcomeNames {
 			l := series{
 				name:   name,
 				points: secondSeries(seconds, func(x *runner.SecondStats) float64 { return float64(x.Outcomes[n]) }),
@@ -151,7 +151,7 @@
 		}
 		add(s.Name+": attempts by outcome", "attempts per second", outcomes)
 		var load []series
-		for n, p := range sc.Partners {
+		for n, p := range sc.DestinationKinds {
 			load = append(load, series{name: p.Name + " offered", points: secondSeries(seconds,
 				func(x *runner.SecondStats) float64 { return float64(x.Offered[n]) })})
 			if refused := (series{name: p.Name + " refused", points: secondSeries(seconds,
@@ -160,7 +160,7 @@
 			}
 			if p.Limit > 0 {
 				limit := p.Limit * float64(p.Destinations)
-				if p.Routes {
+				if p.LimitPerEndpoint {
 					limit *= float64(p.Endpoints)
 				}
 				load = append(load, series{name: p.Name + " limit", dashed: true, points: secondSeries(seconds,
@@ -207,9 +207,9 @@
 			s := &results[i].Summary
 			switch metric {
 			case "whole":
-				total += s.Whole
+				total += s.Overall
 			case "spell":
-				total += s.WorstSpell
+				total += s.WorstWindow
 			case "type":
 				total += s.WorstType
 			case "waste":
@@ -242,6 +242,6 @@
 	}
 	var b bytes.Buffer
 	err = pageTemplate.Execute(&b, map[string]any{"File": f, "Charts": charts, "Title": f.Kind + " " + sc.Name,
-		"Hard": "Hard for: " + sc.Hard})
+		"Hard": "Hard for: " + sc.Challenge})
 	return b.Bytes(), err
 }
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -12,7 +12,7 @@
 	"strconv"
 	"time"
 
-	"jaspersill/lab/ledger"
+	"jaspersill/lab/checker"
 	"jaspersill/lab/runner"
 	"jaspersill/lab/scenario"
 	"jaspersill/lab/stat"
@@ -77,7 +77,7 @@
 func (f *File) Add(name string, results []runner.Result) {
 	broken, first := runner.CountViolations(results)
 	f.Variants = append(f.Variants, VariantResult{Name: name, Results: results, Broken: broken,
-		G: stat.Bootstrap(runner.MetricValues(results, runner.G), 1)})
+		G: stat.MeanInterval(runner.MetricValues(results, runner.G), 1)})
 	if broken > 0 {
 		f.Notes = append(f.Notes, fmt.Sprintf("%s: %d rule violations, the first: %s", name, broken, first))
 	}
@@ -124,12 +124,12 @@
 	value func(*runner.Result) float64
 }{
 	{"G", runner.G},
-	{"whole", func(r *runner.Result) float64 { return r.Summary.Whole }},
-	{"worst 10 s", func(r *runner.Result) float64 { return r.Summary.WorstSpell }},
+	{"whole", func(r *runner.Result) float64 { return r.Summary.Overall }},
+	{"worst 10 s", func(r *runner.Result) float64 { return r.Summary.WorstWindow }},
 	{"worst type", func(r *runner.Result) float64 { return r.Summary.WorstType }},
 	{"waste", func(r *runner.Result) float64 { return r.Summary.Waste }},
 	{"p99, ms", func(r *runner.Result) float64 { return r.LatencyMs[2] }},
-	{"broken rules", func(r *runner.Result) float64 { return float64(r.Summary.Broken) }},
+	{"broken rules", func(r *runner.Result) float64 { return float64(r.Summary.ViolationCount) }},
 }
 
 const (
@@ -235,16 +235,16 @@
 					s.Name,
 					r.Seed,
 					r.Summary.G,
-					r.Summary.Whole,
-					r.Summary.WorstSpell,
+					r.Summary.Overall,
+					r.Summary.WorstWindow,
 					r.Summary.WorstType,
 					r.Summary.Waste,
-					r.Summary.Asked,
+					r.Summary.Arrivals,
 					r.Summary.Acked,
 					r.Summary.Declined,
 					r.Summary.Discarded,
 					r.Summary.Sends,
-					r.Summary.Broken,
+					r.Summary.ViolationCount,
 					r.Overloads,
 					r.LatencyMs[0],
 					r.LatencyMs[1],
@@ -258,7 +258,7 @@
 
 func (f *File) secondsCSV() []byte {
 	header := []string{"set", "seed", "second", "utility", "held", "p50_ms", "p99_ms", "offered", "refused"}
-	for _, o := range ledger.Outcomes {
+	for _, o := range checker.OutcomeNames {
 		header = append(header, o)
 	}
 	return csvTable(header, func(add func(...any)) {
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sc.Length = scenario.Span(20e9)
+	sc.Length = scenario.Duration(20e9)
 	var variants []runner.Variant
 	for _, name := range []string{"once", "module", "informed", "module+deaf"} {
 		s, err := runner.NewVariant(name, sc, 0)
--- a/lab/runner/recording.go
+++ b/lab/runner/recording.go
@@ -5,28 +5,28 @@
 	"io"
 	"slices"
 
-	"jaspersill/lab/arrival"
 	"jaspersill/lab/scenario"
-	"jaspersill/lab/world"
+	"jaspersill/lab/simulator"
+	"jaspersill/lab/workload"
 )
 
 // Record simulates one run and writes each arrival with its result, in the order of arrival.
-func Record(sc *scenario.Scenario, seed, noiseSeed uint64, launch world.Launch, to io.Writer) error {
+func Record(sc *scenario.Scenario, seed, noiseSeed uint64, launch simulator.SchedulerFactory, to io.Writer) error {
 	type record struct {
-		arrival arrival.Asking
+		arrival workload.Arrival
 		result  string
 		latency int64
 	}
 	var records []record
-	w := world.New(sc, seed, noiseSeed, launch, nil)
-	w.Recorded(
-		func(a arrival.Asking, result string, latency int64) {
+	w := simulator.New(sc, seed, noiseSeed, launch, nil)
+	w.OnArrivalEnd(
+		func(a workload.Arrival, result string, latency int64) {
 			records = append(records, record{a, result, latency})
 		},
 	)
 	w.Run()
 	slices.SortStableFunc(records, func(a, b record) int { return cmp.Compare(a.arrival.Number, b.arrival.Number) })
-	out, err := arrival.NewWriter(to, sc)
+	out, err := workload.NewWriter(to, sc)
 	if err != nil {
 		return err
 	}
@@ -42,14 +42,14 @@
 func Replay(
 	from io.Reader,
 	seed, noiseSeed uint64,
-	launch world.Launch,
+	launch simulator.SchedulerFactory,
 	trace io.Writer,
 ) (Result, *scenario.Scenario, error) {
-	r, err := arrival.Open(from)
+	r, err := workload.Open(from)
 	if err != nil {
 		return Result{}, nil, err
 	}
 	defer r.Close()
-	result := runWithSource(r.Day, seed, noiseSeed, launch, true, trace, r)
-	return result, r.Day, r.Err
+	result := runWithSource(r.Scenario, seed, noiseSeed, launch, true, trace, r)
+	return result, r.Scenario, r.Err
 }
--- a/lab/runner/run.go
+++ b/lab/runner/run.go
@@ -13,12 +13,12 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"jaspersill/lab/arrival"
-	"jaspersill/lab/ledger"
+	"jaspersill/lab/checker"
 	"jaspersill/lab/policy"
 	"jaspersill/lab/scenario"
+	"jaspersill/lab/simulator"
 	"jaspersill/lab/stat"
-	"jaspersill/lab/world"
+	"jaspersill/lab/workload"
 )
 
 const (
@@ -45,36 +45,36 @@
 // Result holds the results of one run. Seed determines the destinations, the requests and the faults; NoiseSeed
 // determines all other randomness.
 type Result struct {
-	Seed      uint64         `json:"seed"`
-	NoiseSeed uint64         `json:"luck"`
-	Summary   ledger.Summary `json:"sum"`
-	Stats     world.Stats    `json:"stats"`
-	Overloads int            `json:"falls"`
-	LatencyMs []float64      `json:"latency_ms"` // by Percentiles
-	Seconds   []SecondStats  `json:"seconds,omitempty"`
-	TraceHash string         `json:"trace,omitempty"` // SHA-256 of the trace, if there is one
+	Seed      uint64          `json:"seed"`
+	NoiseSeed uint64          `json:"luck"`
+	Summary   checker.Summary `json:"sum"`
+	Stats     simulator.Stats `json:"stats"`
+	Overloads int             `json:"falls"`
+	LatencyMs []float64       `json:"latency_ms"` // by Percentiles
+	Seconds   []SecondStats   `json:"seconds,omitempty"`
+	TraceHash string          `json:"trace,omitempty"` // SHA-256 of the trace, if there is one
 }
 
 // Run simulates one run. With detail the result contains the statistics of each second. trace may be nil.
 func Run(
-	sc *scenario.Scenario, seed, noiseSeed uint64, launch world.Launch, detail bool, trace io.Writer,
+	sc *scenario.Scenario, seed, noiseSeed uint64, launch simulator.SchedulerFactory, detail bool, trace io.Writer,
 ) Result {
 	return runWithSource(sc, seed, noiseSeed, launch, detail, trace, nil)
 }
 
 // runWithSource is like Run, but takes the arrivals from source; if it is nil, they are generated from the seed.
 func runWithSource(
-	sc *scenario.Scenario, seed, noiseSeed uint64, launch world.Launch, detail bool, trace io.Writer,
-	source arrival.Source,
+	sc *scenario.Scenario, seed, noiseSeed uint64, launch simulator.SchedulerFactory, detail bool, trace io.Writer,
+	source workload.Source,
 ) Result {
-	w := world.New(sc, seed, noiseSeed, launch, trace)
+	w := simulator.New(sc, seed, noiseSeed, launch, trace)
 	if source != nil {
-		w.Play(source)
+		w.SetSource(source)
 	}
 	all := hdrhistogram.New(minLatency, maxLatency, latencyDigits)
 	second := hdrhistogram.New(minLatency, maxLatency, 2)
-	l := w.Ledger()
-	l.Latency = func(typ int, latency int64) {
+	l := w.Checker()
+	l.OnDelivery = func(typ int, latency int64) {
 		all.RecordValue(max(latency, minLatency))
 		if detail {
 			second.RecordValue(max(latency, minLatency))
@@ -83,14 +83,14 @@
 	r := Result{Seed: seed, NoiseSeed: noiseSeed}
 	if detail {
 		var outcomes [9]int64
-		offered, refused := make([]int64, len(sc.Partners)), make([]int64, len(sc.Partners))
-		w.Sampled(func(w *world.World) {
-			s := SecondStats{Start: w.Now()/1e9 - 1, ActiveEvents: w.Held(), LatencyMs: percentiles(second)}
+		offered, refused := make([]int64, len(sc.DestinationKinds)), make([]int64, len(sc.DestinationKinds))
+		w.OnSecond(func(w *simulator.Simulation) {
+			s := SecondStats{Start: w.Now()/1e9 - 1, ActiveEvents: w.EventsHeld(), LatencyMs: percentiles(second)}
 			second.Reset()
 			for i := range outcomes {
-				s.Outcomes[i], outcomes[i] = l.How[i]-outcomes[i], l.How[i]
+				s.Outcomes[i], outcomes[i] = l.OutcomeCounts[i]-outcomes[i], l.OutcomeCounts[i]
 			}
-			p := w.Partners()
+			p := w.Destinations()
 			for i := range offered {
 				s.Offered, offered[i] = append(s.Offered, p.Offered[i]-offered[i]), p.Offered[i]
 				s.Refused, refused[i] = append(s.Refused, p.Refused[i]-refused[i]), p.Refused[i]
@@ -99,8 +99,8 @@
 		})
 	}
 	r.Summary = w.Run()
-	r.Stats, r.Overloads, r.LatencyMs = w.Stats, len(w.Partners().Falls), percentiles(all)
-	for i, u := range l.Utility() {
+	r.Stats, r.Overloads, r.LatencyMs = w.Stats, len(w.Destinations().Overloads), percentiles(all)
+	for i, u := range l.UtilityPerSecond() {
 		if i < len(r.Seconds) {
 			r.Seconds[i].Utility = u
 		}
@@ -116,7 +116,7 @@
 }
 
 // TraceHash simulates one run and returns the SHA-256 of its trace.
-func TraceHash(sc *scenario.Scenario, seed, noiseSeed uint64, launch world.Launch) string {
+func TraceHash(sc *scenario.Scenario, seed, noiseSeed uint64, launch simulator.SchedulerFactory) string {
 	h := sha256.New()
 	Run(sc, seed, noiseSeed, launch, false, h)
 	return hex.EncodeToString(h.Sum(nil))
@@ -126,7 +126,7 @@
 type Variant struct {
 	Name      string
 	Scenario  *scenario.Scenario
-	Launch    world.Launch
+	Launch    simulator.SchedulerFactory
 	NoiseSeed uint64
 }
 
@@ -210,9 +210,9 @@
 // CountViolations returns the number of rule violations in all results and a description of the first.
 func CountViolations(results []Result) (n int, first string) {
 	for i := range results {
-		n += results[i].Summary.Broken
-		if first == "" && len(results[i].Summary.Breaks) > 0 {
-			first = fmt.Sprintf("seed %d: %s", results[i].Seed, results[i].Summary.Breaks[0])
+		n += results[i].Summary.ViolationCount
+		if first == "" && len(results[i].Summary.Violations) > 0 {
+			first = fmt.Sprintf("seed %d: %s", results[i].Seed, results[i].Summary.Violations[0])
 		}
 	}
 	return n, first
@@ -220,11 +220,11 @@
 
 // PairedDifference returns the mean difference of a metric, b minus a, over the pairs of runs with equal seeds.
 func PairedDifference(a, b []Result, metric func(*Result) float64) stat.Interval {
-	return stat.Paired(MetricValues(a, metric), MetricValues(b, metric), 1)
+	return stat.PairedDifference(MetricValues(a, metric), MetricValues(b, metric), 1)
 }
 
 // IsReproducible simulates a run twice and reports whether the two traces are identical.
-func IsReproducible(sc *scenario.Scenario, seed uint64, launch world.Launch) bool {
+func IsReproducible(sc *scenario.Scenario, seed uint64, launch simulator.SchedulerFactory) bool {
 	var a, b bytes.Buffer
 	Run(sc, seed, 0, launch, false, &a)
 	Run(sc, seed, 0, launch, false, &b)
--- a/lab/runner/run_test.go
+++ b/lab/runner/run_test.go
@@ -12,13 +12,13 @@
 	"strings"
 	"testing"
 
-	"jaspersill/lab/arrival"
-	"jaspersill/lab/ledger"
+	"jaspersill/lab/checker"
 	"jaspersill/lab/policy"
 	"jaspersill/lab/scenario"
 	"jaspersill/lab/scenarios"
+	"jaspersill/lab/simulator"
 	"jaspersill/lab/stat"
-	"jaspersill/lab/world"
+	"jaspersill/lab/workload"
 )
 
 func findScenario(t testing.TB, name string) *scenario.Scenario {
@@ -36,7 +36,7 @@
 func TestTraceDependsOnlyOnSeeds(t *testing.T) {
 	for _, name := range []string{"harvest", "ordered", "replaced", "seldom"} {
 		sc := findScenario(t, name)
-		sc.Length = scenario.Span(30e9)
+		sc.Length = scenario.Duration(30e9)
 		before := runtime.GOMAXPROCS(1)
 		one := TraceHash(sc, 7, 3, policy.Module)
 		runtime.GOMAXPROCS(max(2, before))
@@ -53,22 +53,22 @@
 func TestDefectivePoliciesViolateTheirRules(t *testing.T) {
 	for _, c := range []struct {
 		defect, scenario string
-		rule             ledger.Rule
+		rule             checker.Rule
 	}{
-		{"lossy", "farm", ledger.OneEnd},
-		{"restless", "farm", ledger.OneEnd},
-		{"careless", "answers-lost", ledger.Once},
-		{"forgetful", "answers-lost", ledger.Once},
-		{"undrained", "replaced", ledger.Drains},
-		{"blind", "cold-return", ledger.Returns},
-		{"disorderly", "ordered", ledger.Order},
-		{"deaf", "refusals", ledger.Waits},
+		{"lossy", "farm", checker.RuleSingleEnd},
+		{"restless", "farm", checker.RuleSingleEnd},
+		{"careless", "answers-lost", checker.RuleSingleEffect},
+		{"forgetful", "answers-lost", checker.RuleSingleEffect},
+		{"undrained", "replaced", checker.RuleDrain},
+		{"blind", "cold-return", checker.RuleColdStart},
+		{"disorderly", "ordered", checker.RuleKeyOrder},
+		{"deaf", "refusals", checker.RuleRetryAfter},
 	} {
 		sc := findScenario(t, c.scenario)
 		if c.defect == "forgetful" { // a deduplication window so short that repeats often come after it
 			for i := range sc.Types {
-				if sc.Types[i].Window > 0 {
-					sc.Types[i].Window = 2e8
+				if sc.Types[i].DedupWindow > 0 {
+					sc.Types[i].DedupWindow = 2e8
 				}
 			}
 		}
@@ -78,21 +78,21 @@
 		}
 		detected := false
 		for seed := range uint64(3) {
-			for _, b := range Run(sc, seed, 0, launch, false, nil).Summary.Breaks {
+			for _, b := range Run(sc, seed, 0, launch, false, nil).Summary.Violations {
 				evidence := b.Event > 0 && b.At > 0 &&
 					(len(b.Sends) > 0 || c.defect == "lossy" || c.defect == "deaf" ||
 						c.defect == "undrained" || c.defect == "disorderly") ||
-					b.Rule == ledger.Returns
+					b.Rule == checker.RuleColdStart
 				if b.Rule != c.rule &&
-					(c.defect != "restless" || b.Rule != ledger.Once) { // the extra attempt also runs
+					(c.defect != "restless" || b.Rule != checker.RuleSingleEffect) { // the extra attempt also runs
 					t.Errorf("%s: %s", c.defect, b)
 				} else if !evidence {
 					t.Errorf("%s: violation without evidence: %s", c.defect, b)
 				}
 				detected = true
 			}
-			if r := Run(sc, seed, 0, policy.Module, false, nil); r.Summary.Broken > 0 && c.defect != "forgetful" {
-				t.Errorf("%s: violation by the module without defects: %s", c.scenario, r.Summary.Breaks[0])
+			if r := Run(sc, seed, 0, policy.Module, false, nil); r.Summary.ViolationCount > 0 && c.defect != "forgetful" {
+				t.Errorf("%s: violation by the module without defects: %s", c.scenario, r.Summary.Violations[0])
 			}
 		}
 		if !detected {
@@ -107,7 +107,7 @@
 	if fullLength() {
 		n = 200
 	} else {
-		sc.Length = scenario.Span(20e9)
+		sc.Length = scenario.Duration(20e9)
 	}
 	variants := []Variant{{Name: "module", Scenario: sc, Launch: policy.Module}}
 	results, err := RunAll(context.Background(), variants, Seeds(1, n), false, nil)
@@ -118,7 +118,7 @@
 		t.Errorf("%d violations over %d seeds without faults: %s", broken, n, first)
 	}
 	for i := range results[0] {
-		if s := &results[0][i].Summary; s.Asked == 0 || s.G < 0.99 || s.Effects != s.Acked {
+		if s := &results[0][i].Summary; s.Arrivals == 0 || s.G < 0.99 || s.Effects != s.Acked {
 			t.Errorf("seed %d: want nearly all utility and one effect per delivered event, got %+v", results[0][i].Seed, s)
 		}
 	}
@@ -133,8 +133,8 @@
 	if fullLength() {
 		comparisons, seeds, lowest, highest = 400, 30, 0.92, 0.98
 	}
-	sc.Length = scenario.Span(20e9)
-	sc.Loads[0].At, sc.Loads[0].For = scenario.Span(5e9), scenario.Span(8e9)
+	sc.Length = scenario.Duration(20e9)
+	sc.LoadChanges[0].Start, sc.LoadChanges[0].Duration = scenario.Duration(5e9), scenario.Duration(8e9)
 	containing := 0
 	for c := range comparisons {
 		variants := []Variant{
@@ -145,7 +145,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if PairedDifference(r[0], r[1], G).Holds(0) {
+		if PairedDifference(r[0], r[1], G).Contains(0) {
 			containing++
 		}
 	}
@@ -183,7 +183,7 @@
 			for k := range values {
 				values[k] = draw()
 			}
-			if stat.Bootstrap(values, uint64(i)).Holds(mean) {
+			if stat.MeanInterval(values, uint64(i)).Contains(mean) {
 				containing++
 			}
 		}
@@ -200,14 +200,14 @@
 	if fullLength() {
 		minutes = 10
 	}
-	sc.Length = scenario.Span(minutes) * 60e9
-	for i := range sc.Troubles {
-		sc.Troubles[i].For, sc.Troubles[i].Every = sc.Length, scenario.Span(30e9)
+	sc.Length = scenario.Duration(minutes) * 60e9
+	for i := range sc.Faults {
+		sc.Faults[i].Duration, sc.Faults[i].Period = sc.Length, scenario.Duration(30e9)
 	}
-	sc.Loads[0].For = sc.Length
+	sc.LoadChanges[0].Duration = sc.Length
 	var heap []uint64
-	w := world.New(sc, 1, 0, policy.Module, nil)
-	w.Sampled(func(w *world.World) {
+	w := simulator.New(sc, 1, 0, policy.Module, nil)
+	w.OnSecond(func(w *simulator.Simulation) {
 		if (w.Now()/1e9)%60 == 59 {
 			runtime.GC()
 			var m runtime.MemStats
@@ -256,7 +256,7 @@
 			t.Errorf("%s: %v", name, err)
 			continue
 		}
-		sc.Length, again.Length = scenario.Span(6e9), scenario.Span(6e9)
+		sc.Length, again.Length = scenario.Duration(6e9), scenario.Duration(6e9)
 		if TraceHash(sc, 1, 0, policy.Module) != TraceHash(again, 1, 0, policy.Module) {
 			t.Errorf("%s: written and read back, it gives a different trace", name)
 		}
@@ -273,17 +273,17 @@
 	} {
 		b.Run(size.name, func(b *testing.B) {
 			sc := findScenario(b, "farm")
-			sc.Fleet.Nodes, sc.Length = size.nodes, scenario.Span(30e9)
+			sc.Fleet.Nodes, sc.Length = size.nodes, scenario.Duration(30e9)
 			rate := 0.0
 			for i := range sc.Types {
 				sc.Types[i].Rate *= float64(size.endpoints) / 24
 				rate += sc.Types[i].Rate
 			}
-			sc.Partners[0].Destinations = max(1, size.endpoints/6)
-			sc.Partners[1].Destinations = size.endpoints - 3*sc.Partners[0].Destinations
+			sc.DestinationKinds[0].Destinations = max(1, size.endpoints/6)
+			sc.DestinationKinds[1].Destinations = size.endpoints - 3*sc.DestinationKinds[0].Destinations
 			events := int64(0)
 			for b.Loop() {
-				events += Run(sc, 1, 0, policy.Module, false, nil).Summary.Asked
+				events += Run(sc, 1, 0, policy.Module, false, nil).Summary.Arrivals
 			}
 			b.ReportMetric(float64(events)/b.Elapsed().Seconds(), "events/s")
 		})
@@ -294,7 +294,7 @@
 // be reported as an error and must not panic.
 func TestReplayReproducesRecordedRun(t *testing.T) {
 	sc := findScenario(t, "clumps")
-	sc.Length = scenario.Span(20e9)
+	sc.Length = scenario.Duration(20e9)
 	var file bytes.Buffer
 	if err := Record(sc, 5, 1, policy.Module, &file); err != nil {
 		t.Fatal(err)
@@ -306,9 +306,9 @@
 		t.Fatal(err)
 	}
 	if got, want := hex.EncodeToString(h.Sum(nil)), TraceHash(recorded, 5, 1, policy.Module); got != want {
-		t.Errorf("trace %s, want %s; %d arrivals", got, want, r.Summary.Asked)
+		t.Errorf("trace %s, want %s; %d arrivals", got, want, r.Summary.Arrivals)
 	}
-	in, err := arrival.Open(bytes.NewReader(text))
+	in, err := workload.Open(bytes.NewReader(text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -317,11 +317,11 @@
 	for _, more := in.Next(); more; _, more = in.Next() {
 		n++
 	}
-	if in.Err != nil || n != r.Summary.Asked {
-		t.Errorf("%d arrivals recorded, %d simulated: %v", n, r.Summary.Asked, in.Err)
+	if in.Err != nil || n != r.Summary.Arrivals {
+		t.Errorf("%d arrivals recorded, %d simulated: %v", n, r.Summary.Arrivals, in.Err)
 	}
 	for size := 0; size < len(text); size += len(text)/60 + 1 {
-		in, err := arrival.Open(bytes.NewReader(text[:size]))
+		in, err := workload.Open(bytes.NewReader(text[:size]))
 		if err != nil {
 			continue
 		}
--- a/lifecycle/lifecycle.go
+++ b/lifecycle/lifecycle.go
@@ -50,9 +50,9 @@
 )
 
 var (
-	violations = metrics.NewFamily(violationsMetric, violationsHelp, "transition", transitionAttempt, transitionSend,
+	violations = metrics.NewCounterVec(violationsMetric, violationsHelp, "transition", transitionAttempt, transitionSend,
 		transitionOutcome, transitionReport, transitionStore, transitionClose, transitionConfirm)
-	denials      = metrics.NewFamily(denialsMetric, denialsHelp, "reason", denialDeadline, denialEnded)
+	denials      = metrics.NewCounterVec(denialsMetric, denialsHelp, "reason", denialDeadline, denialEnded)
 	denialLabels = map[*Denial]string{ErrDeadlinePassed: denialDeadline, ErrEndDecided: denialEnded}
 )
 
@@ -61,7 +61,7 @@
 
 // violation counts and logs a violation and returns it as an error. id is the request, or the client of a connection.
 func violation(transition, id, reason string) error {
-	violations.With(transition).Add()
+	violations.With(transition).Inc()
 	logs.Event(logPart, id).WithFields(logrus.Fields{"transition": transition, "reason": reason}).
 		Error("lifecycle violation: forbidden state transition")
 	return fmt.Errorf("%w: %s: %s", ErrViolation, transition, reason)
@@ -69,7 +69,7 @@
 
 // denied counts a denial and returns it.
 func denied(d *Denial) error {
-	denials.With(denialLabels[d]).Add()
+	denials.With(denialLabels[d]).Inc()
 	return d
 }
 
--- a/node/call.go
+++ b/node/call.go
@@ -63,7 +63,7 @@
 	recordRetryInterval = 10 * time.Millisecond // between tries while the journal cannot be written
 )
 
-var attemptsEnded = metrics.NewFamily("jaspersill_attempts_ended_total", "Attempts that ended, by outcome.", "outcome",
+var attemptsEnded = metrics.NewCounterVec("jaspersill_attempts_ended_total", "Attempts that ended, by outcome.", "outcome",
 	delivery.Acked.String(), delivery.Errored.String(), delivery.Refused.String(), delivery.TimedOut.String(), delivery.ConnectFailed.String(),
 	delivery.Reset.String(), delivery.Cancelled.String(), delivery.Unsent.String(), delivery.Unreadable.String())
 
@@ -328,7 +328,7 @@
 		if n > 0 || errclass.Stream(err) != errclass.Transient {
 			return n == buf.Len(), err
 		}
-		transientFailures.With("write").Add()
+		transientFailures.With("write").Inc()
 		c.localFailure.Store(true)
 		if !c.holdWrite() {
 			return false, err
@@ -441,7 +441,7 @@
 func (c *call) reportOutcome(a *attempt, r result) {
 	r.duration = c.pool.clock.now() - a.startedAt
 	c.logAttempt(a, "attempt finished", logrus.Fields{"outcome": r.outcome.String(), "took_ms": r.duration / 1e6, "wait_ms": r.retryAfter / 1e6})
-	attemptsEnded.With(r.outcome.String()).Add()
+	attemptsEnded.With(r.outcome.String()).Inc()
 	if r.confirmation != nil && !r.outcome.MayHaveRun() && !r.final {
 		a.event.request.FinishUnconfirmedRefusal()
 	} else {
@@ -452,7 +452,7 @@
 
 // logAttempt logs a message about an attempt, with the connection that carries it.
 func (c *call) logAttempt(a *attempt, message string, fields logrus.Fields) {
-	if !logs.Debugging() {
+	if !logs.DebugEnabled() {
 		return
 	}
 	line := logs.Event("endpoints", a.event.id).WithFields(fields).
--- a/node/decisionloop.go
+++ b/node/decisionloop.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"jaspersill/delivery"
-	"jaspersill/door"
+	"jaspersill/idmap"
 	"jaspersill/logs"
 )
 
@@ -27,10 +27,10 @@
 	stop         chan struct{}
 	done         chan struct{}
 
-	eventIndex     door.Table[*event]
+	eventIndex     idmap.Table[*event]
 	activeAttempts []*attempt // the attempt in flight, by event index; nil for none
-	destIndex      door.Table[uint32]
-	endpointIndex  door.Table[string]
+	destIndex      idmap.Table[uint32]
+	endpointIndex  idmap.Table[string]
 	partnerOf      []int   // by endpoint index
 	forgotten      []int32 // endpoints that the scheduler has removed but calls may still use
 
@@ -141,12 +141,12 @@
 // addEvent hands an event to the scheduler, together with its attempts before a restart, if any.
 func (d *decisionLoop) addEvent(e *event) {
 	d.enqueue(func(to delivery.Handler) {
-		if e.index, _ = d.eventIndex.Take(e); int(e.index) == len(d.ended) {
+		if e.index, _ = d.eventIndex.Acquire(e); int(e.index) == len(d.ended) {
 			d.activeAttempts, d.ended = append(d.activeAttempts, nil), append(d.ended, false)
 		}
 		d.ended[e.index] = false
 		d.newEvents = append(d.newEvents, e.index)
-		dest, _ := d.destIndex.Take(e.dest)
+		dest, _ := d.destIndex.Acquire(e.dest)
 		to.Event(e.index, e.typ, e.customer, 0, e.monoDeadline-d.clock.now(), 0, dest)
 		if len(e.pastAttempts) > 0 {
 			d.reportPastAttempts(e, to)
@@ -199,7 +199,7 @@
 // registerEndpoint returns the index of an endpoint; fresh means that it was newly assigned. An endpoint that is listed again
 // just after the scheduler removed it must keep its index, so its release is cancelled.
 func (d *decisionLoop) registerEndpoint(host string, partner int) (ep int32, fresh bool) {
-	ep, fresh = d.endpointIndex.Take(host)
+	ep, fresh = d.endpointIndex.Acquire(host)
 	if int(ep) == len(d.partnerOf) {
 		d.partnerOf = append(d.partnerOf, 0)
 	}
--- a/node/eventtask.go
+++ b/node/eventtask.go
@@ -16,7 +16,7 @@
 // notified of the refusal instead.
 const refusalRecordTimeout = 200 * time.Millisecond
 
-var refusedRequests = metrics.NewFamily("jaspersill_refused_requests_total",
+var refusedRequests = metrics.NewCounterVec("jaspersill_refused_requests_total",
 	"Requests that their clients heard to be refused, by reason.", "reason", refusedJournalFull, refusedWriteFailed, refusedByPolicy,
 	refusedAtCapacity, refusedUnlisted)
 
@@ -30,8 +30,8 @@
 
 // recordRefusal counts and logs that a client is told of the refusal of its request.
 func recordRefusal(id, reason string) {
-	refusedRequests.With(reason).Add()
-	if logs.Debugging() {
+	refusedRequests.With(reason).Inc()
+	if logs.DebugEnabled() {
 		logs.Event("clients", id).WithField("reason", reason).Debug("request refused")
 	}
 }
--- a/node/node.go
+++ b/node/node.go
@@ -11,7 +11,7 @@
 
 	"jaspersill/delivery"
 	"jaspersill/lifecycle"
-	"jaspersill/start"
+	"jaspersill/settings"
 	"jaspersill/store"
 )
 
@@ -77,13 +77,13 @@
 }
 
 // Open opens the journal and the sockets of a node. Run starts it.
-func Open(config Config, limits Limits, timeouts ClientTimeouts, settings start.Start, scheduler delivery.Scheduler) (*Node, error) {
+func Open(config Config, limits Limits, timeouts ClientTimeouts, settings settings.Settings, scheduler delivery.Scheduler) (*Node, error) {
 	if config.timeSource == nil {
 		m := systemTimeSource()
 		config.timeSource = &m
 	}
 	c := newClock(config.StateFolder, *config.timeSource)
-	n := &Node{clock: c, maxEvents: int64(settings.Room.MaxEvents), types: settings.Types, typeNames: settings.TypeNames,
+	n := &Node{clock: c, maxEvents: int64(settings.Limits.MaxEvents), types: settings.StreamTypes, typeNames: settings.StreamTypeNames,
 		customerNames: settings.CustomerNames}
 	n.SetDrainTimes(drainCloseIdle, drainStopDeciding, drainExit)
 	n.setPhase(Starting)
@@ -92,7 +92,7 @@
 		config.disk = store.Dir(config.StateFolder)
 	}
 	if n.journal, n.restored, err = openJournal(config.StateFolder, config.disk, c.timeOfDay, limits.DiskMB,
-		settings.Room.MaxAttempts, n.resolveNames); err != nil {
+		settings.Limits.MaxAttempts, n.resolveNames); err != nil {
 		return nil, err
 	}
 	sockets := limits.Sockets
@@ -103,18 +103,18 @@
 	sockets = max(minSockets, sockets-reservedSockets)
 	idleEndpoints := sockets / endpointIdleDivisor
 	var eventsPerCall []int
-	for _, p := range settings.Partners {
+	for _, p := range settings.DestinationKinds {
 		eventsPerCall = append(eventsPerCall, p.MaxEventsPerCall)
 	}
-	n.decisions = newDecisionLoop(c, scheduler, settings.Tick, append(eventsPerCall, 1))
-	n.endpoints = &endpointPool{clock: c, journal: n.journal, dial: newDialer(settings.ConnectWithin),
-		idleTimeout: settings.IdleFor, maxIdle: idleEndpoints}
+	n.decisions = newDecisionLoop(c, scheduler, settings.MinRoundInterval, append(eventsPerCall, 1))
+	n.endpoints = &endpointPool{clock: c, journal: n.journal, dial: newDialer(settings.ConnectTimeout),
+		idleTimeout: settings.ConnIdleTimeout, maxIdle: idleEndpoints}
 	n.directory = &directory{address: config.Directory, openWatches: make(map[*watch]struct{}),
 		knownDests: make(map[uint32]struct{}), desk: n.decisions, endpoints: n.endpoints,
-		partnerNames: settings.PartnerNames, zoneNames: settings.ZoneNames, useRates: settings.Rated,
+		partnerNames: settings.DestinationKindNames, zoneNames: settings.ZoneNames, useRates: settings.HasRates,
 		watchErrors: failureLog{part: "directory", operation: "watching the directory"}}
 	n.notices = newNoticeSender(config.Directory)
-	if n.peers, err = newPeerMessenger(config.PeerListen, config.PeersAll, config.Peers, settings.Fleet.Self, n.decisions,
+	if n.peers, err = newPeerMessenger(config.PeerListen, config.PeersAll, config.Peers, settings.Cluster.Self, n.decisions,
 		c.timeOfDay()); err != nil {
 		n.journal.close()
 		return nil, err
@@ -128,7 +128,7 @@
 	}
 	if err == nil {
 		n.clients, err = newClientServer(n, config.Listen, timeouts,
-			max(minClients, sockets-idleEndpoints-settings.Room.MaxConcurrentCalls), idleClients)
+			max(minClients, sockets-idleEndpoints-settings.Limits.MaxConcurrentCalls), idleClients)
 	}
 	if err != nil {
 		n.peers.close()
@@ -200,7 +200,7 @@
 
 // resolveNames maps the names of a stream type and a customer to their indices.
 func (n *Node) resolveNames(kind, owner string) (typ, customer int, ok bool) {
-	typ, customer = slices.Index(n.typeNames, start.Name(kind)), slices.Index(n.customerNames, start.Name(owner))
+	typ, customer = slices.Index(n.typeNames, settings.NormalizeName(kind)), slices.Index(n.customerNames, settings.NormalizeName(owner))
 	if len(n.customerNames) == 0 {
 		customer = 0
 	}
--- a/node/notices.go
+++ b/node/notices.go
@@ -32,9 +32,9 @@
 )
 
 var (
-	noticePosts = metrics.NewFamily("jaspersill_notice_posts_total", "Posts of notices to the platform, by what came of them.",
+	noticePosts = metrics.NewCounterVec("jaspersill_notice_posts_total", "Posts of notices to the platform, by what came of them.",
 		"result", noticeAcknowledged, noticeUnverified, noticeFailed)
-	noticeConnections = metrics.New("jaspersill_notice_connections_total", "Connections opened to the platform for notices.")
+	noticeConnections = metrics.NewCounter("jaspersill_notice_connections_total", "Connections opened to the platform for notices.")
 )
 
 // notice tells the platform how an event ended that was accepted but not delivered.
@@ -225,8 +225,8 @@
 }
 
 func (n *noticeSender) logPost(conn *platformConn, batch []notice, result string, err error) {
-	noticePosts.With(result).Add()
-	if !logs.Debugging() {
+	noticePosts.With(result).Inc()
+	if !logs.DebugEnabled() {
 		return
 	}
 	for _, posted := range batch {
@@ -311,7 +311,7 @@
 	if err != nil {
 		return nil, err
 	}
-	noticeConnections.Add()
+	noticeConnections.Inc()
 	return &platformConn{retryConn: conn, id: newConnectionID(), address: address,
 		reader: bufio.NewReaderSize(conn, noticeReadBufferSize), stopCloseOnMove: context.AfterFunc(addressCtx, func() { conn.Close() })}, nil
 }
--- a/node/retryconn.go
+++ b/node/retryconn.go
@@ -19,7 +19,7 @@
 	maxRetryPause = 20 * time.Millisecond
 )
 
-var transientFailures = metrics.NewFamily("jaspersill_momentary_failures_total",
+var transientFailures = metrics.NewCounterVec("jaspersill_momentary_failures_total",
 	"Calls on sockets that failed for a reason of this machine and were tried again.", "call", "read", "write", "connect", "accept")
 
 // retryConn is a connection that retries reads and writes after transient errors, which lose no data. Its deadlines, and
@@ -49,7 +49,7 @@
 		if n > 0 || errclass.Stream(err) != errclass.Transient {
 			return n, err
 		}
-		transientFailures.With("read").Add()
+		transientFailures.With("read").Inc()
 		if c.readFailingSince.IsZero() {
 			c.readFailingSince = time.Now()
 		}
@@ -70,7 +70,7 @@
 			return written, err
 		}
 		if n == 0 {
-			transientFailures.With("write").Add()
+			transientFailures.With("write").Inc()
 			time.Sleep(pause)
 		}
 	}
@@ -94,7 +94,7 @@
 			return written, err
 		}
 		if n == 0 {
-			transientFailures.With("write").Add()
+			transientFailures.With("write").Inc()
 			time.Sleep(pause)
 		}
 	}
@@ -224,7 +224,7 @@
 		if errclass.Socket(err) != errclass.Transient {
 			return nil, err
 		}
-		transientFailures.With("connect").Add()
+		transientFailures.With("connect").Inc()
 		select {
 		case <-ctx.Done():
 			return nil, err
