--- a/cmd/jaspersill-lab/loopback.go
+++ b/cmd/jaspersill-lab/loopback.go
@@ -266,8 +266,8 @@
 			for _, l := range f.Loads {
 				fmt.Fprintf(
 					w,
-					"offered %.0f/s, sent %.0f/s: %d accepted, %d declined, %d failed; ms p50 %.2f p90 %.2f p99 %.2f "+
-						"p99.9 %.2f; generator lag p99 %.3f ms\n",
+					"offered %.0f/s, sent %.0f/s: %d taken on, %d declined, %d failed; ms p50 %.2f p90 %.2f p99 %.2f "+
+						"p99.9 %.2f; own lag p99 %.3f ms\n",
 					l.OfferedRate,
 					l.SentRate,
 					l.Acked,
--- a/cmd/jaspersill-lab/simulate.go
+++ b/cmd/jaspersill-lab/simulate.go
@@ -314,7 +314,7 @@
 	if err != nil {
 		return err
 	}
-	runner.Run(s.Scenario, seed, noiseSeed, s.Launch, false, file)
+	runner.Run(s.Scenario, seed, noiseSeed, s.NewScheduler, false, file)
 	return file.Close()
 }
 
@@ -338,14 +338,14 @@
 		if err != nil {
 			return err
 		}
-		return errors.Join(runner.Record(s.Scenario, options.firstSeed, noiseSeed, s.Launch, file), file.Close())
+		return errors.Join(runner.Record(s.Scenario, options.firstSeed, noiseSeed, s.NewScheduler, file), file.Close())
 	}
 	file, err := os.Open(replay)
 	if err != nil {
 		return err
 	}
 	defer file.Close()
-	r, recorded, err := runner.Replay(file, options.firstSeed, noiseSeed, s.Launch, nil)
+	r, recorded, err := runner.Replay(file, options.firstSeed, noiseSeed, s.NewScheduler, nil)
 	if err != nil {
 		return fmt.Errorf("%s: %w", replay, err)
 	}
@@ -453,14 +453,14 @@
 			if maxRuns < 1 || limit <= 0 {
 				return usageError{errors.New("hunt: want --runs of at least 1 and a positive --time")}
 			}
-			launch, err := policy.Find(policyName)
+			newScheduler, err := policy.Find(policyName)
 			if err != nil {
 				return err
 			}
 			ctx, cancel := context.WithTimeout(c.Context(), limit)
 			defer cancel()
 			p, violating := newProgress(), 0
-			worst, violation, simulated := search.Run(ctx, sc, seed, maxRuns, runtime.GOMAXPROCS(0), untilBroken, launch,
+			worst, violation, simulated := search.Run(ctx, sc, seed, maxRuns, runtime.GOMAXPROCS(0), untilBroken, newScheduler,
 				func(simulated int, _ float64, broken int) {
 					violating = broken
 					p.update(simulated, max(maxRuns, simulated))
@@ -481,7 +481,7 @@
 			write := func(f *search.Finding, name string) error {
 				minimized := *f
 				if !asFound {
-					minimized = search.Shrink(shrinking, *f, launch)
+					minimized = search.Shrink(shrinking, *f, newScheduler)
 				}
 				minimized.Scenario.Name = name
 				text, err := minimized.Scenario.Write()
--- a/lab/loadgen/load.go
+++ b/lab/loadgen/load.go
@@ -32,7 +32,8 @@
 	maxLag          = int64(10e9) // ns
 )
 
-// Request is a template of an event. Each submission gets an id of its own, which also is its idempotency key.
+// Request is a template of an event. Each submission gets an id of its own, which is also its
+// idempotency key if it has one.
 type Request struct {
 	Kind, Owner       string
 	Dest              int
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -93,8 +93,9 @@
 	return nil
 }
 
-// ComputePositions computes the position of each variant between the worst and the best policy by mean G: "once", with a
-// single attempt per event, is 0, and "informed", which sees the whole simulation, is 1. It needs both of them.
+// ComputePositions places the mean G of each variant on the scale from the policy "once", which makes a single attempt
+// per event (0), to "informed", which sees the whole simulation (1). It does nothing unless both were run and informed
+// has the higher mean.
 func (f *File) ComputePositions() {
 	lowest, highest := f.findVariant("once"), f.findVariant("informed")
 	if lowest == nil || highest == nil || highest.G.Mean <= lowest.G.Mean {
--- a/lab/runner/recording.go
+++ b/lab/runner/recording.go
@@ -11,20 +11,20 @@
 )
 
 // Record simulates one run and writes each arrival with its result, in the order of arrival.
-func Record(sc *scenario.Scenario, seed, noiseSeed uint64, launch simulator.SchedulerFactory, to io.Writer) error {
+func Record(sc *scenario.Scenario, seed, noiseSeed uint64, newScheduler simulator.SchedulerFactory, to io.Writer) error {
 	type record struct {
 		arrival workload.Arrival
 		result  string
 		latency int64
 	}
 	var records []record
-	w := simulator.New(sc, seed, noiseSeed, launch, nil)
-	w.OnArrivalEnd(
+	sim := simulator.New(sc, seed, noiseSeed, newScheduler, nil)
+	sim.OnArrivalEnd(
 		func(a workload.Arrival, result string, latency int64) {
 			records = append(records, record{a, result, latency})
 		},
 	)
-	w.Run()
+	sim.Run()
 	slices.SortStableFunc(records, func(a, b record) int { return cmp.Compare(a.arrival.Number, b.arrival.Number) })
 	out, err := workload.NewWriter(to, sc)
 	if err != nil {
@@ -42,7 +42,7 @@
 func Replay(
 	from io.Reader,
 	seed, noiseSeed uint64,
-	launch simulator.SchedulerFactory,
+	newScheduler simulator.SchedulerFactory,
 	trace io.Writer,
 ) (Result, *scenario.Scenario, error) {
 	r, err := workload.Open(from)
@@ -50,6 +50,6 @@
 		return Result{}, nil, err
 	}
 	defer r.Close()
-	result := runWithSource(r.Scenario, seed, noiseSeed, launch, true, trace, r)
+	result := runWithSource(r.Scenario, seed, noiseSeed, newScheduler, true, trace, r)
 	return result, r.Scenario, r.Err
 }
--- a/lab/runner/run.go
+++ b/lab/runner/run.go
@@ -57,24 +57,24 @@
 
 // Run simulates one run. With detail the result contains the statistics of each second. trace may be nil.
 func Run(
-	sc *scenario.Scenario, seed, noiseSeed uint64, launch simulator.SchedulerFactory, detail bool, trace io.Writer,
+	sc *scenario.Scenario, seed, noiseSeed uint64, newScheduler simulator.SchedulerFactory, detail bool, trace io.Writer,
 ) Result {
-	return runWithSource(sc, seed, noiseSeed, launch, detail, trace, nil)
+	return runWithSource(sc, seed, noiseSeed, newScheduler, detail, trace, nil)
 }
 
 // runWithSource is like Run, but takes the arrivals from source; if it is nil, they are generated from the seed.
 func runWithSource(
-	sc *scenario.Scenario, seed, noiseSeed uint64, launch simulator.SchedulerFactory, detail bool, trace io.Writer,
+	sc *scenario.Scenario, seed, noiseSeed uint64, newScheduler simulator.SchedulerFactory, detail bool, trace io.Writer,
 	source workload.Source,
 ) Result {
-	w := simulator.New(sc, seed, noiseSeed, launch, trace)
+	sim := simulator.New(sc, seed, noiseSeed, newScheduler, trace)
 	if source != nil {
-		w.SetSource(source)
+		sim.SetSource(source)
 	}
 	all := hdrhistogram.New(minLatency, maxLatency, latencyDigits)
 	second := hdrhistogram.New(minLatency, maxLatency, 2)
-	l := w.Checker()
-	l.OnDelivery = func(typ int, latency int64) {
+	rules := sim.Checker()
+	rules.OnDelivery = func(typ int, latency int64) {
 		all.RecordValue(max(latency, minLatency))
 		if detail {
 			second.RecordValue(max(latency, minLatency))
@@ -84,23 +84,23 @@
 	if detail {
 		var outcomes [9]int64
 		offered, refused := make([]int64, len(sc.DestinationKinds)), make([]int64, len(sc.DestinationKinds))
-		w.OnSecond(func(w *simulator.Simulation) {
-			s := SecondStats{Start: w.Now()/1e9 - 1, ActiveEvents: w.EventsHeld(), LatencyMs: percentiles(second)}
+		sim.OnSecond(func(sim *simulator.Simulation) {
+			s := SecondStats{Start: sim.Now()/1e9 - 1, ActiveEvents: sim.EventsHeld(), LatencyMs: percentiles(second)}
 			second.Reset()
 			for i := range outcomes {
-				s.Outcomes[i], outcomes[i] = l.OutcomeCounts[i]-outcomes[i], l.OutcomeCounts[i]
+				s.Outcomes[i], outcomes[i] = rules.OutcomeCounts[i]-outcomes[i], rules.OutcomeCounts[i]
 			}
-			p := w.Destinations()
+			dests := sim.Destinations()
 			for i := range offered {
-				s.Offered, offered[i] = append(s.Offered, p.Offered[i]-offered[i]), p.Offered[i]
-				s.Refused, refused[i] = append(s.Refused, p.Refused[i]-refused[i]), p.Refused[i]
+				s.Offered, offered[i] = append(s.Offered, dests.Offered[i]-offered[i]), dests.Offered[i]
+				s.Refused, refused[i] = append(s.Refused, dests.Refused[i]-refused[i]), dests.Refused[i]
 			}
 			r.Seconds = append(r.Seconds, s)
 		})
 	}
-	r.Summary = w.Run()
-	r.Stats, r.Overloads, r.LatencyMs = w.Stats, len(w.Destinations().Overloads), percentiles(all)
-	for i, u := range l.UtilityPerSecond() {
+	r.Summary = sim.Run()
+	r.Stats, r.Overloads, r.LatencyMs = sim.Stats, len(sim.Destinations().Overloads), percentiles(all)
+	for i, u := range rules.UtilityPerSecond() {
 		if i < len(r.Seconds) {
 			r.Seconds[i].Utility = u
 		}
@@ -109,31 +109,31 @@
 }
 
 func percentiles(h *hdrhistogram.Histogram) (ms []float64) {
-	for _, p := range Percentiles {
-		ms = append(ms, float64(h.ValueAtQuantile(p))/1e6)
+	for _, q := range Percentiles {
+		ms = append(ms, float64(h.ValueAtQuantile(q))/1e6)
 	}
 	return ms
 }
 
 // TraceHash simulates one run and returns the SHA-256 of its trace.
-func TraceHash(sc *scenario.Scenario, seed, noiseSeed uint64, launch simulator.SchedulerFactory) string {
+func TraceHash(sc *scenario.Scenario, seed, noiseSeed uint64, newScheduler simulator.SchedulerFactory) string {
 	h := sha256.New()
-	Run(sc, seed, noiseSeed, launch, false, h)
+	Run(sc, seed, noiseSeed, newScheduler, false, h)
 	return hex.EncodeToString(h.Sum(nil))
 }
 
 // Variant is a policy, with its scenario, that is compared with others.
 type Variant struct {
-	Name      string
-	Scenario  *scenario.Scenario
-	Launch    simulator.SchedulerFactory
-	NoiseSeed uint64
+	Name         string
+	Scenario     *scenario.Scenario
+	NewScheduler simulator.SchedulerFactory
+	NoiseSeed    uint64
 }
 
 // NewVariant returns a variant of the policy with the given name.
 func NewVariant(name string, sc *scenario.Scenario, noiseSeed uint64) (Variant, error) {
-	launch, err := policy.Find(name)
-	return Variant{Name: name, Scenario: sc, Launch: launch, NoiseSeed: noiseSeed}, err
+	newScheduler, err := policy.Find(name)
+	return Variant{Name: name, Scenario: sc, NewScheduler: newScheduler, NoiseSeed: noiseSeed}, err
 }
 
 // RunAll simulates each variant with each seed, in parallel on all cores, and returns the results by variant and
@@ -161,7 +161,7 @@
 			defer wg.Done()
 			for j := range jobs {
 				v := &variants[j.variant]
-				r := Run(v.Scenario, seeds[j.seed], v.NoiseSeed, v.Launch, detail && j.seed == 0, nil)
+				r := Run(v.Scenario, seeds[j.seed], v.NoiseSeed, v.NewScheduler, detail && j.seed == 0, nil)
 				mu.Lock()
 				results[j.variant][j.seed] = r
 				if done++; progress != nil {
@@ -204,7 +204,7 @@
 	return values
 }
 
-// G is the score that runs are compared by, see ledger.Summary.
+// G is the score that runs are compared by, see checker.Summary.
 func G(r *Result) float64 { return r.Summary.G }
 
 // CountViolations returns the number of rule violations in all results and a description of the first.
@@ -224,9 +224,9 @@
 }
 
 // IsReproducible simulates a run twice and reports whether the two traces are identical.
-func IsReproducible(sc *scenario.Scenario, seed uint64, launch simulator.SchedulerFactory) bool {
+func IsReproducible(sc *scenario.Scenario, seed uint64, newScheduler simulator.SchedulerFactory) bool {
 	var a, b bytes.Buffer
-	Run(sc, seed, 0, launch, false, &a)
-	Run(sc, seed, 0, launch, false, &b)
+	Run(sc, seed, 0, newScheduler, false, &a)
+	Run(sc, seed, 0, newScheduler, false, &b)
 	return bytes.Equal(a.Bytes(), b.Bytes())
 }
--- a/lab/runner/run_test.go
+++ b/lab/runner/run_test.go
@@ -72,13 +72,13 @@
 				}
 			}
 		}
-		launch, err := policy.Find("module+" + c.defect)
+		newScheduler, err := policy.Find("module+" + c.defect)
 		if err != nil {
 			t.Fatal(err)
 		}
 		detected := false
 		for seed := range uint64(3) {
-			for _, b := range Run(sc, seed, 0, launch, false, nil).Summary.Violations {
+			for _, b := range Run(sc, seed, 0, newScheduler, false, nil).Summary.Violations {
 				evidence := b.Event > 0 && b.At > 0 &&
 					(len(b.Sends) > 0 || c.defect == "lossy" || c.defect == "deaf" ||
 						c.defect == "undrained" || c.defect == "disorderly") ||
@@ -109,7 +109,7 @@
 	} else {
 		sc.Length = scenario.Duration(20e9)
 	}
-	variants := []Variant{{Name: "module", Scenario: sc, Launch: policy.Module}}
+	variants := []Variant{{Name: "module", Scenario: sc, NewScheduler: policy.Module}}
 	results, err := RunAll(context.Background(), variants, Seeds(1, n), false, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -138,8 +138,8 @@
 	containing := 0
 	for c := range comparisons {
 		variants := []Variant{
-			{Scenario: sc, Launch: policy.Module, NoiseSeed: uint64(2*c + 1)},
-			{Scenario: sc, Launch: policy.Module, NoiseSeed: uint64(2*c + 2)},
+			{Scenario: sc, NewScheduler: policy.Module, NoiseSeed: uint64(2*c + 1)},
+			{Scenario: sc, NewScheduler: policy.Module, NoiseSeed: uint64(2*c + 2)},
 		}
 		r, err := RunAll(context.Background(), variants, Seeds(uint64(1+c*seeds), seeds), false, nil)
 		if err != nil {
@@ -206,16 +206,16 @@
 	}
 	sc.LoadChanges[0].Duration = sc.Length
 	var heap []uint64
-	w := simulator.New(sc, 1, 0, policy.Module, nil)
-	w.OnSecond(func(w *simulator.Simulation) {
-		if (w.Now()/1e9)%60 == 59 {
+	sim := simulator.New(sc, 1, 0, policy.Module, nil)
+	sim.OnSecond(func(sim *simulator.Simulation) {
+		if (sim.Now()/1e9)%60 == 59 {
 			runtime.GC()
 			var m runtime.MemStats
 			runtime.ReadMemStats(&m)
 			heap = append(heap, m.HeapAlloc)
 		}
 	})
-	w.Run()
+	sim.Run()
 	t.Logf("heap after each minute, kB: %d", heap)
 	if first, last := heap[0], heap[len(heap)-1]; last > first+first/4+1<<20 {
 		t.Errorf("heap grew from %d to %d bytes", first, last)
