--- a/node/attribution_test.go
+++ b/node/attribution_test.go
@@ -119,7 +119,7 @@
 	w.waitFor("the second call is received", func() bool { return endpoint.callsWithBody("second") == 1 })
 	w.waitFor("the journal records the second event as discarded", func() bool {
 		e := recoverAfterKill(t, w.folder)["second"]
-		return e != nil && e.Verdict == store.Discarded
+		return e != nil && e.Resolution == store.Discarded
 	})
 }
 
--- a/node/event.go
+++ b/node/event.go
@@ -25,7 +25,7 @@
 	arrivalSeq         uint64              // distinguishes it in the journal from other events with the same id
 	attemptCount       int                 // attempts so far; owned by the decision loop
 	request            *lifecycle.Request
-	verdict            verdict // set if its end was decided before a restart
+	resolution         resolution // set if its end was decided before a restart
 	retryAfter         int64
 }
 
@@ -40,11 +40,11 @@
 	retryAfter int64
 }
 
-// verdict tells how an event ends that is not delivered.
-type verdict uint8
+// resolution tells how an event ends that is not delivered.
+type resolution uint8
 
 const (
-	undecided verdict = iota
+	unresolved resolution = iota
 	declined
 	discarded
 )
--- a/node/eventtask.go
+++ b/node/eventtask.go
@@ -63,7 +63,7 @@
 	if t.clientWaiting && !t.accept() {
 		return
 	}
-	if e.verdict != undecided { // decided before a restart: only its notice remains to be sent
+	if e.resolution != unresolved { // decided before a restart: only its notice remains to be sent
 		t.reportRestoredEnd()
 		return
 	}
@@ -209,7 +209,7 @@
 		return
 	}
 	end := &provisionalCompletion{node: t.node, id: t.id, arrivalSeq: t.arrivalSeq, deadline: t.monoDeadline, request: t.request,
-		record: t.node.journal.recordVerdictAndTrim(t.event, discarded)}
+		record: t.node.journal.recordResolutionAndTrim(t.event, discarded)}
 	c.whenSettled(end.settle)
 }
 
@@ -229,25 +229,25 @@
 // newNotice returns the notice of the event's end. The event's task is informed once the platform has received it.
 func (t *eventTask) newNotice() notice {
 	e := t.event
-	return notice{id: e.id, resolution: e.verdict, retryAfter: e.retryAfter,
+	return notice{id: e.id, resolution: e.resolution, retryAfter: e.retryAfter,
 		onAcknowledged: func() { e.updates <- eventUpdate{kind: updateNoticeAcknowledged} }}
 }
 
 // endUndelivered ends an event that is not delivered. A refusal is reported to the client if it still waits, any other end
 // to the platform. Either is reported only once a restart would no longer send the event.
-func (t *eventTask) endUndelivered(v verdict, retryAfter int64) {
+func (t *eventTask) endUndelivered(v resolution, retryAfter int64) {
 	t.release()
 	if !t.request.DecideEnd() {
 		return
 	}
-	t.verdict, t.retryAfter = v, retryAfter
+	t.resolution, t.retryAfter = v, retryAfter
 	t.endUnreported = true
 	t.node.unreportedEnds.Add(1)
 	if t.clientWaiting && v == declined {
 		t.pending = pendingEnd{record: t.node.journal.complete(t.event), toClient: true, clientTimeout: time.After(refusalRecordTimeout)}
 	} else {
 		t.respond(statusAccepted, 0)
-		t.pending = pendingEnd{record: t.node.journal.recordVerdict(t.event)}
+		t.pending = pendingEnd{record: t.node.journal.recordResolution(t.event)}
 	}
 	t.pending.written = t.pending.record.Written()
 	if t.request.MayReportEnd(t.node.clock.now(), false) {
--- a/node/journal_test.go
+++ b/node/journal_test.go
@@ -72,8 +72,8 @@
 			j.recordOutcome(e, 0, delivery.Refused)
 			j.recordOutcome(e, 1, delivery.Reset)
 		case 2:
-			e.verdict, e.retryAfter = declined, 500
-			j.recordVerdict(e)
+			e.resolution, e.retryAfter = declined, 500
+			j.recordResolution(e)
 		}
 	}
 }
@@ -95,8 +95,8 @@
 				t.Errorf("e1: sends %+v, body %q", e.pastAttempts, e.body)
 			}
 		case "e2":
-			if e.verdict != declined || e.retryAfter != 500 {
-				t.Errorf("e2: verdict %d, come back %d", e.verdict, e.retryAfter)
+			if e.resolution != declined || e.retryAfter != 500 {
+				t.Errorf("e2: verdict %d, come back %d", e.resolution, e.retryAfter)
 			}
 		case "e3":
 			if len(e.body) != 64<<10 {
@@ -276,7 +276,7 @@
 			"m",
 			"",
 		),
-		legacyRecord(legacyVerdict, "e2", byte(declined), 500),
+		legacyRecord(legacyResolution, "e2", byte(declined), 500),
 		legacyRecord(legacyAcceptedLongBody, "e3", "alert", "acme", 7, 1<<60, "m", 1, len(long)),
 		legacyRecord(legacyAccepted, "e4", "alert", "acme", 7, 1<<60, "m", "cut off")[:20],
 	)
--- a/node/node.go
+++ b/node/node.go
@@ -169,7 +169,7 @@
 		e.monoDeadline = n.clock.now() + e.wallDeadline - n.clock.timeOfDay()
 		e.safety = n.safetyOf(e.typ)
 		e.request = lifecycle.RestoreRequest(e.id, e.monoDeadline, n.repeatable(e.typ), e.mayHaveRun())
-		if e.verdict == undecided {
+		if e.resolution == unresolved {
 			n.decisions.addEvent(e)
 		}
 		go n.runEvent(e)
--- a/node/notices.go
+++ b/node/notices.go
@@ -40,7 +40,7 @@
 // notice tells the platform how an event ended that was accepted but not delivered.
 type notice struct {
 	id             string
-	resolution     verdict
+	resolution     resolution
 	retryAfter     int64  // ns after which the client may retry, 0 if none is given
 	onAcknowledged func() // called once the platform has certainly read the notice
 }
