--- a/lab/policy/policy.go
+++ b/lab/policy/policy.go
@@ -47,7 +47,7 @@
 	var launch simulator.SchedulerFactory
 	switch base {
 	case "module":
-		launch = Module
+		launch = NewScheduler
 	case "informed", "once", "fixed", "backoff", "source", "breaker":
 		launch = func(w *simulator.Simulation, node int, seed uint64) delivery.Scheduler {
 			return newSimplePolicy(base, w, node, seed)
@@ -73,16 +73,16 @@
 				t.Ordered = false
 			}
 		}
-		return &defectiveScheduler{Scheduler: newModule(w, node, seed, types), defect: weak}
+		return &defectiveScheduler{Scheduler: newSchedulerWithTypes(w, node, seed, types), defect: weak}
 	}, nil
 }
 
-// Module launches the decision module.
-func Module(w *simulator.Simulation, node int, seed uint64) delivery.Scheduler {
-	return newModule(w, node, seed, w.Scenario().DeliveryTypes())
+// NewScheduler launches the decision module.
+func NewScheduler(w *simulator.Simulation, node int, seed uint64) delivery.Scheduler {
+	return newSchedulerWithTypes(w, node, seed, w.Scenario().DeliveryTypes())
 }
 
-func newModule(w *simulator.Simulation, node int, seed uint64, types []delivery.StreamType) delivery.Scheduler {
+func newSchedulerWithTypes(w *simulator.Simulation, node int, seed uint64, types []delivery.StreamType) delivery.Scheduler {
 	day := w.Scenario()
 	return scheduler.New(seed, types, day.DeliveryDestinationKinds(), day.DeliveryLimits(), day.DeliveryRecovery(),
 		delivery.Directory{RequiresWatch: true, DrainGrace: int64(day.Rules.DrainGrace)},
--- a/lab/runner/run_test.go
+++ b/lab/runner/run_test.go
@@ -38,13 +38,13 @@
 		sc := findScenario(t, name)
 		sc.Length = scenario.Duration(30e9)
 		before := runtime.GOMAXPROCS(1)
-		one := TraceHash(sc, 7, 3, policy.Module)
+		one := TraceHash(sc, 7, 3, policy.NewScheduler)
 		runtime.GOMAXPROCS(max(2, before))
-		if two := TraceHash(sc, 7, 3, policy.Module); one != two {
+		if two := TraceHash(sc, 7, 3, policy.NewScheduler); one != two {
 			t.Errorf("%s: traces differ between 1 and more cores: %s and %s", name, one, two)
 		}
 		runtime.GOMAXPROCS(before)
-		if other := TraceHash(sc, 7, 4, policy.Module); other == one {
+		if other := TraceHash(sc, 7, 4, policy.NewScheduler); other == one {
 			t.Errorf("%s: two noise seeds gave the same trace", name)
 		}
 	}
@@ -91,7 +91,7 @@
 				}
 				detected = true
 			}
-			if r := Run(sc, seed, 0, policy.Module, false, nil); r.Summary.ViolationCount > 0 && c.defect != "forgetful" {
+			if r := Run(sc, seed, 0, policy.NewScheduler, false, nil); r.Summary.ViolationCount > 0 && c.defect != "forgetful" {
 				t.Errorf("%s: violation by the module without defects: %s", c.scenario, r.Summary.Violations[0])
 			}
 		}
@@ -109,7 +109,7 @@
 	} else {
 		sc.Length = scenario.Duration(20e9)
 	}
-	variants := []Variant{{Name: "module", Scenario: sc, NewScheduler: policy.Module}}
+	variants := []Variant{{Name: "module", Scenario: sc, NewScheduler: policy.NewScheduler}}
 	results, err := RunAll(context.Background(), variants, Seeds(1, n), false, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -138,8 +138,8 @@
 	containing := 0
 	for c := range comparisons {
 		variants := []Variant{
-			{Scenario: sc, NewScheduler: policy.Module, NoiseSeed: uint64(2*c + 1)},
-			{Scenario: sc, NewScheduler: policy.Module, NoiseSeed: uint64(2*c + 2)},
+			{Scenario: sc, NewScheduler: policy.NewScheduler, NoiseSeed: uint64(2*c + 1)},
+			{Scenario: sc, NewScheduler: policy.NewScheduler, NoiseSeed: uint64(2*c + 2)},
 		}
 		r, err := RunAll(context.Background(), variants, Seeds(uint64(1+c*seeds), seeds), false, nil)
 		if err != nil {
@@ -206,7 +206,7 @@
 	}
 	sc.LoadChanges[0].Duration = sc.Length
 	var heap []uint64
-	sim := simulator.New(sc, 1, 0, policy.Module, nil)
+	sim := simulator.New(sc, 1, 0, policy.NewScheduler, nil)
 	sim.OnSecond(func(sim *simulator.Simulation) {
 		if (sim.Now()/1e9)%60 == 59 {
 			runtime.GC()
@@ -257,7 +257,7 @@
 			continue
 		}
 		sc.Length, again.Length = scenario.Duration(6e9), scenario.Duration(6e9)
-		if TraceHash(sc, 1, 0, policy.Module) != TraceHash(again, 1, 0, policy.Module) {
+		if TraceHash(sc, 1, 0, policy.NewScheduler) != TraceHash(again, 1, 0, policy.NewScheduler) {
 			t.Errorf("%s: written and read back, it gives a different trace", name)
 		}
 	}
@@ -283,7 +283,7 @@
 			sc.DestinationKinds[1].Destinations = size.endpoints - 3*sc.DestinationKinds[0].Destinations
 			events := int64(0)
 			for b.Loop() {
-				events += Run(sc, 1, 0, policy.Module, false, nil).Summary.Arrivals
+				events += Run(sc, 1, 0, policy.NewScheduler, false, nil).Summary.Arrivals
 			}
 			b.ReportMetric(float64(events)/b.Elapsed().Seconds(), "events/s")
 		})
@@ -296,16 +296,16 @@
 	sc := findScenario(t, "clumps")
 	sc.Length = scenario.Duration(20e9)
 	var file bytes.Buffer
-	if err := Record(sc, 5, 1, policy.Module, &file); err != nil {
+	if err := Record(sc, 5, 1, policy.NewScheduler, &file); err != nil {
 		t.Fatal(err)
 	}
 	text := file.Bytes()
 	h := sha256.New()
-	r, recorded, err := Replay(bytes.NewReader(text), 5, 1, policy.Module, h)
+	r, recorded, err := Replay(bytes.NewReader(text), 5, 1, policy.NewScheduler, h)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, want := hex.EncodeToString(h.Sum(nil)), TraceHash(recorded, 5, 1, policy.Module); got != want {
+	if got, want := hex.EncodeToString(h.Sum(nil)), TraceHash(recorded, 5, 1, policy.NewScheduler); got != want {
 		t.Errorf("trace %s, want %s; %d arrivals", got, want, r.Summary.Arrivals)
 	}
 	in, err := workload.Open(bytes.NewReader(text))
