--- a/cmd/jaspersill-lab/main.go
+++ b/cmd/jaspersill-lab/main.go
@@ -172,7 +172,7 @@
 					if err != nil {
 						return err
 					}
-					fmt.Fprintf(c.OutOrStdout(), "%-14s %s\n", name, day.Hard)
+					fmt.Fprintf(c.OutOrStdout(), "%-14s %s\n", name, day.Challenge)
 				}
 				return nil
 			}},
--- a/cmd/jaspersill-lab/play.go
+++ b/cmd/jaspersill-lab/play.go
@@ -16,12 +16,12 @@
 	"github.com/spf13/cobra"
 	"github.com/spf13/pflag"
 
-	"jaspersill/lab/hunt"
 	"jaspersill/lab/policy"
 	"jaspersill/lab/report"
 	"jaspersill/lab/run"
 	"jaspersill/lab/scenario"
 	"jaspersill/lab/scenarios"
+	"jaspersill/lab/search"
 )
 
 type flag = pflag.Flag
@@ -57,7 +57,7 @@
 			return run.Set{}, usageError{fmt.Errorf("%s: want POLICY,KEY=VALUE, got %q", spec, change)}
 		}
 		var err error
-		if day, err = day.With(key, value); err != nil {
+		if day, err = day.WithKey(key, value); err != nil {
 			return run.Set{}, err
 		}
 	}
@@ -185,7 +185,7 @@
 			s.G.Least,
 			s.G.Most,
 			place,
-			mean(func(r *run.Result) float64 { return r.Sum.WorstSpell }),
+			mean(func(r *run.Result) float64 { return r.Sum.WorstWindow }),
 			mean(func(r *run.Result) float64 { return r.Sum.WorstType }),
 			mean(func(r *run.Result) float64 { return r.Sum.Waste }),
 			mean(func(r *run.Result) float64 { return r.Latency[2] }),
@@ -458,7 +458,7 @@
 			ctx, cancel := context.WithTimeout(c.Context(), limit)
 			defer cancel()
 			p, brokenDays := newProgress(), 0
-			worst, broke, played := hunt.Hunt(ctx, day, seed, most, runtime.GOMAXPROCS(0), first, launch,
+			worst, broke, played := search.Run(ctx, day, seed, most, runtime.GOMAXPROCS(0), first, launch,
 				func(played int, _ float64, broken int) {
 					brokenDays = broken
 					p.tell(played, max(most, played))
@@ -476,13 +476,13 @@
 			)
 			shrinking, stop := context.WithTimeout(c.Context(), limit)
 			defer stop()
-			kept := func(f *hunt.Found, name string) error {
+			kept := func(f *search.Finding, name string) error {
 				small := *f
 				if !asFound {
-					small = hunt.Shrink(shrinking, *f, launch)
+					small = search.Shrink(shrinking, *f, launch)
 				}
-				small.Day.Name = name
-				text, err := small.Day.Write()
+				small.Scenario.Name = name
+				text, err := small.Scenario.Write()
 				if err != nil {
 					return err
 				}
@@ -499,15 +499,15 @@
 					}
 					fmt.Fprintf(w, "kept in %s; it shows with --first %d --seeds 1\n", name, small.Seed)
 				}
-				fmt.Fprintf(w, "%d troubles, %v, %d nodes: %s\n", len(small.Day.Troubles), small.Day.Length,
-					small.Day.Fleet.Nodes, small.Day.Hard)
+				fmt.Fprintf(w, "%d troubles, %v, %d nodes: %s\n", len(small.Scenario.Faults), small.Scenario.Length,
+					small.Scenario.Fleet.Nodes, small.Scenario.Challenge)
 				return nil
 			}
 			if broke == nil {
 				fmt.Fprintln(w, "no rule was broken")
 				return kept(worst, "hunted-worst")
 			}
-			fmt.Fprintln(w, broke.Rule)
+			fmt.Fprintln(w, broke.Violation)
 			if err := kept(broke, "hunted-broken"); err != nil {
 				return err
 			}
--- a/cmd/jaspersill-lab/real.go
+++ b/cmd/jaspersill-lab/real.go
@@ -14,13 +14,13 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/spf13/cobra"
 
-	"jaspersill/lab/arrival"
 	"jaspersill/lab/load"
 	"jaspersill/lab/loopback"
 	"jaspersill/lab/report"
 	"jaspersill/lab/run"
 	"jaspersill/lab/scenario"
 	"jaspersill/lab/scenarios"
+	"jaspersill/lab/workload"
 )
 
 // socketRun is how days are played on loopback.
@@ -122,7 +122,7 @@
 	}
 	times := hdrhistogram.New(1e5, 1e12, 3)
 	s.Latency(func(_ int, took int64) { times.RecordValue(max(1e5, took)) })
-	result.Sum = s.Play(ctx, nodes, arrival.New(day, seed), seed)
+	result.Sum = s.Play(ctx, nodes, workload.NewGenerator(day, seed), seed)
 	nodes.Stop()
 	for i, q := range run.Percentiles {
 		result.Latency[i] = float64(times.ValueAtQuantile(q)) / 1e6
@@ -315,9 +315,9 @@
 	sum := 0.0
 	for _, t := range day.Types {
 		dest := 0
-		for _, p := range day.Partners {
+		for _, p := range day.DestinationKinds {
 			for range p.Destinations {
-				list = append(list, load.Request{Kind: t.Name, Owner: day.Owners[0].Name, Dest: dest,
+				list = append(list, load.Request{Kind: t.Name, Owner: day.Customers[0].Name, Dest: dest,
 					Left: time.Duration(
 						t.MaxAge,
 					), Marked: t.Safety == "deduplicated", Body: make([]byte, 300)})
--- a/cmd/jaspersill-lab/recorded.go
+++ b/cmd/jaspersill-lab/recorded.go
@@ -9,9 +9,9 @@
 	"sync"
 	"time"
 
-	"jaspersill/lab/arrival"
 	"jaspersill/lab/load"
 	"jaspersill/lab/scenario"
+	"jaspersill/lab/workload"
 )
 
 const mostOffered = 5_000_000 // arrivals of a recording that are offered; memory stays bounded
@@ -23,13 +23,13 @@
 		return nil, err
 	}
 	defer file.Close()
-	r, err := arrival.Open(file)
+	r, err := workload.Open(file)
 	if err != nil {
 		return nil, err
 	}
 	defer r.Close()
-	plan.Mix, plan.Weights = mix(r.Day)
-	dests := len(plan.Mix) / len(r.Day.Types)
+	plan.Mix, plan.Weights = mix(r.Scenario)
+	dests := len(plan.Mix) / len(r.Scenario.Types)
 	for a, more := r.Next(); more && len(plan.Times) < mostOffered; a, more = r.Next() {
 		plan.Times = append(plan.Times, time.Duration(a.At))
 		plan.Picks = append(plan.Picks, int(a.Type)*dests+int(a.Dest))
@@ -42,7 +42,7 @@
 	}
 	plan.For = plan.Times[len(plan.Times)-1] + time.Second
 	plan.Rate, plan.To = float64(len(plan.Times))/plan.For.Seconds(), 0
-	return r.Day, nil
+	return r.Scenario, nil
 }
 
 // listener gathers what came of what was offered.
@@ -73,14 +73,14 @@
 	if err != nil {
 		return err
 	}
-	w, err := arrival.NewWriter(file, l.day)
+	w, err := workload.NewWriter(file, l.day)
 	if err != nil {
 		return errors.Join(err, file.Close())
 	}
 	dests := len(l.plan.Mix) / len(l.day.Types)
 	for _, o := range l.list {
 		t := &l.day.Types[o.pick/dests]
-		a := arrival.Asking{At: int64(o.due), Deadline: int64(o.due) + int64(t.MaxAge), Work: int64(t.Work),
+		a := workload.Arrival{At: int64(o.due), Deadline: int64(o.due) + int64(t.MaxAge), Work: int64(t.Work),
 			Type: int32(o.pick / dests), Dest: int32(o.pick % dests)}
 		if err := w.Write(a, "status "+strconv.Itoa(o.status), int64(o.took)); err != nil {
 			return errors.Join(err, file.Close())
--- a/lab/loopback/clients.go
+++ b/lab/loopback/clients.go
@@ -9,8 +9,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"jaspersill/lab/arrival"
-	"jaspersill/lab/ledger"
+	"jaspersill/lab/checker"
+	"jaspersill/lab/workload"
 )
 
 const (
@@ -32,7 +32,7 @@
 
 // Play hands in a source's askings at their times until it ends or ctx does, and waits until the last one's
 // time is up. The day begins with the call.
-func (s *Stage) Play(ctx context.Context, nodes *Nodes, source arrival.Source, seed uint64) ledger.Summary {
+func (s *Stage) Play(ctx context.Context, nodes *Nodes, source workload.Source, seed uint64) checker.Summary {
 	c := &clients{
 		stage:  s,
 		nodes:  nodes,
@@ -64,7 +64,7 @@
 		a.Deadline += s.now() - a.At // a late start is the lab's fault, not the node's
 		a.At = s.now()
 		s.mu.Lock()
-		s.ledger.Ask(a.At, int(a.Type), int(a.Owner))
+		s.ledger.RecordArrival(a.At, int(a.Type), int(a.Customer))
 		s.mu.Unlock()
 		c.hand(a, 0)
 	}
@@ -75,7 +75,7 @@
 }
 
 // hand hands in an event at one of the nodes that serve.
-func (c *clients) hand(a arrival.Asking, tries int) {
+func (c *clients) hand(a workload.Arrival, tries int) {
 	c.wg.Add(1)
 	go func() {
 		defer c.wg.Done()
@@ -83,7 +83,7 @@
 	}()
 }
 
-func (c *clients) try(a arrival.Asking, tries int) {
+func (c *clients) try(a workload.Arrival, tries int) {
 	s := c.stage
 	now := s.now()
 	if now >= a.Deadline {
@@ -104,7 +104,7 @@
 	e.again = func(comeBack int64) { c.again(a, tries, comeBack) }
 	e.number, _ = s.numbers.Take(id)
 	s.events[id] = e
-	s.ledger.Take(now, e.number, uint64(e.number), e.node, int(a.Type), a.Dest, 0, a.At, a.Deadline)
+	s.ledger.RecordAccepted(now, e.number, uint64(e.number), e.node, int(a.Type), a.Dest, 0, a.At, a.Deadline)
 	s.mu.Unlock()
 
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
@@ -116,7 +116,7 @@
 	req.Header.SetHost(c.conns[node].Addr)
 	req.Header.Set("Req-Id", id)
 	req.Header.Set("Req-Kind", t.Name)
-	req.Header.Set("Req-Owner", s.day.Owners[a.Owner].Name)
+	req.Header.Set("Req-Owner", s.day.Customers[a.Customer].Name)
 	req.Header.Set("Req-Deadline-Ms", strconv.FormatInt((a.Deadline-now)/1e6, 10))
 	req.Header.Set("X-Envelope", "dest="+strconv.Itoa(int(a.Dest)))
 	if t.Safety == "deduplicated" {
@@ -134,7 +134,7 @@
 	case err == nil && (status == 503 || status == 429):
 		if !e.ended {
 			e.ended = true
-			s.ledger.Finish(now, e.number, ledger.Declined)
+			s.ledger.RecordEnd(now, e.number, checker.Declined)
 			after, _ := strconv.ParseFloat(string(resp.Header.Peek("Retry-After")), 64)
 			c.again(a, tries, int64(after*1e9))
 		}
@@ -149,16 +149,16 @@
 }
 
 // again hands in an event that was turned away, after a time.
-func (c *clients) again(a arrival.Asking, tries int, comeBack int64) {
+func (c *clients) again(a workload.Arrival, tries int, comeBack int64) {
 	k := &c.stage.day.Clients
-	if tries >= k.Again {
+	if tries >= k.MaxRetries {
 		return
 	}
 	if comeBack <= 0 {
-		comeBack = int64(k.BackOff)
+		comeBack = int64(k.RetryDelay)
 	}
 	c.mu.Lock()
-	comeBack += int64(k.Spread * c.chance.Float64() * float64(comeBack))
+	comeBack += int64(k.RetryJitter * c.chance.Float64() * float64(comeBack))
 	c.mu.Unlock()
 	if c.stage.now()+comeBack < a.Deadline {
 		c.wg.Add(1)
--- a/lab/loopback/directory.go
+++ b/lab/loopback/directory.go
@@ -11,7 +11,7 @@
 	"github.com/valyala/fasthttp"
 
 	"jaspersill/delivery"
-	"jaspersill/lab/ledger"
+	"jaspersill/lab/checker"
 )
 
 // host is an entry of the list.
@@ -35,7 +35,7 @@
 // entry is an endpoint as the directory tells it.
 func (s *Stage) entry(ep int32, state delivery.EndpointState) host {
 	e := &s.partners.Endpoints[ep]
-	p := &s.day.Partners[e.Kind]
+	p := &s.day.DestinationKinds[e.Kind]
 	h := host{
 		Host:   fmt.Sprintf("e%d", ep),
 		Dial:   s.doors[ep].address,
@@ -45,7 +45,7 @@
 		Share:  1,
 		Health: map[delivery.EndpointState]string{delivery.Ready: "Ready", delivery.Draining: "Terminating", delivery.Gone: "Gone"}[state],
 	}
-	if p.Rated {
+	if p.LimitListed {
 		h.Share = p.Limit
 	}
 	return h
@@ -77,7 +77,7 @@
 // late tells whether an endpoint was added during the day.
 func (s *Stage) late(ep int32) bool {
 	first := 0
-	for _, p := range s.day.Partners {
+	for _, p := range s.day.DestinationKinds {
 		first += p.Destinations * p.Endpoints
 	}
 	return int(ep) >= first
@@ -100,7 +100,7 @@
 		close(s.bell)
 		s.bell = make(chan struct{})
 	}
-	time.AfterFunc(time.Duration(s.day.Fleet.Directory), tell)
+	time.AfterFunc(time.Duration(s.day.Fleet.DirectoryDelay), tell)
 }
 
 // told notes what a node was told to leave.
@@ -110,7 +110,7 @@
 			time.AfterFunc(drainGrace, func() {
 				s.mu.Lock()
 				defer s.mu.Unlock()
-				s.ledger.Drain(s.now(), node, c.ep)
+				s.ledger.RecordDrain(s.now(), node, c.ep)
 			})
 		}
 	}
@@ -251,14 +251,14 @@
 			s.settle(e)
 			continue
 		}
-		end := ledger.Discarded
+		end := checker.Discarded
 		if n.Status == "deferred" {
-			end = ledger.Declined
+			end = checker.Declined
 			if e.again != nil {
 				e.again(n.Again * 1e6)
 			}
 		}
-		s.ledger.Finish(s.now(), e.number, end)
+		s.ledger.RecordEnd(s.now(), e.number, end)
 		s.settle(e)
 	}
 }
--- a/lab/loopback/loopback_test.go
+++ b/lab/loopback/loopback_test.go
@@ -12,10 +12,10 @@
 	"testing"
 	"time"
 
-	"jaspersill/lab/arrival"
-	"jaspersill/lab/ledger"
+	"jaspersill/lab/checker"
 	"jaspersill/lab/scenario"
 	"jaspersill/lab/scenarios"
+	"jaspersill/lab/workload"
 )
 
 var program string
@@ -54,7 +54,7 @@
 }
 
 // play plays a day with real nodes.
-func play(t *testing.T, d *scenario.Scenario) ledger.Summary {
+func play(t *testing.T, d *scenario.Scenario) checker.Summary {
 	t.Helper()
 	s, err := Open(d, 3, 0, t.Logf)
 	if err != nil {
@@ -69,7 +69,7 @@
 		t.Fatal(err)
 	}
 	defer n.Stop()
-	return s.Play(context.Background(), n, arrival.New(d, 3), 3)
+	return s.Play(context.Background(), n, workload.NewGenerator(d, 3), 3)
 }
 
 const brief = `
@@ -135,10 +135,10 @@
 share = 0.1
 `)
 	sum := play(t, d)
-	for _, b := range sum.Breaks {
+	for _, b := range sum.Violations {
 		t.Error(b)
 	}
-	if sum.Asked < 200 || sum.Whole < 0.5 || sum.Outcomes[0] == 0 || sum.Outcomes[5]+sum.Outcomes[8] == 0 {
+	if sum.Arrivals < 200 || sum.Overall < 0.5 || sum.Outcomes[0] == 0 || sum.Outcomes[5]+sum.Outcomes[8] == 0 {
 		t.Errorf("the day was not played: %+v", sum)
 	}
 }
@@ -180,13 +180,13 @@
 			break
 		}
 	}
-	sum := s.Play(context.Background(), n, arrival.New(d, 3), 3)
-	rules := map[ledger.Rule]int{}
-	for _, b := range sum.Breaks {
+	sum := s.Play(context.Background(), n, workload.NewGenerator(d, 3), 3)
+	rules := map[checker.Rule]int{}
+	for _, b := range sum.Violations {
 		rules[b.Rule]++
 	}
-	if rules[ledger.OneEnd] == 0 || rules[ledger.Once] == 0 {
-		t.Errorf("%d broken, of rules %v: %+v", sum.Broken, rules, sum)
+	if rules[checker.RuleSingleEnd] == 0 || rules[checker.RuleSingleEffect] == 0 {
+		t.Errorf("%d broken, of rules %v: %+v", sum.ViolationCount, rules, sum)
 	}
 }
 
--- a/lab/loopback/node_bench_test.go
+++ b/lab/loopback/node_bench_test.go
@@ -63,7 +63,7 @@
 	var mix []load.Request
 	var weights []float64
 	for i, t := range day.Types {
-		for dest := range day.Partners[0].Destinations {
+		for dest := range day.DestinationKinds[0].Destinations {
 			mix = append(
 				mix,
 				load.Request{Kind: t.Name, Owner: "all", Dest: dest, Left: time.Duration(t.MaxAge),
--- a/lab/loopback/nodes.go
+++ b/lab/loopback/nodes.go
@@ -84,7 +84,7 @@
 		n.list = append(n.list, p)
 	}
 	for i := range n.list {
-		if s.day.Fleet.Notes && len(peers) > 1 {
+		if s.day.Fleet.PeerMessages && len(peers) > 1 {
 			address, err := s.relay(i, peers)
 			if err != nil {
 				return nil, err
@@ -136,28 +136,28 @@
 
 // Told is what a node is told of a scenario, in the platform's names.
 func Told(day *scenario.Scenario, me int) map[string]any {
-	ms := func(s scenario.Span) float64 { return float64(s) / 1e6 }
+	ms := func(s scenario.Duration) float64 { return float64(s) / 1e6 }
 	var services, projects []any
 	for _, t := range day.Types {
 		semantics := map[string]string{"idempotent": "repeatable", "deduplicated": "by_key",
 			"non-idempotent": "once"}[t.Safety]
 		services = append(services, map[string]any{"name": t.Name, "semantics": semantics, "group": "all",
 			"memory_span_ms": ms(
-				t.Window,
+				t.DedupWindow,
 			), "aim_ms": ms(t.SLO), "deadline_ms": ms(t.MaxAge), "value": t.Utility,
-			"late_value": t.Late})
+			"late_value": t.LateUtility})
 	}
-	for _, o := range day.Owners {
-		projects = append(projects, map[string]any{"name": o.Name, "quota_rps": o.Rate})
+	for _, o := range day.Customers {
+		projects = append(projects, map[string]any{"name": o.Name, "quota_rps": o.AgreedRate})
 	}
 	var models, perCall, routes []any
-	idle, weights := scenario.Span(0), "silent"
-	for _, p := range day.Partners {
-		models, perCall, routes = append(models, p.Name), append(perCall, p.PerCall), append(routes, p.Routes)
-		if idle == 0 || p.IdleFor < idle {
-			idle = p.IdleFor
+	idle, weights := scenario.Duration(0), "silent"
+	for _, p := range day.DestinationKinds {
+		models, perCall, routes = append(models, p.Name), append(perCall, p.MaxEventsPerCall), append(routes, p.LimitPerEndpoint)
+		if idle == 0 || p.IdleTimeout < idle {
+			idle = p.IdleTimeout
 		}
-		if p.Rated {
+		if p.LimitListed {
 			weights = "nominal"
 		}
 	}
@@ -172,22 +172,22 @@
 		"services":       services,
 		"projects":       projects,
 		"family_info": map[string]any{
-			"slots":      day.Fleet.Slots,
+			"slots":      day.Fleet.MaxConcurrentCalls,
 			"per_call":   perCall,
 			"own_limits": routes,
 			"late":       "even",
 		},
 		"feedback": map[string]any{"names": []any{"x0", "x1"}},
-		"ceilings": map[string]any{"max_open": day.Fleet.Events, "max_attempts": day.Fleet.Sends,
-			"may_duplicate": day.Fleet.Copies, "cancel": true, "retry_after": day.Fleet.ComeBack > 0,
+		"ceilings": map[string]any{"max_open": day.Fleet.MaxEvents, "max_attempts": day.Fleet.MaxAttempts,
+			"may_duplicate": day.Fleet.AllowDuplicates, "cancel": true, "retry_after": day.Fleet.MaxRetryAfter > 0,
 			"max_retry_after_ms": ms(
-				day.Fleet.ComeBack,
+				day.Fleet.MaxRetryAfter,
 			), "conn_idle_ms": ms(idle), "connect_timeout_ms": 1500,
-			"peer_messages": day.Fleet.Notes},
-		"rules": map[string]any{"cold_share": day.Rules.ColdShare, "ramp_time_ms": ms(day.Rules.WarmAfter),
-			"fall_multiple": day.Rules.FallMultiple, "tip_after_ms": ms(day.Rules.FallAfter),
-			"drain_grace_ms": ms(day.Rules.Grace), "ask_within_ms": ms(day.Rules.AskWithin),
-			"order_pause_ms": ms(day.Rules.OrderPause)},
+			"peer_messages": day.Fleet.PeerMessages},
+		"rules": map[string]any{"cold_share": day.Rules.ColdShare, "ramp_time_ms": ms(day.Rules.WarmupTime),
+			"fall_multiple": day.Rules.OverloadFactor, "tip_after_ms": ms(day.Rules.OverloadAfter),
+			"drain_grace_ms": ms(day.Rules.DrainGrace), "ask_within_ms": ms(day.Rules.AskWithin),
+			"order_pause_ms": ms(day.Rules.KeyPause)},
 	}
 }
 
@@ -237,7 +237,7 @@
 				p.up = true
 				p.mu.Unlock()
 				n.stage.mu.Lock()
-				n.stage.ledger.Back(n.stage.now(), int32(i))
+				n.stage.ledger.RecordNodeServing(n.stage.now(), int32(i))
 				n.stage.mu.Unlock()
 				return nil
 			}
@@ -290,7 +290,7 @@
 
 // again starts a node that ended, after the day's restart time.
 func (n *Nodes) again(i int) {
-	time.AfterFunc(time.Duration(n.stage.day.Fleet.Restart), func() {
+	time.AfterFunc(time.Duration(n.stage.day.Fleet.RestartTime), func() {
 		if err := n.start(i); err != nil {
 			n.stage.tell("%s does not start again: %v", n.list[i].name, err)
 			return
@@ -305,14 +305,14 @@
 func (n *Nodes) died(i int) {
 	n.stage.mu.Lock()
 	defer n.stage.mu.Unlock()
-	n.stage.ledger.Died(n.stage.now(), int32(i))
+	n.stage.ledger.RecordNodeDied(n.stage.now(), int32(i))
 }
 
 // Kill ends a node's process at once; it starts again.
 func (n *Nodes) Kill(i int) {
 	c, ended := n.down(i)
 	n.stage.mu.Lock()
-	n.stage.ledger.Away(int32(i))
+	n.stage.ledger.RecordNodeStopping(int32(i))
 	n.stage.mu.Unlock()
 	c.Process.Kill()
 	<-ended
@@ -324,7 +324,7 @@
 func (n *Nodes) Drain(i int) {
 	c, ended := n.down(i)
 	n.stage.mu.Lock()
-	n.stage.ledger.Away(int32(i))
+	n.stage.ledger.RecordNodeStopping(int32(i))
 	n.stage.mu.Unlock()
 	c.Process.Signal(syscall.SIGTERM)
 	go func() {
@@ -402,10 +402,10 @@
 			}
 			for _, at := range peers {
 				s.mu.Lock()
-				lost := s.chance.Float64() < s.day.Fleet.NoteLoss
+				lost := s.chance.Float64() < s.day.Fleet.PeerMessageLoss
 				for _, i := range s.troubles {
 					lost = lost ||
-						(s.day.Troubles[i].Kind == "notes-lost" && s.chance.Float64() < s.day.Troubles[i].Share)
+						(s.day.Faults[i].Kind == "notes-lost" && s.chance.Float64() < s.day.Faults[i].Share)
 				}
 				s.mu.Unlock()
 				if !lost && err == nil {
--- a/lab/loopback/stage.go
+++ b/lab/loopback/stage.go
@@ -15,7 +15,7 @@
 
 	"jaspersill/delivery"
 	"jaspersill/door"
-	"jaspersill/lab/ledger"
+	"jaspersill/lab/checker"
 	"jaspersill/lab/partner"
 	"jaspersill/lab/scenario"
 )
@@ -47,7 +47,7 @@
 
 	mu       sync.Mutex
 	partners *partner.Model
-	ledger   *ledger.Ledger
+	ledger   *checker.Checker
 	events   map[string]*held
 	numbers  door.Table[string]
 	chance   *rand.Rand
@@ -86,7 +86,7 @@
 	if tell == nil {
 		tell = func(string, ...any) {}
 	}
-	s := &Stage{day: day, began: time.Now(), partners: partner.New(day, seed, luck), ledger: ledger.New(day),
+	s := &Stage{day: day, began: time.Now(), partners: partner.New(day, seed, luck), ledger: checker.New(day),
 		events: make(
 			map[string]*held,
 		), chance: rand.New(rand.NewPCG(seed, 0x57a6+luck)), bell: make(chan struct{}),
@@ -122,7 +122,7 @@
 }
 
 // Latency has a function hear the time from each asking to its delivery; it is called before Play.
-func (s *Stage) Latency(hear func(typ int, took int64)) { s.ledger.Latency = hear }
+func (s *Stage) Latency(hear func(typ int, took int64)) { s.ledger.OnDelivery = hear }
 
 // Begin sets the day's time to 0 and starts its troubles.
 func (s *Stage) Begin(ctx context.Context, nodes *Nodes) {
@@ -210,7 +210,7 @@
 		s.mu.Unlock()
 		c.Close()
 	}()
-	p := &s.day.Partners[kind]
+	p := &s.day.DestinationKinds[kind]
 	switch link {
 	case partner.NotConnected:
 		reset(c)
@@ -224,7 +224,7 @@
 	}
 	in := bufio.NewReaderSize(c, 4096)
 	for first := true; ; first = false {
-		c.SetReadDeadline(time.Now().Add(time.Duration(p.IdleFor)))
+		c.SetReadDeadline(time.Now().Add(time.Duration(p.IdleTimeout)))
 		r, err := readCall(in)
 		if err != nil {
 			return
@@ -270,7 +270,7 @@
 		o := out{event: e, number: e.sends}
 		e.sends++
 		if !e.left {
-			s.ledger.Begin(now, e.number, ep, lane)
+			s.ledger.RecordSend(now, e.number, ep, lane)
 		}
 		sends = append(sends, o)
 	}
@@ -280,11 +280,11 @@
 	fell := len(s.partners.Falls) > falls
 	if fell {
 		x := s.partners.Falls[falls]
-		s.ledger.Fell(now, x.Dest, x.Offered, x.Informed, x.Allowed)
+		s.ledger.RecordOverload(now, x.Dest, x.Offered, x.Informed, x.Allowed)
 	}
 	for i := range sends {
 		if f.Ran && !sends[i].event.left {
-			sends[i].known = s.ledger.Reach(now, sends[i].event.number)
+			sends[i].known = s.ledger.RecordCallReceived(now, sends[i].event.number)
 		}
 	}
 	s.mu.Unlock()
@@ -303,7 +303,7 @@
 	runs, answers := s.partners.Finish(ep, epoch)
 	for _, o := range sends {
 		if f.Ran && !o.event.left {
-			s.ledger.Run(s.now(), now, o.event.number, runs, o.known)
+			s.ledger.RecordCallDone(s.now(), now, o.event.number, runs, o.known)
 		}
 	}
 	s.mu.Unlock()
@@ -354,22 +354,22 @@
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			if left := until - s.now(); left > 0 {
-				s.ledger.Wait(s.now(), node, lane, left)
+				s.ledger.RecordRetryAfter(s.now(), node, lane, left)
 			}
 		})
 	}
 	for _, o := range sends {
 		e := o.event
 		if s.anyone {
-			s.tell("a call to endpoint %d: %s", ep, ledger.OutcomeName(how))
+			s.tell("a call to endpoint %d: %s", ep, checker.OutcomeName(how))
 		}
 		if e.left {
 			continue
 		}
-		s.ledger.Hear(now, e.number, o.number, how)
+		s.ledger.RecordOutcome(now, e.number, o.number, how)
 		if how == delivery.Acked && !e.ended {
 			e.ended = true
-			s.ledger.Finish(now, e.number, ledger.Acked)
+			s.ledger.RecordEnd(now, e.number, checker.Acked)
 		}
 	}
 }
@@ -388,7 +388,7 @@
 func (s *Stage) settle(e *held) {
 	if (e.ended || e.left) && e.refs == 0 && e.number > 0 { // those of anyone have no number
 		if !e.left {
-			s.ledger.Leave(s.now(), e.number)
+			s.ledger.Release(s.now(), e.number)
 		}
 		delete(s.events, s.numbers.ID(e.number))
 		s.numbers.Release(e.number)
@@ -419,11 +419,11 @@
 }
 
 // Sum sums up the day so far.
-func (s *Stage) Sum() ledger.Summary {
+func (s *Stage) Sum() checker.Summary {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ledger.Sweep(s.now())
-	return s.ledger.Sum()
+	s.ledger.CheckOverdue(s.now())
+	return s.ledger.Summary()
 }
 
 // id makes an event's id.
--- a/lab/loopback/troubles.go
+++ b/lab/loopback/troubles.go
@@ -8,41 +8,41 @@
 
 	"jaspersill/delivery"
 	"jaspersill/lab/partner"
-	"jaspersill/lab/world"
+	"jaspersill/lab/simulator"
 )
 
 // drawTroubles draws whom each trouble meets, as the world in virtual time does from the same seed.
 func (s *Stage) drawTroubles(seed uint64) {
-	whom := rand.New(rand.NewPCG(seed, world.Whom))
-	for i := range s.day.Troubles {
-		eps, nodes := world.Meets(&s.day.Troubles[i], whom, s.partners.ByDest, s.day.Fleet.Nodes)
+	whom := rand.New(rand.NewPCG(seed, simulator.FaultTargetStream))
+	for i := range s.day.Faults {
+		eps, nodes := simulator.DrawFaultTargets(&s.day.Faults[i], whom, s.partners.ByDest, s.day.Fleet.Nodes)
 		s.met, s.metNodes = append(s.met, eps), append(s.metNodes, nodes)
 	}
 }
 
 // schedule has the troubles come and go until ctx ends.
 func (s *Stage) schedule(ctx context.Context, nodes *Nodes) {
-	for i := range s.day.Troubles {
-		t := &s.day.Troubles[i]
+	for i := range s.day.Faults {
+		t := &s.day.Faults[i]
 		s.wg.Add(1)
 		go func() {
 			defer s.wg.Done()
-			until := time.Duration(t.At + t.For)
-			for at := time.Duration(t.At); ; at += time.Duration(t.Every) {
+			until := time.Duration(t.Start + t.Duration)
+			for at := time.Duration(t.Start); ; at += time.Duration(t.Period) {
 				if !s.sleep(ctx, at) {
 					return
 				}
 				s.begin(i, nodes, until)
-				if t.For == 0 {
+				if t.Duration == 0 {
 					return
 				}
 				end := until
-				if t.Every > 0 {
-					end = min(until, at+time.Duration(t.Every)/2)
+				if t.Period > 0 {
+					end = min(until, at+time.Duration(t.Period)/2)
 				}
 				going := s.sleep(ctx, end)
 				s.relent(i, nodes)
-				if !going || t.Every == 0 || at+time.Duration(t.Every) >= until {
+				if !going || t.Period == 0 || at+time.Duration(t.Period) >= until {
 					return
 				}
 			}
@@ -63,7 +63,7 @@
 }
 
 func (s *Stage) begin(i int, nodes *Nodes, until time.Duration) {
-	t := &s.day.Troubles[i]
+	t := &s.day.Faults[i]
 	s.tell("trouble: %s begins", t.Kind)
 	if nodes != nil {
 		for _, n := range s.metNodes[i] {
@@ -103,7 +103,7 @@
 }
 
 func (s *Stage) relent(i int, nodes *Nodes) {
-	t := &s.day.Troubles[i]
+	t := &s.day.Faults[i]
 	s.tell("trouble: %s ends", t.Kind)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,7 +130,7 @@
 		}
 	}
 	was := s.partners.Endpoints[ep].Mode
-	p := world.Together(s.day.Troubles, mine)
+	p := simulator.CombineFaults(s.day.Faults, mine)
 	s.partners.Meet(s.now(), ep, p)
 	switch {
 	case s.stopped:
@@ -175,7 +175,7 @@
 	s.meet(next)
 	s.tellChange(ep, delivery.Draining)
 	s.tellChange(next, delivery.Ready)
-	time.AfterFunc(time.Duration(s.day.Fleet.Directory+s.day.Rules.Grace)+leaveAfter, func() {
+	time.AfterFunc(time.Duration(s.day.Fleet.DirectoryDelay+s.day.Rules.DrainGrace)+leaveAfter, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if !s.stopped {
--- a/lab/partner/partner.go
+++ b/lab/partner/partner.go
@@ -106,7 +106,7 @@
 // New draws the destinations of a scenario from a seed, and what they do by chance from the seed and a luck.
 func New(day *scenario.Scenario, seed, luck uint64) *Model {
 	m := &Model{day: day, chance: rand.New(rand.NewPCG(seed, 0x70a7)),
-		Refused: make([]int64, len(day.Partners)), Offered: make([]int64, len(day.Partners))}
+		Refused: make([]int64, len(day.DestinationKinds)), Offered: make([]int64, len(day.DestinationKinds))}
 	rate, work := 0.0, 0.0
 	for _, t := range day.Types {
 		rate += t.Rate
@@ -115,17 +115,17 @@
 	if m.meanWork = float64(day.Types[0].Work); rate > 0 {
 		m.meanWork = work / rate
 	}
-	for kind := range day.Partners {
-		p := &day.Partners[kind]
+	for kind := range day.DestinationKinds {
+		p := &day.DestinationKinds[kind]
 		for range p.Destinations {
 			dest := int32(len(m.ByDest))
 			m.ByDest = append(m.ByDest, nil)
 			pace := math.Exp(
-				math.Log(p.PaceLeast) + m.chance.Float64()*(math.Log(p.PaceMost)-math.Log(p.PaceLeast)),
+				math.Log(p.MinWorkFactor) + m.chance.Float64()*(math.Log(p.MaxWorkFactor)-math.Log(p.MinWorkFactor)),
 			)
 			lane := int32(-1)
 			for range p.Endpoints {
-				if lane < 0 || p.Routes {
+				if lane < 0 || p.LimitPerEndpoint {
 					lane = m.addLane(int32(kind), dest)
 				}
 				m.add(int32(kind), dest, lane, pace)
@@ -137,18 +137,18 @@
 }
 
 func (m *Model) addLane(kind, dest int32) int32 {
-	p := &m.day.Partners[kind]
+	p := &m.day.DestinationKinds[kind]
 	l := Lane{Kind: kind, Dest: dest, Limit: p.Limit, tokens: burst(p.Limit),
 		phase: int64(
-			m.chance.Float64() * float64(p.Span),
-		), buckets: make([]bucket, int64(m.day.Rules.FallAfter)/bucketTime+1)}
+			m.chance.Float64() * float64(p.LimitWindow),
+		), buckets: make([]bucket, int64(m.day.Rules.OverloadAfter)/bucketTime+1)}
 	m.Lanes = append(m.Lanes, l)
 	return int32(len(m.Lanes) - 1)
 }
 
 // add adds one endpoint and returns its number.
 func (m *Model) add(kind, dest, lane int32, pace float64) int32 {
-	p := &m.day.Partners[kind]
+	p := &m.day.DestinationKinds[kind]
 	ep := int32(len(m.Endpoints))
 	m.Endpoints = append(
 		m.Endpoints,
@@ -183,7 +183,7 @@
 	e := m.Endpoints[ep]
 	m.Endpoints[ep].Draining = true
 	lane := e.lane
-	if m.day.Partners[e.Kind].Routes {
+	if m.day.DestinationKinds[e.Kind].LimitPerEndpoint {
 		lane = m.addLane(e.Kind, e.Dest)
 	}
 	return m.add(e.Kind, e.Dest, lane, e.Pace)
@@ -274,10 +274,10 @@
 	switch {
 	case l.down || now < l.fallenUntil:
 		return 0
-	case l.coldFrom == 0 || now >= l.coldFrom+int64(r.WarmAfter):
+	case l.coldFrom == 0 || now >= l.coldFrom+int64(r.WarmupTime):
 		return 1
 	}
-	return r.ColdShare + (1-r.ColdShare)*float64(now-l.coldFrom)/float64(r.WarmAfter)
+	return r.ColdShare + (1-r.ColdShare)*float64(now-l.coldFrom)/float64(r.WarmupTime)
 }
 
 // speed is the strength at which a call is worked on: one that fails most calls is no slower for it.
@@ -300,7 +300,7 @@
 // Connect opens a connection to an endpoint.
 func (m *Model) Connect(now int64, ep int32) Link {
 	e := &m.Endpoints[ep]
-	most := m.day.Partners[e.Kind].Connections
+	most := m.day.DestinationKinds[e.Kind].MaxConnections
 	switch {
 	case e.Mode == Silent:
 		return NoSign
@@ -338,9 +338,9 @@
 	l := &m.Lanes[e.lane]
 	m.Offered[e.Kind]++
 	m.offered(now, e.lane, informed)
-	p := &m.day.Partners[e.Kind]
+	p := &m.day.DestinationKinds[e.Kind]
 	f := Fate{How: delivery.Refused, Done: now}
-	if p.Reports && p.Limit > 0 {
+	if p.ReportsLimit && p.Limit > 0 {
 		f.Limit, f.Left = p.Limit, m.report(now, l, p)
 	}
 	switch {
@@ -361,7 +361,7 @@
 	}
 	if p.Limit > 0 && !m.allow(now, l, p) {
 		m.Refused[e.Kind]++
-		if m.chance.Float64() < p.Told {
+		if m.chance.Float64() < p.RetryAfterShare {
 			f.Wait = m.room(now, l, p)
 		}
 		return f
@@ -417,14 +417,14 @@
 }
 
 // allow counts a call against a limit.
-func (m *Model) allow(now int64, l *Lane, p *scenario.Partner) bool {
-	if p.Span > 0 {
-		if at := now - (now+l.phase)%int64(p.Span); at != l.spanAt {
+func (m *Model) allow(now int64, l *Lane, p *scenario.DestinationKind) bool {
+	if p.LimitWindow > 0 {
+		if at := now - (now+l.phase)%int64(p.LimitWindow); at != l.spanAt {
 			l.spanAt, l.count = at, 0
 		}
-		most := max(1, int(math.Round(p.Limit*float64(p.Span)/1e9)))
+		most := max(1, int(math.Round(p.Limit*float64(p.LimitWindow)/1e9)))
 		if l.count >= most {
-			if p.RefusedCount {
+			if p.CountRefused {
 				l.count++
 			}
 			return false
@@ -436,7 +436,7 @@
 	l.tokens = min(most, l.tokens+float64(now-l.tokensAt)/1e9*p.Limit)
 	l.tokensAt = now
 	if l.tokens < 1 {
-		if p.RefusedCount {
+		if p.CountRefused {
 			l.tokens = max(-most, l.tokens-1)
 		}
 		return false
@@ -446,22 +446,22 @@
 }
 
 // room is the wait that a refusal tells.
-func (m *Model) room(now int64, l *Lane, p *scenario.Partner) int64 {
-	if p.Span > 0 {
-		return max(leastWait, l.spanAt+int64(p.Span)-now)
+func (m *Model) room(now int64, l *Lane, p *scenario.DestinationKind) int64 {
+	if p.LimitWindow > 0 {
+		return max(leastWait, l.spanAt+int64(p.LimitWindow)-now)
 	}
 	return max(leastWait, int64((1-l.tokens)/p.Limit*1e9))
 }
 
 // report is the share of a limit that is left, as it was at the last report.
-func (m *Model) report(now int64, l *Lane, p *scenario.Partner) float64 {
-	if float64(now)-l.reportedAt < float64(p.ReportAge) && l.reportedAt > 0 {
+func (m *Model) report(now int64, l *Lane, p *scenario.DestinationKind) float64 {
+	if float64(now)-l.reportedAt < float64(p.ReportInterval) && l.reportedAt > 0 {
 		return l.reported
 	}
 	l.reportedAt = float64(now)
-	if p.Span > 0 {
-		most := math.Max(1, math.Round(p.Limit*float64(p.Span)/1e9))
-		if now-l.spanAt >= int64(p.Span) {
+	if p.LimitWindow > 0 {
+		most := math.Max(1, math.Round(p.Limit*float64(p.LimitWindow)/1e9))
+		if now-l.spanAt >= int64(p.LimitWindow) {
 			l.reported = 1
 		} else {
 			l.reported = max(0, 1-float64(l.count)/most)
@@ -476,7 +476,7 @@
 // offered counts a call at a lane that came back cold, and pushes it over where the rule's figures say so.
 func (m *Model) offered(now int64, lane int32, informed bool) {
 	l, r := &m.Lanes[lane], &m.day.Rules
-	if l.down || l.coldFrom == 0 || now < l.fallenUntil || now >= l.coldFrom+int64(r.WarmAfter) {
+	if l.down || l.coldFrom == 0 || now < l.fallenUntil || now >= l.coldFrom+int64(r.WarmupTime) {
 		return
 	}
 	at := now / bucketTime
@@ -487,7 +487,7 @@
 	if b.offered++; informed {
 		b.informed++
 	}
-	if now-l.coldFrom < int64(r.FallAfter) {
+	if now-l.coldFrom < int64(r.OverloadAfter) {
 		return
 	}
 	f := Fall{At: now, Lane: lane, Dest: l.Dest}
@@ -497,14 +497,14 @@
 			f.Informed += b.informed
 		}
 	}
-	half := now - int64(r.FallAfter)/2
-	budget := r.FallMultiple * l.Capacity * m.Strength(half, lane) * float64(r.FallAfter) / 1e9
+	half := now - int64(r.OverloadAfter)/2
+	budget := r.OverloadFactor * l.Capacity * m.Strength(half, lane) * float64(r.OverloadAfter) / 1e9
 	f.Allowed = budget + fallChance*math.Sqrt(budget) + fallSpare
 	if float64(f.Offered) <= f.Allowed {
 		return
 	}
 	m.Falls = append(m.Falls, f)
-	l.fallenUntil = now + int64(r.FallenFor)
+	l.fallenUntil = now + int64(r.OverloadOutage)
 	l.coldFrom, l.downSince, l.upSince = l.fallenUntil, now, l.fallenUntil
 	clear(l.buckets)
 	for _, ep := range m.ByDest[l.Dest] {
@@ -522,7 +522,7 @@
 	best, done := int32(-1), never
 	for _, i := range m.ByDest[dest] {
 		e := &m.Endpoints[i]
-		l, p := &m.Lanes[e.lane], &m.day.Partners[e.Kind]
+		l, p := &m.Lanes[e.lane], &m.day.DestinationKinds[e.Kind]
 		if e.Gone || e.Draining || e.Mode > Failing || now < l.fallenUntil ||
 			(e.Mode == Failing && e.fail > 0.5) ||
 			(careful && (e.lose > 0 || e.fail > 0 || e.spoil > 0)) {
@@ -531,7 +531,7 @@
 		if (p.Limit > 0 && !m.wouldAllow(now, l, p)) || !m.wouldBear(now, e.lane) {
 			continue
 		}
-		if p.Connections > 0 && e.Open+e.coming >= p.Connections && !linked(i) {
+		if p.MaxConnections > 0 && e.Open+e.coming >= p.MaxConnections && !linked(i) {
 			continue
 		}
 		free := 0
@@ -559,7 +559,7 @@
 // wouldBear tells whether a cold lane bears one more call by the rule's figures.
 func (m *Model) wouldBear(now int64, lane int32) bool {
 	l, r := &m.Lanes[lane], &m.day.Rules
-	if l.coldFrom == 0 || now >= l.coldFrom+int64(r.WarmAfter) {
+	if l.coldFrom == 0 || now >= l.coldFrom+int64(r.WarmupTime) {
 		return true
 	}
 	offered := l.coming + 1
@@ -569,13 +569,13 @@
 			offered += b.offered
 		}
 	}
-	return float64(offered) <= r.FallMultiple*l.Capacity*r.ColdShare*float64(r.FallAfter)/1e9
+	return float64(offered) <= r.OverloadFactor*l.Capacity*r.ColdShare*float64(r.OverloadAfter)/1e9
 }
 
-func (m *Model) wouldAllow(now int64, l *Lane, p *scenario.Partner) bool {
-	if p.Span > 0 {
-		most := max(1, int(math.Round(p.Limit*float64(p.Span)/1e9)))
-		return now-(now+l.phase)%int64(p.Span) != l.spanAt || l.count+l.coming < most
+func (m *Model) wouldAllow(now int64, l *Lane, p *scenario.DestinationKind) bool {
+	if p.LimitWindow > 0 {
+		most := max(1, int(math.Round(p.Limit*float64(p.LimitWindow)/1e9)))
+		return now-(now+l.phase)%int64(p.LimitWindow) != l.spanAt || l.count+l.coming < most
 	}
 	return l.tokens+float64(now-l.tokensAt)/1e9*p.Limit-float64(l.coming) >= 1
 }
--- a/lab/policy/policy.go
+++ b/lab/policy/policy.go
@@ -11,15 +11,15 @@
 	"strings"
 
 	"jaspersill/delivery"
-	"jaspersill/lab/world"
+	"jaspersill/lab/simulator"
 	"jaspersill/scheduler"
 )
 
 // Names of the policies, in the order of reports.
 var Names = []string{"module", "informed", "once", "fixed", "backoff", "source", "breaker"}
 
-// Meanings says of each policy what it does.
-var Meanings = map[string]string{
+// Descriptions says of each policy what it does.
+var Descriptions = map[string]string{
 	"module":   "the decision module",
 	"informed": "sees the true state of every endpoint, limit and queue",
 	"once":     "one try for each event",
@@ -29,8 +29,8 @@
 	"breaker":  "backoff with a retry budget of a tenth and a circuit breaker for each destination",
 }
 
-// Weaknesses of the module, for proving that the ledger and the hunt catch what they are for.
-var Weaknesses = map[string]string{
+// Defects of the module, for proving that the ledger and the hunt catch what they are for.
+var Defects = map[string]string{
 	"deaf":       "does not hear told waits",
 	"forgetful":  "repeats deduplicated events whenever it likes",
 	"careless":   "repeats non-idempotent events",
@@ -42,26 +42,28 @@
 }
 
 // Find returns how a policy is launched. A name may carry a weakness behind a plus, as in module+deaf.
-func Find(name string) (world.Launch, error) {
+func Find(name string) (simulator.SchedulerFactory, error) {
 	base, weak, _ := strings.Cut(name, "+")
-	var launch world.Launch
+	var launch simulator.SchedulerFactory
 	switch base {
 	case "module":
 		launch = Module
 	case "informed", "once", "fixed", "backoff", "source", "breaker":
-		launch = func(w *world.World, node int, seed uint64) delivery.Scheduler { return newPlain(base, w, node, seed) }
+		launch = func(w *simulator.Simulation, node int, seed uint64) delivery.Scheduler {
+			return newSimplePolicy(base, w, node, seed)
+		}
 	default:
 		return nil, fmt.Errorf("policy %q: want one of %s", name, strings.Join(Names, ", "))
 	}
 	if weak == "" {
 		return launch, nil
 	}
-	if _, known := Weaknesses[weak]; !known || base != "module" {
+	if _, known := Defects[weak]; !known || base != "module" {
 		return nil, fmt.Errorf("policy %q: want module+ and one of %s", name,
-			strings.Join(slices.Sorted(maps.Keys(Weaknesses)), ", "))
+			strings.Join(slices.Sorted(maps.Keys(Defects)), ", "))
 	}
-	return func(w *world.World, node int, seed uint64) delivery.Scheduler {
-		types := w.Day().StreamTypes()
+	return func(w *simulator.Simulation, node int, seed uint64) delivery.Scheduler {
+		types := w.Scenario().DeliveryTypes()
 		for i := range types {
 			switch t := &types[i]; {
 			case weak == "forgetful" && t.Safety == delivery.Deduplicated,
@@ -71,188 +73,188 @@
 				t.Ordered = false
 			}
 		}
-		return &rogue{Scheduler: module(w, node, seed, types), weak: weak}
+		return &defectiveScheduler{Scheduler: newModule(w, node, seed, types), defect: weak}
 	}, nil
 }
 
 // Module launches the decision module.
-func Module(w *world.World, node int, seed uint64) delivery.Scheduler {
-	return module(w, node, seed, w.Day().StreamTypes())
+func Module(w *simulator.Simulation, node int, seed uint64) delivery.Scheduler {
+	return newModule(w, node, seed, w.Scenario().DeliveryTypes())
 }
 
-func module(w *world.World, node int, seed uint64, types []delivery.StreamType) delivery.Scheduler {
-	day := w.Day()
-	return scheduler.New(seed, types, day.PartnerKinds(), day.Room(), day.Recovery(),
-		delivery.Directory{RequiresWatch: true, DrainGrace: int64(day.Rules.Grace)},
-		delivery.Cluster{Self: node, Nodes: day.Fleet.Nodes, PeerMessages: day.Fleet.Notes}, int64(day.Rules.OrderPause))
+func newModule(w *simulator.Simulation, node int, seed uint64, types []delivery.StreamType) delivery.Scheduler {
+	day := w.Scenario()
+	return scheduler.New(seed, types, day.DeliveryDestinationKinds(), day.DeliveryLimits(), day.DeliveryRecovery(),
+		delivery.Directory{RequiresWatch: true, DrainGrace: int64(day.Rules.DrainGrace)},
+		delivery.Cluster{Self: node, Nodes: day.Fleet.Nodes, PeerMessages: day.Fleet.PeerMessages}, int64(day.Rules.KeyPause))
 }
 
-// rogue is the module with a weakness: it hears, or does, something else than what is so.
-type rogue struct {
+// defectiveScheduler is the module with a weakness: it hears, or does, something else than what is so.
+type defectiveScheduler struct {
 	delivery.Scheduler
-	weak  string
-	feed  delivery.Feed
-	out   delivery.Executor
-	came  int
-	extra int32 // restless: an event to send once more, plus 1, and where
-	where int32
-	done  bool // it has sent one
+	defect        string
+	feed          delivery.Feed
+	out           delivery.Executor
+	eventCount    int
+	extraEvent    int32 // restless: an event to send once more, plus 1, and where
+	extraEndpoint int32
+	extraSent     bool // it has sent one
 }
 
-func (r *rogue) Round(now int64, feed delivery.Feed, out delivery.Executor) {
+func (r *defectiveScheduler) Round(now int64, feed delivery.Feed, out delivery.Executor) {
 	r.feed, r.out = feed, out
 	r.Scheduler.Round(now, r, out)
-	if r.extra > 0 {
-		out.Send(r.extra-1, r.where, int64(1e9))
-		r.extra = 0
+	if r.extraEvent > 0 {
+		out.Send(r.extraEvent-1, r.extraEndpoint, int64(1e9))
+		r.extraEvent = 0
 	}
 }
 
-func (r *rogue) Deliver(to delivery.Handler) { r.feed.Deliver(rogueIntake{to, r}) }
+func (r *defectiveScheduler) Deliver(to delivery.Handler) { r.feed.Deliver(defectiveHandler{to, r}) }
 
-type rogueIntake struct {
+type defectiveHandler struct {
 	delivery.Handler
-	of *rogue
+	scheduler *defectiveScheduler
 }
 
-func (i rogueIntake) Event(evt int32, typ, customer int, key uint64, left, work int64, dest int32) {
-	if i.of.came++; i.of.weak == "lossy" && i.of.came%50 == 0 {
+func (i defectiveHandler) Event(evt int32, typ, customer int, key uint64, left, work int64, dest int32) {
+	if i.scheduler.eventCount++; i.scheduler.defect == "lossy" && i.scheduler.eventCount%50 == 0 {
 		return
 	}
 	i.Handler.Event(evt, typ, customer, key, left, work, dest)
 }
 
-func (i rogueIntake) Outcome(evt int32, send int, ep int32, how delivery.Outcome, wait, took int64, ended bool,
+func (i defectiveHandler) Outcome(evt int32, send int, ep int32, how delivery.Outcome, wait, took int64, ended bool,
 	left, limit float64) {
 	switch {
-	case i.of.weak == "deaf":
+	case i.scheduler.defect == "deaf":
 		wait = 0
-	case i.of.weak == "blind" && how == delivery.ConnectFailed:
+	case i.scheduler.defect == "blind" && how == delivery.ConnectFailed:
 		how = delivery.Unsent
-	case i.of.weak == "restless" && ended && !i.of.done:
-		i.of.extra, i.of.where, i.of.done = evt+1, ep, true
+	case i.scheduler.defect == "restless" && ended && !i.scheduler.extraSent:
+		i.scheduler.extraEvent, i.scheduler.extraEndpoint, i.scheduler.extraSent = evt+1, ep, true
 	}
-	if i.of.weak == "restless" && i.of.done && send > 0 { // of the one too many the module knows nothing
+	if i.scheduler.defect == "restless" && i.scheduler.extraSent && send > 0 { // of the one too many the module knows nothing
 		return
 	}
 	i.Handler.Outcome(evt, send, ep, how, wait, took, ended, left, limit)
 }
 
-func (i rogueIntake) EndpointListed(ep, dest int32, partner, zone int, state delivery.EndpointState, rate float64) {
-	if i.of.weak == "undrained" {
+func (i defectiveHandler) EndpointListed(ep, dest int32, partner, zone int, state delivery.EndpointState, rate float64) {
+	if i.scheduler.defect == "undrained" {
 		state = delivery.Ready
 	}
 	i.Handler.EndpointListed(ep, dest, partner, zone, state, rate)
 }
 
 const (
-	beat        = int64(1e7)  // ns between looks at what waits
-	fixedDelay  = int64(1e9)  // ns
-	backoffBase = int64(1e8)  // ns
-	backoffMost = int64(1e10) // ns
-	sourceBase  = int64(5e9)  // ns, the source's own
-	sourceExtra = int64(1e9)  // ns, the source's own
-	sourceError = int64(2e8)  // ns
-	plainWait   = int64(4e9)  // ns that a send is waited for
-	budgetPart  = 0.1         // repeats for each first send
-	budgetMost  = 10.0
-	tripAfter   = 5          // failures in a row that open the breaker
-	tripFor     = int64(5e9) // ns
-	answerSpare = int64(3e7) // ns before its time is up that an event is answered
+	pollInterval   = int64(1e7)  // ns between looks at what waits
+	fixedDelay     = int64(1e9)  // ns
+	backoffBase    = int64(1e8)  // ns
+	backoffMax     = int64(1e10) // ns
+	sourceBase     = int64(5e9)  // ns, the source's own
+	sourceExtra    = int64(1e9)  // ns, the source's own
+	sourceError    = int64(2e8)  // ns
+	sendTimeout    = int64(4e9)  // ns that a send is waited for
+	budgetPerEvent = 0.1         // repeats for each first send
+	budgetMax      = 10.0
+	tripAfter      = 5          // failures in a row that open the breaker
+	tripDuration   = int64(5e9) // ns
+	answerMargin   = int64(3e7) // ns before its time is up that an event is answered
 )
 
-type plainEvent struct {
-	typ, dest    int32
-	sends, fails int32
-	deadline     int64
-	notBefore    int64
-	mayRun, out  bool
-	live         bool
-	ranAt        int64
-	sentAt       int64
+type simpleEvent struct {
+	typ, dest        int32
+	sends, fails     int32
+	deadline         int64
+	notBefore        int64
+	mayRun, inFlight bool
+	live             bool
+	firstRunAt       int64
+	sentAt           int64
 }
 
-// plain is a policy of a few lines: it keeps the rules on repeats and waits, and differs in when it tries
+// simplePolicy is a policy of a few lines: it keeps the rules on repeats and waits, and differs in when it tries
 // again.
-type plain struct {
-	name    string
-	world   *world.World
-	node    int
-	types   []delivery.StreamType
-	room    delivery.Limits
-	chance  *rand.Rand
-	now     int64
-	out     delivery.Executor
-	events  []plainEvent
-	waiting []int32
-	slots   int
-	byDest  [][]int32
-	ready   []bool
-	load    []int32
-	joins   []int   // informed: events that a call of this round still takes, by endpoint
-	until   []int64 // by destination: told to wait
-	fails   []int32 // by destination, in a row
-	budget  float64
-	wakeAt  int64
-	watched bool
-	askAt   int64
+type simplePolicy struct {
+	name                string
+	sim                 *simulator.Simulation
+	node                int
+	types               []delivery.StreamType
+	limits              delivery.Limits
+	random              *rand.Rand
+	now                 int64
+	out                 delivery.Executor
+	events              []simpleEvent
+	waiting             []int32
+	callsOut            int
+	byDest              [][]int32
+	ready               []bool
+	callsByEndpoint     []int32
+	callRoom            []int   // informed: events that a call of this round still takes, by endpoint
+	blockedUntil        []int64 // by destination: told to wait
+	consecutiveFailures []int32 // by destination, in a row
+	budget              float64
+	wakeAt              int64
+	watchActive         bool
+	watchRetryAt        int64
 }
 
-func newPlain(name string, w *world.World, node int, seed uint64) *plain {
-	return &plain{name: name, world: w, node: node, types: w.Day().StreamTypes(), room: w.Day().Room(),
-		chance: rand.New(rand.NewPCG(seed, 0x91a1)), budget: budgetMost}
+func newSimplePolicy(name string, w *simulator.Simulation, node int, seed uint64) *simplePolicy {
+	return &simplePolicy{name: name, sim: w, node: node, types: w.Scenario().DeliveryTypes(), limits: w.Scenario().DeliveryLimits(),
+		random: rand.New(rand.NewPCG(seed, 0x91a1)), budget: budgetMax}
 }
 
-func (p *plain) Round(now int64, feed delivery.Feed, out delivery.Executor) {
+func (p *simplePolicy) Round(now int64, feed delivery.Feed, out delivery.Executor) {
 	p.now, p.out = now, out
 	feed.Deliver(p)
-	if !p.watched && now >= p.askAt {
+	if !p.watchActive && now >= p.watchRetryAt {
 		out.Watch(true)
-		p.askAt = now + int64(1e9)
+		p.watchRetryAt = now + int64(1e9)
 	}
 	if p.name == "informed" { // what loses most by waiting goes first
-		clear(p.joins)
-		p.joins = append(p.joins, make([]int, len(p.ready)-min(len(p.joins), len(p.ready)))...)
-		slices.SortStableFunc(p.waiting, func(a, b int32) int { return cmp.Compare(p.loss(b), p.loss(a)) })
+		clear(p.callRoom)
+		p.callRoom = append(p.callRoom, make([]int, len(p.ready)-min(len(p.callRoom), len(p.ready)))...)
+		slices.SortStableFunc(p.waiting, func(a, b int32) int { return cmp.Compare(p.utilityLoss(b), p.utilityLoss(a)) })
 	}
 	keep := p.waiting[:0]
 	for _, evt := range p.waiting {
 		e := &p.events[evt]
-		if !e.live || e.out {
+		if !e.live || e.inFlight {
 			continue
 		}
 		if now >= e.deadline {
-			p.end(evt, 0)
+			p.endEvent(evt, 0)
 			continue
 		}
-		if !p.try(evt) {
+		if !p.trySend(evt) {
 			keep = append(keep, evt)
 		}
 	}
 	p.waiting = keep
 	for evt := range p.events {
-		if e := &p.events[evt]; e.live && e.out && now >= e.deadline {
-			p.end(int32(evt), 0)
+		if e := &p.events[evt]; e.live && e.inFlight && now >= e.deadline {
+			p.endEvent(int32(evt), 0)
 		}
 	}
 	if p.wakeAt <= now {
-		p.wakeAt = now + beat
-		out.Wake(beat)
+		p.wakeAt = now + pollInterval
+		out.Wake(pollInterval)
 	}
 }
 
-// try sends an event if it may go now.
-func (p *plain) try(evt int32) bool {
+// trySend sends an event if it may go now.
+func (p *simplePolicy) trySend(evt int32) bool {
 	e := &p.events[evt]
-	if p.now < e.notBefore || p.now < p.until[e.dest] || p.slots >= p.room.MaxConcurrentCalls {
+	if p.now < e.notBefore || p.now < p.blockedUntil[e.dest] || p.callsOut >= p.limits.MaxConcurrentCalls {
 		return false
 	}
 	ep := int32(-1)
 	if p.name == "informed" {
-		ep = p.best(evt)
+		ep = p.bestEndpoint(evt)
 	} else {
 		for _, other := range p.byDest[e.dest] {
-			if p.ready[other] && (ep < 0 || p.load[other] < p.load[ep]) {
+			if p.ready[other] && (ep < 0 || p.callsByEndpoint[other] < p.callsByEndpoint[ep]) {
 				ep = other
 			}
 		}
@@ -260,145 +262,145 @@
 	if ep < 0 {
 		return false
 	}
-	timeout := min(plainWait, e.deadline-p.now)
+	timeout := min(sendTimeout, e.deadline-p.now)
 	t := &p.types[e.typ]
 	if t.Safety == delivery.NonIdempotent || p.name == "informed" {
 		timeout = e.deadline - p.now
 	}
-	e.out, e.sentAt = true, p.now
+	e.inFlight, e.sentAt = true, p.now
 	e.sends++
-	p.slots++
-	p.load[ep]++
+	p.callsOut++
+	p.callsByEndpoint[ep]++
 	p.out.Send(evt, ep, timeout)
 	return true
 }
 
-// best picks an endpoint by the truth: one with a call of this round that has room, or one that begins at
+// bestEndpoint picks an endpoint by the truth: one with a call of this round that has room, or one that begins at
 // once.
-func (p *plain) best(evt int32) int32 {
+func (p *simplePolicy) bestEndpoint(evt int32) int32 {
 	e := &p.events[evt]
 	t := &p.types[e.typ]
 	for _, ep := range p.byDest[e.dest] {
-		if p.joins[ep] > 0 && p.ready[ep] {
-			p.joins[ep]--
+		if p.callRoom[ep] > 0 && p.ready[ep] {
+			p.callRoom[ep]--
 			return ep
 		}
 	}
 	careful := t.Safety == delivery.NonIdempotent && e.deadline-p.now > t.MaxAge/2
-	best := p.world.Partners().Best(p.now, e.dest, p.world.Work(p.node, evt), careful,
-		func(ep int32) bool { return p.world.Linked(p.node, ep) })
+	best := p.sim.Destinations().Best(p.now, e.dest, p.sim.WorkTime(p.node, evt), careful,
+		func(ep int32) bool { return p.sim.HasIdleConnection(p.node, ep) })
 	if best < 0 {
 		return -1
 	}
-	ep := p.world.EndpointOf(p.node, best)
+	ep := p.sim.LocalEndpoint(p.node, best)
 	if ep < 0 || !p.ready[ep] {
 		return -1
 	}
-	p.joins[ep] = p.world.Day().Partners[p.world.Partners().Endpoints[best].Kind].PerCall - 1
+	p.callRoom[ep] = p.sim.Scenario().DestinationKinds[p.sim.Destinations().Endpoints[best].Kind].MaxEventsPerCall - 1
 	return ep
 }
 
-// loss is what an event loses by waiting two more seconds.
-func (p *plain) loss(evt int32) float64 {
+// utilityLoss is what an event loses by waiting two more seconds.
+func (p *simplePolicy) utilityLoss(evt int32) float64 {
 	e := &p.events[evt]
-	t := &p.world.Day().Types[e.typ]
-	age := p.now + answerSpare - (e.deadline - p.types[e.typ].MaxAge)
-	return t.Utility * (t.Worth(age) - t.Worth(age+int64(2e9)))
+	t := &p.sim.Scenario().Types[e.typ]
+	age := p.now + answerMargin - (e.deadline - p.types[e.typ].MaxAge)
+	return t.Utility * (t.UtilityShare(age) - t.UtilityShare(age+int64(2e9)))
 }
 
-func (p *plain) end(evt int32, comeBack int64) {
+func (p *simplePolicy) endEvent(evt int32, comeBack int64) {
 	e := &p.events[evt]
 	e.live = false
-	if e.mayRun || e.out {
+	if e.mayRun || e.inFlight {
 		p.out.Discard(evt)
 	} else {
-		p.out.Decline(evt, min(comeBack, p.room.MaxRetryAfter))
+		p.out.Decline(evt, min(comeBack, p.limits.MaxRetryAfter))
 	}
 }
 
-func (p *plain) RetryAfter() int64 { return min(int64(5e8), p.room.MaxRetryAfter) }
+func (p *simplePolicy) RetryAfter() int64 { return min(int64(5e8), p.limits.MaxRetryAfter) }
 
-func (p *plain) Event(evt int32, typ, customer int, key uint64, left, work int64, dest int32) {
+func (p *simplePolicy) Event(evt int32, typ, customer int, key uint64, left, work int64, dest int32) {
 	for int(evt) >= len(p.events) {
-		p.events = append(p.events, plainEvent{})
+		p.events = append(p.events, simpleEvent{})
 	}
-	p.dest(dest)
-	p.events[evt] = plainEvent{typ: int32(typ), dest: dest, deadline: p.now + left - answerSpare, live: true}
+	p.ensureDestination(dest)
+	p.events[evt] = simpleEvent{typ: int32(typ), dest: dest, deadline: p.now + left - answerMargin, live: true}
 	p.waiting = append(p.waiting, evt)
-	p.budget = min(budgetMost, p.budget+budgetPart)
+	p.budget = min(budgetMax, p.budget+budgetPerEvent)
 }
 
-func (p *plain) dest(d int32) {
+func (p *simplePolicy) ensureDestination(d int32) {
 	for int(d) >= len(p.byDest) {
-		p.byDest, p.until, p.fails = append(p.byDest, nil), append(p.until, 0), append(p.fails, 0)
+		p.byDest, p.blockedUntil, p.consecutiveFailures = append(p.byDest, nil), append(p.blockedUntil, 0), append(p.consecutiveFailures, 0)
 	}
 }
 
-func (p *plain) Resumed(evt int32, sends int, mayRun bool, ago int64, zone int) {
+func (p *simplePolicy) Resumed(evt int32, sends int, mayRun bool, ago int64, zone int) {
 	e := &p.events[evt]
-	e.sends, e.mayRun, e.ranAt = int32(sends), mayRun, p.now-ago
+	e.sends, e.mayRun, e.firstRunAt = int32(sends), mayRun, p.now-ago
 	if mayRun && p.types[e.typ].Safety == delivery.NonIdempotent {
-		p.end(evt, 0)
+		p.endEvent(evt, 0)
 	}
 }
 
-func (p *plain) ProcessingStarted(int32, int) {}
+func (p *simplePolicy) ProcessingStarted(int32, int) {}
 
-func (p *plain) Outcome(evt int32, send int, ep int32, how delivery.Outcome, wait, took int64, ended bool,
+func (p *simplePolicy) Outcome(evt int32, send int, ep int32, how delivery.Outcome, wait, took int64, ended bool,
 	left, limit float64) {
 	e := &p.events[evt]
-	p.slots--
-	p.load[ep]--
-	e.out = false
+	p.callsOut--
+	p.callsByEndpoint[ep]--
+	e.inFlight = false
 	if wait > 0 {
-		p.until[e.dest] = max(p.until[e.dest], p.now+wait)
+		p.blockedUntil[e.dest] = max(p.blockedUntil[e.dest], p.now+wait)
 	}
 	if how == delivery.Acked {
-		p.fails[e.dest] = 0
+		p.consecutiveFailures[e.dest] = 0
 	} else {
-		p.fails[e.dest]++
+		p.consecutiveFailures[e.dest]++
 	}
 	if how.MayHaveRun() && how != delivery.Acked && !e.mayRun {
-		e.mayRun, e.ranAt = true, e.sentAt
+		e.mayRun, e.firstRunAt = true, e.sentAt
 	}
 	if ended || !e.live {
 		e.live = false
 		return
 	}
-	p.again(evt, how, wait)
+	p.retryOrEnd(evt, how, wait)
 }
 
-// again plans the next try of an event, or ends it.
-func (p *plain) again(evt int32, how delivery.Outcome, wait int64) {
+// retryOrEnd plans the next try of an event, or ends it.
+func (p *simplePolicy) retryOrEnd(evt int32, how delivery.Outcome, wait int64) {
 	e := &p.events[evt]
 	t := &p.types[e.typ]
 	e.fails++
 	delay, n := wait, min(e.fails-1, 16)
 	switch p.name {
 	case "once":
-		p.end(evt, wait)
+		p.endEvent(evt, wait)
 		return
 	case "fixed":
 		delay = max(delay, fixedDelay)
 	case "backoff", "breaker":
-		delay = max(delay, int64(p.chance.Float64()*float64(min(backoffMost, backoffBase<<n))))
+		delay = max(delay, int64(p.random.Float64()*float64(min(backoffMax, backoffBase<<n))))
 	case "source":
 		if wait == 0 {
 			if delay = sourceError << n; how == delivery.Refused {
 				delay = sourceBase + sourceExtra<<n
 			}
-			delay += int64(p.chance.Float64() * 0.5 * float64(delay))
+			delay += int64(p.random.Float64() * 0.5 * float64(delay))
 		}
 	case "informed":
 		delay = 0 // told waits hold its destination all the same
 	}
 	if p.name == "breaker" {
-		if p.fails[e.dest] >= tripAfter {
-			p.until[e.dest] = max(p.until[e.dest], p.now+tripFor)
-			p.fails[e.dest] = 0
+		if p.consecutiveFailures[e.dest] >= tripAfter {
+			p.blockedUntil[e.dest] = max(p.blockedUntil[e.dest], p.now+tripDuration)
+			p.consecutiveFailures[e.dest] = 0
 		}
 		if p.budget < 1 {
-			p.end(evt, delay)
+			p.endEvent(evt, delay)
 			return
 		}
 		p.budget--
@@ -406,10 +408,10 @@
 	e.notBefore = p.now + delay
 	over := e.deadline
 	if e.mayRun && t.Safety == delivery.Deduplicated {
-		over = min(over, e.ranAt+t.DedupWindow-int64(1e8))
+		over = min(over, e.firstRunAt+t.DedupWindow-int64(1e8))
 	}
-	if (e.mayRun && t.Safety == delivery.NonIdempotent) || int(e.sends) >= p.room.MaxAttempts || e.notBefore >= over {
-		p.end(evt, delay)
+	if (e.mayRun && t.Safety == delivery.NonIdempotent) || int(e.sends) >= p.limits.MaxAttempts || e.notBefore >= over {
+		p.endEvent(evt, delay)
 		return
 	}
 	if e.mayRun && t.Safety == delivery.Deduplicated {
@@ -418,20 +420,20 @@
 	p.waiting = append(p.waiting, evt)
 }
 
-func (p *plain) Unconfirmed(int32, int) {}
-func (p *plain) Confirmed(int32, int)   {}
-func (p *plain) Withdrawn(evt int32)    { p.events[evt].live = false }
+func (p *simplePolicy) Unconfirmed(int32, int) {}
+func (p *simplePolicy) Confirmed(int32, int)   {}
+func (p *simplePolicy) Withdrawn(evt int32)    { p.events[evt].live = false }
 
-func (p *plain) ListStarted(whole bool) {
+func (p *simplePolicy) ListStarted(whole bool) {
 	if whole {
 		clear(p.ready)
 	}
 }
 
-func (p *plain) EndpointListed(ep, dest int32, partner, zone int, state delivery.EndpointState, rate float64) {
-	p.dest(dest)
+func (p *simplePolicy) EndpointListed(ep, dest int32, partner, zone int, state delivery.EndpointState, rate float64) {
+	p.ensureDestination(dest)
 	for int(ep) >= len(p.ready) {
-		p.ready, p.load = append(p.ready, false), append(p.load, 0)
+		p.ready, p.callsByEndpoint = append(p.ready, false), append(p.callsByEndpoint, 0)
 	}
 	known := false
 	for _, other := range p.byDest[dest] {
@@ -443,8 +445,8 @@
 	p.ready[ep] = state == delivery.Ready
 }
 
-func (p *plain) ListEnded()                                              { p.watched = p.askAt > 0 }
-func (p *plain) ListFailed()                                             { p.watched = false }
-func (p *plain) Probed(int32, delivery.Outcome, int64, float64, float64) {}
-func (p *plain) PeerReportedHealthy(int, int32)                          {}
-func (p *plain) Woken()                                                  { p.wakeAt = 0 }
+func (p *simplePolicy) ListEnded()                                              { p.watchActive = p.watchRetryAt > 0 }
+func (p *simplePolicy) ListFailed()                                             { p.watchActive = false }
+func (p *simplePolicy) Probed(int32, delivery.Outcome, int64, float64, float64) {}
+func (p *simplePolicy) PeerReportedHealthy(int, int32)                          {}
+func (p *simplePolicy) Woken()                                                  { p.wakeAt = 0 }
--- a/lab/report/page.go
+++ b/lab/report/page.go
@@ -16,7 +16,7 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"jaspersill/lab/ledger"
+	"jaspersill/lab/checker"
 	"jaspersill/lab/run"
 	"jaspersill/lab/scenario"
 )
@@ -51,9 +51,9 @@
 		top = 1
 	}
 	if day != nil {
-		for _, t := range day.Troubles {
-			from, to := float64(t.At)/1e9, float64(t.At+t.For)/1e9
-			if t.For == 0 {
+		for _, t := range day.Faults {
+			from, to := float64(t.Start)/1e9, float64(t.Start+t.Duration)/1e9
+			if t.Duration == 0 {
 				to = from + end/300
 			}
 			box, err := plotter.NewPolygon(
@@ -140,7 +140,7 @@
 		}
 		add(s.Name+": time from the asking to the delivery", "ms", latency)
 		var outcomes []line
-		for n, name := range ledger.Outcomes {
+		for n, name := range checker.OutcomeNames {
 			l := line{
 				name:   name,
 				points: points(seconds, func(x *run.Second) float64 { return float64(x.Outcomes[n]) }),
@@ -151,7 +151,7 @@
 		}
 		add(s.Name+": sends by outcome", "a second", outcomes)
 		var load []line
-		for n, p := range day.Partners {
+		for n, p := range day.DestinationKinds {
 			load = append(load, line{name: p.Name + " offered", points: points(seconds,
 				func(x *run.Second) float64 { return float64(x.Offered[n]) })})
 			if refused := (line{name: p.Name + " refused", points: points(seconds,
@@ -160,7 +160,7 @@
 			}
 			if p.Limit > 0 {
 				most := p.Limit * float64(p.Destinations)
-				if p.Routes {
+				if p.LimitPerEndpoint {
 					most *= float64(p.Endpoints)
 				}
 				load = append(load, line{name: p.Name + " limit", dashed: true, points: points(seconds,
@@ -207,9 +207,9 @@
 			s := &results[i].Sum
 			switch what {
 			case "whole":
-				total += s.Whole
+				total += s.Overall
 			case "spell":
-				total += s.WorstSpell
+				total += s.WorstWindow
 			case "type":
 				total += s.WorstType
 			case "waste":
@@ -242,6 +242,6 @@
 	}
 	var b bytes.Buffer
 	err = pageText.Execute(&b, map[string]any{"File": f, "Charts": charts, "Title": f.Kind + " " + day.Name,
-		"Hard": "Hard for: " + day.Hard})
+		"Hard": "Hard for: " + day.Challenge})
 	return b.Bytes(), err
 }
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -13,7 +13,7 @@
 	"strconv"
 	"time"
 
-	"jaspersill/lab/ledger"
+	"jaspersill/lab/checker"
 	"jaspersill/lab/run"
 	"jaspersill/lab/scenario"
 	"jaspersill/lab/stat"
@@ -78,7 +78,7 @@
 func (f *File) Add(name string, results []run.Result) {
 	broken, first := run.Broken(results)
 	f.Sets = append(f.Sets, Set{Name: name, Results: results, Broken: broken,
-		G: stat.Bootstrap(run.Figure(results, run.G), 1)})
+		G: stat.MeanInterval(run.Figure(results, run.G), 1)})
 	if broken > 0 {
 		f.Notes = append(f.Notes, fmt.Sprintf("%s: %d broken rules; the first: %s", name, broken, first))
 	}
@@ -125,12 +125,12 @@
 	of   func(*run.Result) float64
 }{
 	{"G", run.G},
-	{"whole", func(r *run.Result) float64 { return r.Sum.Whole }},
-	{"worst 10 s", func(r *run.Result) float64 { return r.Sum.WorstSpell }},
+	{"whole", func(r *run.Result) float64 { return r.Sum.Overall }},
+	{"worst 10 s", func(r *run.Result) float64 { return r.Sum.WorstWindow }},
 	{"worst type", func(r *run.Result) float64 { return r.Sum.WorstType }},
 	{"waste", func(r *run.Result) float64 { return r.Sum.Waste }},
 	{"p99, ms", func(r *run.Result) float64 { return r.Latency[2] }},
-	{"broken rules", func(r *run.Result) float64 { return float64(r.Sum.Broken) }},
+	{"broken rules", func(r *run.Result) float64 { return float64(r.Sum.ViolationCount) }},
 }
 
 const (
@@ -235,16 +235,16 @@
 					s.Name,
 					r.Seed,
 					r.Sum.G,
-					r.Sum.Whole,
-					r.Sum.WorstSpell,
+					r.Sum.Overall,
+					r.Sum.WorstWindow,
 					r.Sum.WorstType,
 					r.Sum.Waste,
-					r.Sum.Asked,
+					r.Sum.Arrivals,
 					r.Sum.Acked,
 					r.Sum.Declined,
 					r.Sum.Discarded,
 					r.Sum.Sends,
-					r.Sum.Broken,
+					r.Sum.ViolationCount,
 					r.Falls,
 					r.Latency[0],
 					r.Latency[1],
@@ -258,7 +258,7 @@
 
 func (f *File) seconds() []byte {
 	head := []string{"set", "seed", "second", "utility", "held", "p50_ms", "p99_ms", "offered", "refused"}
-	for _, o := range ledger.Outcomes {
+	for _, o := range checker.OutcomeNames {
 		head = append(head, o)
 	}
 	return table(head, func(add func(...any)) {
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	day.Length = scenario.Span(20e9)
+	day.Length = scenario.Duration(20e9)
 	var sets []run.Set
 	for _, name := range []string{"once", "module", "informed", "module+deaf"} {
 		s, err := run.Named(name, day, 0)
--- a/lab/run/record.go
+++ b/lab/run/record.go
@@ -5,26 +5,26 @@
 	"io"
 	"slices"
 
-	"jaspersill/lab/arrival"
 	"jaspersill/lab/scenario"
-	"jaspersill/lab/world"
+	"jaspersill/lab/simulator"
+	"jaspersill/lab/workload"
 )
 
 // Record plays one run and writes what arrived and what came of it, in the order of arrival.
-func Record(day *scenario.Scenario, seed, luck uint64, launch world.Launch, to io.Writer) error {
+func Record(day *scenario.Scenario, seed, luck uint64, launch simulator.SchedulerFactory, to io.Writer) error {
 	type record struct {
-		a    arrival.Asking
+		a    workload.Arrival
 		end  string
 		took int64
 	}
 	var records []record
-	w := world.New(day, seed, luck, launch, nil)
-	w.Recorded(
-		func(a arrival.Asking, end string, took int64) { records = append(records, record{a, end, took}) },
+	w := simulator.New(day, seed, luck, launch, nil)
+	w.OnArrivalEnd(
+		func(a workload.Arrival, end string, took int64) { records = append(records, record{a, end, took}) },
 	)
 	w.Run()
 	slices.SortStableFunc(records, func(a, b record) int { return cmp.Compare(a.a.Number, b.a.Number) })
-	out, err := arrival.NewWriter(to, day)
+	out, err := workload.NewWriter(to, day)
 	if err != nil {
 		return err
 	}
@@ -40,14 +40,14 @@
 func Replay(
 	from io.Reader,
 	seed, luck uint64,
-	launch world.Launch,
+	launch simulator.SchedulerFactory,
 	trace io.Writer,
 ) (Result, *scenario.Scenario, error) {
-	r, err := arrival.Open(from)
+	r, err := workload.Open(from)
 	if err != nil {
 		return Result{}, nil, err
 	}
 	defer r.Close()
-	result := one(r.Day, seed, luck, launch, true, trace, r)
-	return result, r.Day, r.Err
+	result := one(r.Scenario, seed, luck, launch, true, trace, r)
+	return result, r.Scenario, r.Err
 }
--- a/lab/run/run.go
+++ b/lab/run/run.go
@@ -13,12 +13,12 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"jaspersill/lab/arrival"
-	"jaspersill/lab/ledger"
+	"jaspersill/lab/checker"
 	"jaspersill/lab/policy"
 	"jaspersill/lab/scenario"
+	"jaspersill/lab/simulator"
 	"jaspersill/lab/stat"
-	"jaspersill/lab/world"
+	"jaspersill/lab/workload"
 )
 
 const (
@@ -43,36 +43,36 @@
 
 // Result is one run.
 type Result struct {
-	Seed    uint64         `json:"seed"`
-	Luck    uint64         `json:"luck"`
-	Sum     ledger.Summary `json:"sum"`
-	Stats   world.Stats    `json:"stats"`
-	Falls   int            `json:"falls"`
-	Latency []float64      `json:"latency_ms"` // by Percentiles
-	Seconds []Second       `json:"seconds,omitempty"`
-	Trace   string         `json:"trace,omitempty"` // SHA-256 of the trace, where one was kept
+	Seed    uint64          `json:"seed"`
+	Luck    uint64          `json:"luck"`
+	Sum     checker.Summary `json:"sum"`
+	Stats   simulator.Stats `json:"stats"`
+	Falls   int             `json:"falls"`
+	Latency []float64       `json:"latency_ms"` // by Percentiles
+	Seconds []Second        `json:"seconds,omitempty"`
+	Trace   string          `json:"trace,omitempty"` // SHA-256 of the trace, where one was kept
 }
 
 // One plays one run. With detail it keeps each second; trace may be nil.
 func One(
-	day *scenario.Scenario, seed, luck uint64, launch world.Launch, detail bool, trace io.Writer,
+	day *scenario.Scenario, seed, luck uint64, launch simulator.SchedulerFactory, detail bool, trace io.Writer,
 ) Result {
 	return one(day, seed, luck, launch, detail, trace, nil)
 }
 
 // one is One with arrivals from a source, or drawn where it is nil.
 func one(
-	day *scenario.Scenario, seed, luck uint64, launch world.Launch, detail bool, trace io.Writer,
-	source arrival.Source,
+	day *scenario.Scenario, seed, luck uint64, launch simulator.SchedulerFactory, detail bool, trace io.Writer,
+	source workload.Source,
 ) Result {
-	w := world.New(day, seed, luck, launch, trace)
+	w := simulator.New(day, seed, luck, launch, trace)
 	if source != nil {
-		w.Play(source)
+		w.SetSource(source)
 	}
 	all := hdrhistogram.New(latencyLeast, latencyMost, latencyDigits)
 	now := hdrhistogram.New(latencyLeast, latencyMost, 2)
-	l := w.Ledger()
-	l.Latency = func(typ int, took int64) {
+	l := w.Checker()
+	l.OnDelivery = func(typ int, took int64) {
 		all.RecordValue(max(took, latencyLeast))
 		if detail {
 			now.RecordValue(max(took, latencyLeast))
@@ -81,14 +81,14 @@
 	r := Result{Seed: seed, Luck: luck}
 	if detail {
 		var how [9]int64
-		offered, refused := make([]int64, len(day.Partners)), make([]int64, len(day.Partners))
-		w.Sampled(func(w *world.World) {
-			s := Second{At: w.Now()/1e9 - 1, Held: w.Held(), Latency: percentiles(now)}
+		offered, refused := make([]int64, len(day.DestinationKinds)), make([]int64, len(day.DestinationKinds))
+		w.OnSecond(func(w *simulator.Simulation) {
+			s := Second{At: w.Now()/1e9 - 1, Held: w.EventsHeld(), Latency: percentiles(now)}
 			now.Reset()
 			for i := range how {
-				s.Outcomes[i], how[i] = l.How[i]-how[i], l.How[i]
+				s.Outcomes[i], how[i] = l.OutcomeCounts[i]-how[i], l.OutcomeCounts[i]
 			}
-			p := w.Partners()
+			p := w.Destinations()
 			for i := range offered {
 				s.Offered, offered[i] = append(s.Offered, p.Offered[i]-offered[i]), p.Offered[i]
 				s.Refused, refused[i] = append(s.Refused, p.Refused[i]-refused[i]), p.Refused[i]
@@ -97,8 +97,8 @@
 		})
 	}
 	r.Sum = w.Run()
-	r.Stats, r.Falls, r.Latency = w.Stats, len(w.Partners().Falls), percentiles(all)
-	for i, u := range l.Utility() {
+	r.Stats, r.Falls, r.Latency = w.Stats, len(w.Destinations().Falls), percentiles(all)
+	for i, u := range l.UtilityPerSecond() {
 		if i < len(r.Seconds) {
 			r.Seconds[i].Utility = u
 		}
@@ -114,7 +114,7 @@
 }
 
 // TraceOf plays one run and returns its trace's SHA-256.
-func TraceOf(day *scenario.Scenario, seed, luck uint64, launch world.Launch) string {
+func TraceOf(day *scenario.Scenario, seed, luck uint64, launch simulator.SchedulerFactory) string {
 	h := sha256.New()
 	One(day, seed, luck, launch, false, h)
 	return hex.EncodeToString(h.Sum(nil))
@@ -124,7 +124,7 @@
 type Set struct {
 	Name   string
 	Day    *scenario.Scenario
-	Launch world.Launch
+	Launch simulator.SchedulerFactory
 	Luck   uint64
 }
 
@@ -208,9 +208,9 @@
 // Broken counts the broken rules of some results and tells the first.
 func Broken(results []Result) (n int, first string) {
 	for i := range results {
-		n += results[i].Sum.Broken
-		if first == "" && len(results[i].Sum.Breaks) > 0 {
-			first = fmt.Sprintf("seed %d: %s", results[i].Seed, results[i].Sum.Breaks[0])
+		n += results[i].Sum.ViolationCount
+		if first == "" && len(results[i].Sum.Violations) > 0 {
+			first = fmt.Sprintf("seed %d: %s", results[i].Seed, results[i].Sum.Violations[0])
 		}
 	}
 	return n, first
@@ -218,11 +218,11 @@
 
 // Compare is the difference that b makes beside a, pair by pair.
 func Compare(a, b []Result, of func(*Result) float64) stat.Interval {
-	return stat.Paired(Figure(a, of), Figure(b, of), 1)
+	return stat.PairedDifference(Figure(a, of), Figure(b, of), 1)
 }
 
 // Same plays a run twice and tells whether both traces are the same, byte for byte.
-func Same(day *scenario.Scenario, seed uint64, launch world.Launch) bool {
+func Same(day *scenario.Scenario, seed uint64, launch simulator.SchedulerFactory) bool {
 	var a, b bytes.Buffer
 	One(day, seed, 0, launch, false, &a)
 	One(day, seed, 0, launch, false, &b)
--- a/lab/run/run_test.go
+++ b/lab/run/run_test.go
@@ -12,13 +12,13 @@
 	"strings"
 	"testing"
 
-	"jaspersill/lab/arrival"
-	"jaspersill/lab/ledger"
+	"jaspersill/lab/checker"
 	"jaspersill/lab/policy"
 	"jaspersill/lab/scenario"
 	"jaspersill/lab/scenarios"
+	"jaspersill/lab/simulator"
 	"jaspersill/lab/stat"
-	"jaspersill/lab/world"
+	"jaspersill/lab/workload"
 )
 
 func find(t testing.TB, name string) *scenario.Scenario {
@@ -36,7 +36,7 @@
 func TestASeedGivesOneTrace(t *testing.T) {
 	for _, name := range []string{"harvest", "ordered", "replaced", "seldom"} {
 		day := find(t, name)
-		day.Length = scenario.Span(30e9)
+		day.Length = scenario.Duration(30e9)
 		before := runtime.GOMAXPROCS(1)
 		one := TraceOf(day, 7, 3, policy.Module)
 		runtime.GOMAXPROCS(max(2, before))
@@ -53,22 +53,22 @@
 func TestEachRuleBrokenOnPurposeIsCaught(t *testing.T) {
 	for _, c := range []struct {
 		weak, scenario string
-		rule           ledger.Rule
+		rule           checker.Rule
 	}{
-		{"lossy", "farm", ledger.OneEnd},
-		{"restless", "farm", ledger.OneEnd},
-		{"careless", "answers-lost", ledger.Once},
-		{"forgetful", "answers-lost", ledger.Once},
-		{"undrained", "replaced", ledger.Drains},
-		{"blind", "cold-return", ledger.Returns},
-		{"disorderly", "ordered", ledger.Order},
-		{"deaf", "refusals", ledger.Waits},
+		{"lossy", "farm", checker.RuleSingleEnd},
+		{"restless", "farm", checker.RuleSingleEnd},
+		{"careless", "answers-lost", checker.RuleSingleEffect},
+		{"forgetful", "answers-lost", checker.RuleSingleEffect},
+		{"undrained", "replaced", checker.RuleDrain},
+		{"blind", "cold-return", checker.RuleColdStart},
+		{"disorderly", "ordered", checker.RuleKeyOrder},
+		{"deaf", "refusals", checker.RuleRetryAfter},
 	} {
 		day := find(t, c.scenario)
 		if c.weak == "forgetful" { // a window so short that repeats past it come often
 			for i := range day.Types {
-				if day.Types[i].Window > 0 {
-					day.Types[i].Window = 2e8
+				if day.Types[i].DedupWindow > 0 {
+					day.Types[i].DedupWindow = 2e8
 				}
 			}
 		}
@@ -78,21 +78,21 @@
 		}
 		caught := false
 		for seed := range uint64(3) {
-			for _, b := range One(day, seed, 0, launch, false, nil).Sum.Breaks {
+			for _, b := range One(day, seed, 0, launch, false, nil).Sum.Violations {
 				evidence := b.Event > 0 && b.At > 0 &&
 					(len(b.Sends) > 0 || c.weak == "lossy" || c.weak == "deaf" ||
 						c.weak == "undrained" || c.weak == "disorderly") ||
-					b.Rule == ledger.Returns
+					b.Rule == checker.RuleColdStart
 				if b.Rule != c.rule &&
-					(c.weak != "restless" || b.Rule != ledger.Once) { // the one too many runs, too
+					(c.weak != "restless" || b.Rule != checker.RuleSingleEffect) { // the one too many runs, too
 					t.Errorf("%s: %s", c.weak, b)
 				} else if !evidence {
 					t.Errorf("%s: no evidence: %s", c.weak, b)
 				}
 				caught = true
 			}
-			if r := One(day, seed, 0, policy.Module, false, nil); r.Sum.Broken > 0 && c.weak != "forgetful" {
-				t.Errorf("%s: false alarm on the module as it is: %s", c.scenario, r.Sum.Breaks[0])
+			if r := One(day, seed, 0, policy.Module, false, nil); r.Sum.ViolationCount > 0 && c.weak != "forgetful" {
+				t.Errorf("%s: false alarm on the module as it is: %s", c.scenario, r.Sum.Violations[0])
 			}
 		}
 		if !caught {
@@ -107,7 +107,7 @@
 	if long() {
 		n = 200
 	} else {
-		day.Length = scenario.Span(20e9)
+		day.Length = scenario.Duration(20e9)
 	}
 	sets := []Set{{Name: "module", Day: day, Launch: policy.Module}}
 	results, err := All(context.Background(), sets, Seeds(1, n), false, nil)
@@ -118,7 +118,7 @@
 		t.Errorf("%d alarms over %d calm seeds: %s", broken, n, first)
 	}
 	for i := range results[0] {
-		if s := &results[0][i].Sum; s.Asked == 0 || s.G < 0.99 || s.Effects != s.Acked {
+		if s := &results[0][i].Sum; s.Arrivals == 0 || s.G < 0.99 || s.Effects != s.Acked {
 			t.Errorf("seed %d is not calm: %+v", results[0][i].Seed, s)
 		}
 	}
@@ -133,8 +133,8 @@
 	if long() {
 		comparisons, seeds, least, most = 400, 30, 0.92, 0.98
 	}
-	day.Length = scenario.Span(20e9)
-	day.Loads[0].At, day.Loads[0].For = scenario.Span(5e9), scenario.Span(8e9)
+	day.Length = scenario.Duration(20e9)
+	day.LoadChanges[0].Start, day.LoadChanges[0].Duration = scenario.Duration(5e9), scenario.Duration(8e9)
 	holds := 0
 	for c := range comparisons {
 		sets := []Set{
@@ -145,7 +145,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if Compare(r[0], r[1], G).Holds(0) {
+		if Compare(r[0], r[1], G).Contains(0) {
 			holds++
 		}
 	}
@@ -183,7 +183,7 @@
 			for k := range values {
 				values[k] = draw()
 			}
-			if stat.Bootstrap(values, uint64(i)).Holds(mean) {
+			if stat.MeanInterval(values, uint64(i)).Contains(mean) {
 				holds++
 			}
 		}
@@ -200,14 +200,14 @@
 	if long() {
 		minutes = 10
 	}
-	day.Length = scenario.Span(minutes) * 60e9
-	for i := range day.Troubles {
-		day.Troubles[i].For, day.Troubles[i].Every = day.Length, scenario.Span(30e9)
+	day.Length = scenario.Duration(minutes) * 60e9
+	for i := range day.Faults {
+		day.Faults[i].Duration, day.Faults[i].Period = day.Length, scenario.Duration(30e9)
 	}
-	day.Loads[0].For = day.Length
+	day.LoadChanges[0].Duration = day.Length
 	var heap []uint64
-	w := world.New(day, 1, 0, policy.Module, nil)
-	w.Sampled(func(w *world.World) {
+	w := simulator.New(day, 1, 0, policy.Module, nil)
+	w.OnSecond(func(w *simulator.Simulation) {
 		if (w.Now()/1e9)%60 == 59 {
 			runtime.GC()
 			var m runtime.MemStats
@@ -256,7 +256,7 @@
 			t.Errorf("%s: %v", name, err)
 			continue
 		}
-		day.Length, again.Length = scenario.Span(6e9), scenario.Span(6e9)
+		day.Length, again.Length = scenario.Duration(6e9), scenario.Duration(6e9)
 		if TraceOf(day, 1, 0, policy.Module) != TraceOf(again, 1, 0, policy.Module) {
 			t.Errorf("%s: written and read back it plays another run", name)
 		}
@@ -273,17 +273,17 @@
 	} {
 		b.Run(size.name, func(b *testing.B) {
 			day := find(b, "farm")
-			day.Fleet.Nodes, day.Length = size.nodes, scenario.Span(30e9)
+			day.Fleet.Nodes, day.Length = size.nodes, scenario.Duration(30e9)
 			rate := 0.0
 			for i := range day.Types {
 				day.Types[i].Rate *= float64(size.endpoints) / 24
 				rate += day.Types[i].Rate
 			}
-			day.Partners[0].Destinations = max(1, size.endpoints/6)
-			day.Partners[1].Destinations = size.endpoints - 3*day.Partners[0].Destinations
+			day.DestinationKinds[0].Destinations = max(1, size.endpoints/6)
+			day.DestinationKinds[1].Destinations = size.endpoints - 3*day.DestinationKinds[0].Destinations
 			events := int64(0)
 			for b.Loop() {
-				events += One(day, 1, 0, policy.Module, false, nil).Sum.Asked
+				events += One(day, 1, 0, policy.Module, false, nil).Sum.Arrivals
 			}
 			b.ReportMetric(float64(events)/b.Elapsed().Seconds(), "events/s")
 		})
@@ -293,7 +293,7 @@
 // What a recording plays again must be the run that it was made of, to the byte.
 func TestARecordingPlaysTheRunAgain(t *testing.T) {
 	day := find(t, "clumps")
-	day.Length = scenario.Span(20e9)
+	day.Length = scenario.Duration(20e9)
 	var file bytes.Buffer
 	if err := Record(day, 5, 1, policy.Module, &file); err != nil {
 		t.Fatal(err)
@@ -305,9 +305,9 @@
 		t.Fatal(err)
 	}
 	if got, want := hex.EncodeToString(h.Sum(nil)), TraceOf(recorded, 5, 1, policy.Module); got != want {
-		t.Errorf("trace %s, want %s; %d asked for", got, want, r.Sum.Asked)
+		t.Errorf("trace %s, want %s; %d asked for", got, want, r.Sum.Arrivals)
 	}
-	in, err := arrival.Open(bytes.NewReader(text))
+	in, err := workload.Open(bytes.NewReader(text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -316,11 +316,11 @@
 	for _, more := in.Next(); more; _, more = in.Next() {
 		n++
 	}
-	if in.Err != nil || n != r.Sum.Asked {
-		t.Errorf("%d arrivals recorded, %d asked for: %v", n, r.Sum.Asked, in.Err)
+	if in.Err != nil || n != r.Sum.Arrivals {
+		t.Errorf("%d arrivals recorded, %d asked for: %v", n, r.Sum.Arrivals, in.Err)
 	}
 	for cut := 0; cut < len(text); cut += len(text)/60 + 1 { // it must say so, and not panic
-		in, err := arrival.Open(bytes.NewReader(text[:cut]))
+		in, err := workload.Open(bytes.NewReader(text[:cut]))
 		if err != nil {
 			continue
 		}
--- a/lab/scenario/change.go
+++ b/lab/scenario/override.go
@@ -8,10 +8,10 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// With returns the scenario with one key changed: a path as it stands in the file, with the number of a
+// WithKey returns the scenario with one key changed: a path as it stands in the file, with the number of a
 // list's item from 0, as fleet.slots or partner.0.limit. The value is written as in the file; quotes may be
 // left out.
-func (s *Scenario) With(key, value string) (*Scenario, error) {
+func (s *Scenario) WithKey(key, value string) (*Scenario, error) {
 	text, err := s.Write()
 	if err != nil {
 		return nil, err
@@ -20,7 +20,7 @@
 	if err := toml.Unmarshal(text, &all); err != nil {
 		return nil, err
 	}
-	if err := set(all, key, strings.Split(key, "."), parse(value)); err != nil {
+	if err := setKey(all, key, strings.Split(key, "."), parseValue(value)); err != nil {
 		return nil, err
 	}
 	if text, err = toml.Marshal(all); err != nil {
@@ -29,8 +29,8 @@
 	return Read(key+"="+value, text, nil)
 }
 
-// parse takes a value as TOML, or as a text where it is none.
-func parse(value string) any {
+// parseValue takes a value as TOML, or as a text where it is none.
+func parseValue(value string) any {
 	var one struct{ V any }
 	if toml.Unmarshal([]byte("V = "+value), &one) == nil {
 		return one.V
@@ -38,7 +38,7 @@
 	return value
 }
 
-func set(at any, key string, path []string, value any) error {
+func setKey(at any, key string, path []string, value any) error {
 	last := len(path) == 1
 	switch at := at.(type) {
 	case map[string]any:
@@ -47,11 +47,11 @@
 			return nil
 		}
 		if next, ok := at[path[0]]; ok {
-			return set(next, key, path[1:], value)
+			return setKey(next, key, path[1:], value)
 		}
 	case []any:
 		if i, err := strconv.Atoi(path[0]); err == nil && i >= 0 && i < len(at) && !last {
-			return set(at[i], key, path[1:], value)
+			return setKey(at[i], key, path[1:], value)
 		}
 	}
 	return fmt.Errorf("%s: want a key of the scenario, got nothing at %q", key, path[0])
@@ -61,7 +61,7 @@
 func Reference() string {
 	var b strings.Builder
 	b.WriteString("| kind | meets | meaning |\n| --- | --- | --- |\n")
-	for _, k := range Kinds {
+	for _, k := range FaultKinds {
 		fmt.Fprintf(&b, "| `%s` | %s | %s |\n", k.Name, k.Meets, k.Meaning)
 	}
 	return b.String()
--- a/lab/scenarios/scenarios.go
+++ b/lab/scenarios/scenarios.go
@@ -32,21 +32,21 @@
 			return nil, err
 		}
 		near := func(like string) ([]byte, error) {
-			if text, err := own(like); err == nil {
+			if text, err := builtin(like); err == nil {
 				return text, nil
 			}
 			return os.ReadFile(filepath.Join(filepath.Dir(name), strings.TrimSuffix(like, ".toml")+".toml"))
 		}
 		return scenario.Read(name, text, near)
 	}
-	text, err := own(name)
+	text, err := builtin(name)
 	if err != nil {
 		return nil, err
 	}
-	return scenario.Read(name+".toml", text, own)
+	return scenario.Read(name+".toml", text, builtin)
 }
 
-func own(name string) ([]byte, error) {
+func builtin(name string) ([]byte, error) {
 	text, err := files.ReadFile(name + ".toml")
 	if err != nil {
 		return nil, fmt.Errorf("scenario %q: want a file that ends in .toml, or one of %s", name,
--- a/lab/hunt/hunt_test.go
+++ b/lab/search/search_test.go
@@ -1,4 +1,4 @@
-package hunt
+package search
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"jaspersill/lab/scenarios"
 )
 
-func TestTheHuntFindsAndShrinks(t *testing.T) {
+func TestSearchFindsAndShrinks(t *testing.T) {
 	if testing.Short() {
 		t.Skip("many days")
 	}
@@ -18,22 +18,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	day.Length = scenario.Span(24e9)
+	day.Length = scenario.Duration(24e9)
 	for _, weak := range []string{"deaf", "forgetful"} {
 		launch, err := policy.Find("module+" + weak)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, broke, played := Hunt(context.Background(), day, 1, 200, 1, true, launch, nil)
+		_, broke, played := Run(context.Background(), day, 1, 200, 1, true, launch, nil)
 		if broke == nil {
 			t.Errorf("%s: nothing found in %d days", weak, played)
 			continue
 		}
 		small := Shrink(context.Background(), *broke, launch)
-		if len(small.Day.Troubles) > 2 || small.Broken == 0 {
-			t.Errorf("%s: %d troubles left, %d broken rules", weak, len(small.Day.Troubles), small.Broken)
+		if len(small.Scenario.Faults) > 2 || small.ViolationCount == 0 {
+			t.Errorf("%s: %d troubles left, %d broken rules", weak, len(small.Scenario.Faults), small.ViolationCount)
 		}
-		text, err := small.Day.Write()
+		text, err := small.Scenario.Write()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -41,8 +41,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r := run.One(again, small.Seed, 0, launch, false, nil); r.Sum.Broken != small.Broken {
-			t.Errorf("%s: played again it shows %d broken rules, not %d", weak, r.Sum.Broken, small.Broken)
+		if r := run.One(again, small.Seed, 0, launch, false, nil); r.Sum.ViolationCount != small.ViolationCount {
+			t.Errorf("%s: played again it shows %d broken rules, not %d", weak, r.Sum.ViolationCount, small.ViolationCount)
 		}
 	}
 }
--- a/lab/stat/stat.go
+++ b/lab/stat/stat.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	resamples = 2000
-	level     = 0.95
-	fewValues = 10 // below so many the bootstrap has too little to draw from, and Student's t is used
+	resamples          = 2000
+	confidence         = 0.95
+	minBootstrapValues = 10 // below so many the bootstrap has too little to draw from, and Student's t is used
 )
 
 // Interval is a mean with a 95% interval round it, over so many pairs or runs.
@@ -24,13 +24,13 @@
 	N     int     `json:"n"`
 }
 
-// Holds tells whether a value lies in the interval.
-func (i Interval) Holds(v float64) bool { return v >= i.Least && v <= i.Most }
+// Contains tells whether a value lies in the interval.
+func (i Interval) Contains(v float64) bool { return v >= i.Least && v <= i.Most }
 
-// Bootstrap is the mean of some values with its interval, by the studentised bootstrap: the plain one is too
+// MeanInterval is the mean of some values with its interval, by the studentised bootstrap: the plain one is too
 // narrow for thirty values, and for under ten Student's t serves better than either. Chance is drawn from the
 // seed. One value has an endless interval.
-func Bootstrap(values []float64, seed uint64) Interval {
+func MeanInterval(values []float64, seed uint64) Interval {
 	n := len(values)
 	if n == 0 {
 		return Interval{Mean: math.NaN(), Least: math.Inf(-1), Most: math.Inf(1)}
@@ -45,8 +45,8 @@
 		i.Least, i.Most = mean, mean
 		return i
 	}
-	if n < fewValues {
-		t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(n - 1)}.Quantile(1 - (1-level)/2)
+	if n < minBootstrapValues {
+		t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(n - 1)}.Quantile(1 - (1-confidence)/2)
 		i.Least, i.Most = mean-t*dev/math.Sqrt(float64(n)), mean+t*dev/math.Sqrt(float64(n))
 		return i
 	}
@@ -69,16 +69,16 @@
 		return i
 	}
 	half := dev / math.Sqrt(float64(n))
-	i.Least = mean - stat.Quantile(1-(1-level)/2, stat.Empirical, ts, nil)*half
-	i.Most = mean - stat.Quantile((1-level)/2, stat.Empirical, ts, nil)*half
+	i.Least = mean - stat.Quantile(1-(1-confidence)/2, stat.Empirical, ts, nil)*half
+	i.Most = mean - stat.Quantile((1-confidence)/2, stat.Empirical, ts, nil)*half
 	return i
 }
 
-// Paired is the mean of b - a, pair by pair.
-func Paired(a, b []float64, seed uint64) Interval {
+// PairedDifference is the mean of b - a, pair by pair.
+func PairedDifference(a, b []float64, seed uint64) Interval {
 	differences := make([]float64, min(len(a), len(b)))
 	for i := range differences {
 		differences[i] = b[i] - a[i]
 	}
-	return Bootstrap(differences, seed)
+	return MeanInterval(differences, seed)
 }
