--- a/lab/simulator/calls.go
+++ b/lab/simulator/calls.go
@@ -6,182 +6,190 @@
 	"jaspersill/lab/partner"
 )
 
-// allocateCall opens a call of a node to an endpoint.
-func (w *Simulation) allocateCall(s *simNode, ep, own int32) int32 {
+// allocateCall creates a call from a node to an endpoint and returns its number.
+func (sim *Simulation) allocateCall(s *simNode, ep, localEp int32) int32 {
 	var i int32
-	if last := len(w.freeCalls) - 1; last >= 0 {
-		i, w.freeCalls = w.freeCalls[last], w.freeCalls[:last]
+	if last := len(sim.freeCalls) - 1; last >= 0 {
+		i, sim.freeCalls = sim.freeCalls[last], sim.freeCalls[:last]
 	} else {
-		i = int32(len(w.calls))
-		w.calls = append(w.calls, call{})
+		i = int32(len(sim.calls))
+		sim.calls = append(sim.calls, call{})
 	}
-	c := &w.calls[i]
-	*c = call{node: s.index, nodeIncarnation: s.incarnation, ep: ep, localEp: own, sends: c.sends[:0], startedAt: w.now, inUse: true}
-	w.Stats.Calls++
-	w.destinations.Coming(ep, 1)
+	c := &sim.calls[i]
+	*c = call{
+		node:            s.index,
+		nodeIncarnation: s.incarnation,
+		ep:              ep,
+		localEp:         localEp,
+		sends:           c.sends[:0],
+		startedAt:       sim.now,
+		inUse:           true,
+	}
+	sim.Stats.Calls++
+	sim.destinations.Coming(ep, 1)
 	return i
 }
 
-// freeCall gives a call's number back once it is over and nothing that is planned knows it.
-func (w *Simulation) freeCall(i int32) {
-	if c := &w.calls[i]; c.inUse && c.closed && c.scheduled == 0 {
+// freeCall returns a call's number to the pool once the call is closed and no scheduled event refers to it.
+func (sim *Simulation) freeCall(i int32) {
+	if c := &sim.calls[i]; c.inUse && c.closed && c.scheduled == 0 {
 		c.inUse = false
-		w.freeCalls = append(w.freeCalls, i)
+		sim.freeCalls = append(sim.freeCalls, i)
 		for _, o := range c.sends {
-			w.events[o.evt].refs--
-			w.freeEvent(o.evt)
+			sim.events[o.evt].refs--
+			sim.freeEvent(o.evt)
 		}
 	}
 }
 
-func (w *Simulation) scheduleCall(at int64, what simEventKind, i int32) {
-	w.calls[i].scheduled++
-	w.queue.schedule(at, what, i, 0, 0)
+func (sim *Simulation) scheduleCall(at int64, kind simEventKind, i int32) {
+	sim.calls[i].scheduled++
+	sim.queue.schedule(at, kind, i, 0, 0)
 }
 
-// startCall makes a call: on an idle connection, or on a new one.
-func (w *Simulation) startCall(i int32) {
-	c := &w.calls[i]
-	s := w.nodes[c.node]
-	p := &w.destinations.Endpoints[c.ep]
-	delay := int64(w.scenario.Fleet.NetworkDelay)
+// startCall sends a call on an idle connection, or opens a new one for it.
+func (sim *Simulation) startCall(i int32) {
+	c := &sim.calls[i]
+	s := sim.nodes[c.node]
+	p := &sim.destinations.Endpoints[c.ep]
+	delay := int64(sim.scenario.Fleet.NetworkDelay)
 	if s.takeIdleConnection(c.ep, c.localEp) {
 		c.connected, c.epoch = true, p.Epoch
-		w.scheduleCall(w.now+delay, simCallReached, i)
+		sim.scheduleCall(sim.now+delay, simCallReached, i)
 		return
 	}
-	w.Stats.Connections++
-	switch w.destinations.Connect(w.now, c.ep) {
+	sim.Stats.Connections++
+	switch sim.destinations.Connect(sim.now, c.ep) {
 	case partner.Connected:
 		c.connected, c.epoch = true, p.Epoch
-		w.scheduleCall(w.now+3*delay+int64(w.scenario.DestinationKinds[p.Kind].Handshake), simCallReached, i)
+		sim.scheduleCall(sim.now+3*delay+int64(sim.scenario.DestinationKinds[p.Kind].Handshake), simCallReached, i)
 	case partner.NotConnected:
-		w.destinations.Coming(c.ep, -1)
+		sim.destinations.Coming(c.ep, -1)
 		c.result = partner.Fate{How: delivery.ConnectFailed}
-		w.scheduleCall(w.now+2*delay, simResponse, i)
+		sim.scheduleCall(sim.now+2*delay, simResponse, i)
 	case partner.NoSign:
-		w.destinations.Coming(c.ep, -1)
+		sim.destinations.Coming(c.ep, -1)
 		c.result = partner.Fate{How: delivery.ConnectFailed}
-		w.scheduleCall(w.now+connectTimeout, simResponse, i)
+		sim.scheduleCall(sim.now+connectTimeout, simResponse, i)
 	}
 }
 
-// callReached is a call's last byte at its endpoint.
-func (w *Simulation) callReached(i int32) {
-	c := &w.calls[i]
+// callReached handles the arrival of a call's last byte at its endpoint.
+func (sim *Simulation) callReached(i int32) {
+	c := &sim.calls[i]
 	c.scheduled--
-	w.destinations.Coming(c.ep, -1)
-	if c.closed { // it was called off on the way; closed before its last byte came, it did not run
-		w.freeCall(i)
+	sim.destinations.Coming(c.ep, -1)
+	if c.closed { // it was cancelled on the way: closed before its last byte arrived, it did not run
+		sim.freeCall(i)
 		return
 	}
-	if c.epoch != w.destinations.Endpoints[c.ep].Epoch { // its process died meanwhile
+	if c.epoch != sim.destinations.Endpoints[c.ep].Epoch { // the endpoint's process died meanwhile
 		c.result, c.reached = partner.Fate{How: delivery.Reset}, true
-		w.scheduleCall(w.now+int64(w.scenario.Fleet.NetworkDelay), simResponse, i)
+		sim.scheduleCall(sim.now+int64(sim.scenario.Fleet.NetworkDelay), simResponse, i)
 		return
 	}
 	c.reached = true
 	work := int64(0)
 	for _, o := range c.sends {
-		work = max(work, w.events[o.evt].work)
+		work = max(work, sim.events[o.evt].work)
 	}
-	c.reachedAt = w.now
-	work += work / 4 * int64(len(c.sends)-1) // several in one call take less than each alone
-	falls := len(w.destinations.Falls)
-	fate := w.destinations.Arrive(
-		w.now,
+	c.reachedAt = sim.now
+	work += work / 4 * int64(len(c.sends)-1) // a batch takes less time than its events one by one
+	overloads := len(sim.destinations.Falls)
+	result := sim.destinations.Arrive(
+		sim.now,
 		c.ep,
-		w.nodes[c.node].sawOutage(w.destinations.LaneOf(c.ep)),
+		sim.nodes[c.node].sawOutage(sim.destinations.LaneOf(c.ep)),
 		work,
 		len(c.sends),
 	)
-	c = &w.calls[i]
-	c.result, c.takesEffect = fate, fate.Ran
-	if len(w.destinations.Falls) > falls {
+	c = &sim.calls[i]
+	c.result, c.takesEffect = result, result.Ran
+	if len(sim.destinations.Falls) > overloads {
 		c.takesEffect = false
-		w.destinationOverloaded(w.destinations.Falls[len(w.destinations.Falls)-1])
+		sim.destinationOverloaded(sim.destinations.Falls[len(sim.destinations.Falls)-1])
 		return
 	}
 	switch {
-	case !c.result.Answers(): // until its node gives it up
-	case c.result.Ran || c.result.Done > w.now:
+	case !c.result.Answers(): // no answer: the call lasts until its node abandons it
+	case c.result.Ran || c.result.Done > sim.now:
 		for n := range c.sends {
-			c.sends[n].duplicate = c.result.Ran && w.checker.RecordCallReceived(w.now, c.sends[n].evt)
+			c.sends[n].duplicate = c.result.Ran && sim.checker.RecordCallReceived(sim.now, c.sends[n].evt)
 		}
-		w.scheduleCall(c.result.Done, simCallDone, i)
+		sim.scheduleCall(c.result.Done, simCallDone, i)
 	default:
-		w.scheduleCall(w.now+int64(w.scenario.Fleet.NetworkDelay), simResponse, i)
+		sim.scheduleCall(sim.now+int64(sim.scenario.Fleet.NetworkDelay), simResponse, i)
 	}
 }
 
-// destinationOverloaded tells the ledger that a destination was pushed over, and breaks the connections there.
-func (w *Simulation) destinationOverloaded(f partner.Fall) {
-	w.checker.RecordOverload(w.now, f.Dest, f.Offered, f.Informed, f.Allowed)
-	w.traceEntry("fell", -1, f.Dest, int64(f.Offered))
-	w.resetCalls(func(c *call) bool { return w.destinations.LaneOf(c.ep) == f.Lane })
+// destinationOverloaded tells the checker that a cold destination was overloaded, and resets its connections.
+func (sim *Simulation) destinationOverloaded(f partner.Fall) {
+	sim.checker.RecordOverload(sim.now, f.Dest, f.Offered, f.Informed, f.Allowed)
+	sim.traceEntry("fell", -1, f.Dest, int64(f.Offered))
+	sim.resetCalls(func(c *call) bool { return sim.destinations.LaneOf(c.ep) == f.Lane })
 }
 
-// resetCalls breaks the connections of calls that are out.
-func (w *Simulation) resetCalls(which func(*call) bool) {
-	for i := range w.calls {
-		c := &w.calls[i]
+// resetCalls resets the connections of the open calls for which the function returns true.
+func (sim *Simulation) resetCalls(which func(*call) bool) {
+	for i := range sim.calls {
+		c := &sim.calls[i]
 		if c.inUse && !c.closed && c.connected && which(c) {
 			c.result = partner.Fate{How: delivery.Reset}
 			c.reached = true
 			c.epoch = ^uint32(0)
-			w.scheduleCall(w.now+int64(w.scenario.Fleet.NetworkDelay), simResponse, int32(i))
+			sim.scheduleCall(sim.now+int64(sim.scenario.Fleet.NetworkDelay), simResponse, int32(i))
 		}
 	}
 }
 
-// callDone is an endpoint that is done with a call: it takes effect, and its answer leaves.
-func (w *Simulation) callDone(i int32) {
-	c := &w.calls[i]
+// callDone handles an endpoint finishing a call: its events take effect, and its answer is sent.
+func (sim *Simulation) callDone(i int32) {
+	c := &sim.calls[i]
 	c.scheduled--
-	runs, leaves := w.destinations.Finish(c.ep, c.epoch)
+	runs, leaves := sim.destinations.Finish(c.ep, c.epoch)
 	if c.takesEffect {
 		for _, o := range c.sends {
-			w.checker.RecordCallDone(w.now, c.reachedAt, o.evt, runs, o.duplicate)
-			w.traceEntry("run", c.node, o.evt, int64(o.number))
+			sim.checker.RecordCallDone(sim.now, c.reachedAt, o.evt, runs, o.duplicate)
+			sim.traceEntry("run", c.node, o.evt, int64(o.number))
 		}
 	}
 	if leaves && !c.closed && runs {
-		w.scheduleCall(w.now+c.result.After+int64(w.scenario.Fleet.NetworkDelay), simResponse, i)
+		sim.scheduleCall(sim.now+c.result.After+int64(sim.scenario.Fleet.NetworkDelay), simResponse, i)
 		return
 	}
-	w.freeCall(i)
+	sim.freeCall(i)
 }
 
-// handleResponse is an handleResponse, or the end of a connection, at a node.
-func (w *Simulation) handleResponse(i int32) {
-	c := &w.calls[i]
+// handleResponse handles the arrival of an answer, or of a connection's end, at a node.
+func (sim *Simulation) handleResponse(i int32) {
+	c := &sim.calls[i]
 	c.scheduled--
-	s := w.nodes[c.node]
+	s := sim.nodes[c.node]
 	if c.closed || s.incarnation != c.nodeIncarnation || s.phase == dead {
 		c.closed = true
-		w.freeCall(i)
+		sim.freeCall(i)
 		return
 	}
-	if s.frozenUntil > w.now {
-		w.scheduleCall(s.frozenUntil, simResponse, i)
+	if s.frozenUntil > sim.now {
+		sim.scheduleCall(s.frozenUntil, simResponse, i)
 		return
 	}
 	c.closed = true
 	f := &c.result
-	lane := w.destinations.LaneOf(c.ep)
+	lane := sim.destinations.LaneOf(c.ep)
 	s.recordFailure(lane, c.startedAt, f.How)
 	if f.How == delivery.Refused && f.Wait > 0 {
-		w.checker.RecordRetryAfter(w.now, c.node, lane, f.Wait)
+		sim.checker.RecordRetryAfter(sim.now, c.node, lane, f.Wait)
 	}
 	if c.connected && (f.How == delivery.Acked || f.How == delivery.Errored || f.How == delivery.Refused) &&
-		c.epoch == w.destinations.Endpoints[c.ep].Epoch {
-		s.idleConnections[c.localEp] = append(s.idleConnections[c.localEp], idleConnection{w.now, c.epoch})
+		c.epoch == sim.destinations.Endpoints[c.ep].Epoch {
+		s.idleConnections[c.localEp] = append(s.idleConnections[c.localEp], idleConnection{sim.now, c.epoch})
 	} else {
-		w.closeConnection(c)
+		sim.closeConnection(c)
 	}
 	for n := range c.sends {
 		o := &c.sends[n]
-		if e := &w.events[o.evt]; e.incarnation != o.incarnation {
+		if e := &sim.events[o.evt]; e.incarnation != o.incarnation {
 			continue
 		} else if o.abandoned {
 			if f.How == delivery.Acked && e.end == checker.Open {
@@ -190,63 +198,70 @@
 			}
 			continue
 		}
-		w.reportOutcome(s, c, o, f.How, f.Wait, f.Left, f.Limit)
+		sim.reportOutcome(s, c, o, f.How, f.Wait, f.Left, f.Limit)
 	}
-	w.freeCall(i)
+	sim.freeCall(i)
 }
 
-// reportOutcome tells a node's module how one send ended.
-func (w *Simulation) reportOutcome(s *simNode, c *call, o *callSend, how delivery.Outcome, wait int64, left, limit float64) {
-	e := &w.events[o.evt]
+// reportOutcome reports to a node's scheduler how one send ended.
+func (sim *Simulation) reportOutcome(
+	s *simNode,
+	c *call,
+	o *callSend,
+	outcome delivery.Outcome,
+	retryAfter int64,
+	limitLeft, limit float64,
+) {
+	e := &sim.events[o.evt]
 	e.inFlight--
 	e.call = -1
-	w.checker.RecordOutcome(w.now, o.evt, int(o.number), how)
-	w.traceEntry("hear", s.index, o.evt, int64(how))
-	if how == delivery.Acked { // the journal has it before the module hears
+	sim.checker.RecordOutcome(sim.now, o.evt, int(o.number), outcome)
+	sim.traceEntry("hear", s.index, o.evt, int64(outcome))
+	if outcome == delivery.Acked { // the journal records it before the scheduler is told
 		s.endEvent(o.evt, checker.Acked, 0)
 	}
-	if s.phase >= closing { // nothing is decided any more
+	if s.phase >= closing { // the scheduler no longer runs
 		return
 	}
 	s.enqueue(
 		input{
 			kind:       inputOutcome,
-			outcome:    how,
-			ended:      how == delivery.Acked,
+			outcome:    outcome,
+			ended:      outcome == delivery.Acked,
 			evt:        o.evt,
 			send:       o.number,
 			ep:         c.localEp,
-			retryAfter: wait,
-			latency:    w.now - c.startedAt,
-			limitLeft:  left,
+			retryAfter: retryAfter,
+			latency:    sim.now - c.startedAt,
+			limitLeft:  limitLeft,
 			limit:      limit,
 		},
 	)
 }
 
-// handleSendTimeout is the end of the time that a node waits for a send.
-func (w *Simulation) handleSendTimeout(evt, number int32, life int64) {
-	e := &w.events[evt]
-	if e.incarnation != life || e.inFlight == 0 || e.currentSend != number {
+// handleSendTimeout handles the expiry of the time that a node waits for a send.
+func (sim *Simulation) handleSendTimeout(evt, number int32, incarnation int64) {
+	e := &sim.events[evt]
+	if e.incarnation != incarnation || e.inFlight == 0 || e.currentSend != number {
 		return
 	}
-	s := w.nodes[e.node]
-	if s.frozenUntil > w.now {
-		w.queue.schedule(s.frozenUntil, simSendTimeout, evt, number, life)
+	s := sim.nodes[e.node]
+	if s.frozenUntil > sim.now {
+		sim.queue.schedule(s.frozenUntil, simSendTimeout, evt, number, incarnation)
 		return
 	}
-	w.abandonSend(evt, number, delivery.TimedOut)
+	sim.abandonSend(evt, number, delivery.TimedOut)
 }
 
-// abandonSend stops waiting for a send. What did not reach its endpoint by then never ran.
-func (w *Simulation) abandonSend(evt, number int32, how delivery.Outcome) {
-	e := &w.events[evt]
+// abandonSend stops waiting for a send. A call that has not reached its endpoint by then never runs.
+func (sim *Simulation) abandonSend(evt, number int32, outcome delivery.Outcome) {
+	e := &sim.events[evt]
 	if e.call < 0 {
 		return
 	}
 	i := e.call
-	c := &w.calls[i]
-	s := w.nodes[e.node]
+	c := &sim.calls[i]
+	s := sim.nodes[e.node]
 	for n := range c.sends {
 		o := &c.sends[n]
 		if o.evt != evt || o.number != number || o.abandoned || c.closed {
@@ -255,35 +270,35 @@
 		o.abandoned = true
 		if c.activeSends--; c.activeSends == 0 {
 			c.closed = true
-			w.closeConnection(c)
+			sim.closeConnection(c)
 		} else if !c.reached {
-			o.abandoned = false // it cannot be taken out of a call that is under way
+			o.abandoned = false // it cannot be taken out of a call that is on its way with other sends
 			c.activeSends++
 			return
 		}
 		if !c.reached {
-			if how == delivery.TimedOut {
-				how = delivery.ConnectFailed
+			if outcome == delivery.TimedOut {
+				outcome = delivery.ConnectFailed
 			} else {
-				how = delivery.Unsent
+				outcome = delivery.Unsent
 			}
 		}
-		s.recordFailure(w.destinations.LaneOf(c.ep), c.startedAt, how)
-		w.reportOutcome(s, c, o, how, 0, 0, 0)
-		w.freeCall(i)
+		s.recordFailure(sim.destinations.LaneOf(c.ep), c.startedAt, outcome)
+		sim.reportOutcome(s, c, o, outcome, 0, 0, 0)
+		sim.freeCall(i)
 		return
 	}
 }
 
-func (w *Simulation) closeConnection(c *call) {
+func (sim *Simulation) closeConnection(c *call) {
 	if c.connected {
 		c.connected = false
-		w.destinations.Close(c.ep, c.epoch)
+		sim.destinations.Close(c.ep, c.epoch)
 	}
 }
 
-func (w *Simulation) closeConnections(ep int32, list []idleConnection) {
+func (sim *Simulation) closeConnections(ep int32, list []idleConnection) {
 	for _, l := range list {
-		w.destinations.Close(ep, l.epoch)
+		sim.destinations.Close(ep, l.epoch)
 	}
 }
--- a/lab/simulator/faults.go
+++ b/lab/simulator/faults.go
@@ -8,14 +8,14 @@
 	"jaspersill/lab/scenario"
 )
 
-// faultState is what a trouble meets, drawn at the start.
+// faultState is a fault's targets, drawn at the start of the run, and whether it is active.
 type faultState struct {
 	eps, nodes []int32
 	active     bool
 	endsAt     int64
 }
 
-// faultModes are the troubles that are a mode of an endpoint.
+// faultModes maps the fault kinds that put an endpoint into a mode.
 var faultModes = map[string]partner.Mode{
 	"refuse": partner.Refusing,
 	"silent": partner.Silent,
@@ -24,246 +24,250 @@
 	"fail":   partner.Failing,
 }
 
-// FaultTargetStream is the stream of chance from which is drawn whom troubles meet.
+// FaultTargetStream is the random stream from which fault targets are drawn.
 const FaultTargetStream = 0x77b1
 
-// DrawFaultTargets draws the endpoints and the nodes that a trouble meets.
-func DrawFaultTargets(t *scenario.Fault, whom *rand.Rand, byDest [][]int32, nodes int) (eps, met []int32) {
+// DrawFaultTargets draws the endpoints and the nodes that a fault affects.
+func DrawFaultTargets(
+	fault *scenario.Fault, random *rand.Rand, byDest [][]int32, nodeCount int,
+) (eps, nodeTargets []int32) {
 	var dests []int
-	if t.Destination > 0 {
-		dests = []int{t.Destination - 1}
-	} else if t.Destinations > 0 {
-		dests = whom.Perm(len(byDest))[:min(t.Destinations, len(byDest))]
+	if fault.Destination > 0 {
+		dests = []int{fault.Destination - 1}
+	} else if fault.Destinations > 0 {
+		dests = random.Perm(len(byDest))[:min(fault.Destinations, len(byDest))]
 	}
 	for _, d := range dests {
-		list := byDest[d]
-		if t.Endpoints > 0 && t.Endpoints < len(list) {
-			for _, at := range whom.Perm(len(list))[:t.Endpoints] {
-				eps = append(eps, list[at])
+		endpoints := byDest[d]
+		if fault.Endpoints > 0 && fault.Endpoints < len(endpoints) {
+			for _, at := range random.Perm(len(endpoints))[:fault.Endpoints] {
+				eps = append(eps, endpoints[at])
 			}
 		} else {
-			eps = append(eps, list...)
+			eps = append(eps, endpoints...)
 		}
 	}
 	switch {
-	case t.Node > 0:
-		met = []int32{int32(t.Node - 1)}
-	case t.Nodes > 0:
-		for _, n := range whom.Perm(nodes)[:min(t.Nodes, nodes)] {
-			met = append(met, int32(n))
+	case fault.Node > 0:
+		nodeTargets = []int32{int32(fault.Node - 1)}
+	case fault.Nodes > 0:
+		for _, n := range random.Perm(nodeCount)[:min(fault.Nodes, nodeCount)] {
+			nodeTargets = append(nodeTargets, int32(n))
 		}
 	}
-	return eps, met
+	return eps, nodeTargets
 }
 
-// drawFaults draws whom each trouble meets and plans its beginning.
-func (w *Simulation) drawFaults() {
-	for i := range w.scenario.Faults {
-		t := &w.scenario.Faults[i]
-		var m faultState
-		m.eps, m.nodes = DrawFaultTargets(t, w.faultRandom, w.destinations.ByDest, len(w.nodes))
-		m.endsAt = int64(t.Start) + int64(t.Duration)
-		w.faults = append(w.faults, m)
-		w.queue.schedule(int64(t.Start), simFaultStart, int32(i), 0, 0)
+// drawFaults draws the targets of each fault and schedules its start.
+func (sim *Simulation) drawFaults() {
+	for i := range sim.scenario.Faults {
+		fault := &sim.scenario.Faults[i]
+		var state faultState
+		state.eps, state.nodes = DrawFaultTargets(fault, sim.faultRandom, sim.destinations.ByDest, len(sim.nodes))
+		state.endsAt = int64(fault.Start) + int64(fault.Duration)
+		sim.faults = append(sim.faults, state)
+		sim.queue.schedule(int64(fault.Start), simFaultStart, int32(i), 0, 0)
 	}
-	w.faultsByEndpoint = make([][]int, len(w.destinations.Endpoints))
+	sim.faultsByEndpoint = make([][]int, len(sim.destinations.Endpoints))
 }
 
-// startFault puts a trouble in force.
-func (w *Simulation) startFault(i int, _ int32) {
-	t, m := &w.scenario.Faults[i], &w.faults[i]
-	w.traceEntry("trouble", -1, int32(i), 1)
-	m.active = true
-	if t.Duration > 0 {
-		off := m.endsAt
-		if t.Period > 0 {
-			off = min(off, w.now+int64(t.Period)/2)
+// startFault activates a fault.
+func (sim *Simulation) startFault(i int, _ int32) {
+	fault, state := &sim.scenario.Faults[i], &sim.faults[i]
+	sim.traceEntry("trouble", -1, int32(i), 1)
+	state.active = true
+	if fault.Duration > 0 {
+		endAt := state.endsAt
+		if fault.Period > 0 {
+			endAt = min(endAt, sim.now+int64(fault.Period)/2)
 		}
-		w.queue.schedule(max(off, w.now+1), simFaultEnd, int32(i), 0, 0)
+		sim.queue.schedule(max(endAt, sim.now+1), simFaultEnd, int32(i), 0, 0)
 	}
-	switch t.Kind {
+	switch fault.Kind {
 	case "replace":
-		for _, ep := range m.eps {
-			w.replaceEndpoint(ep)
+		for _, ep := range state.eps {
+			sim.replaceEndpoint(ep)
 		}
 	case "kill":
-		for _, n := range m.nodes {
-			s := w.nodes[n]
+		for _, n := range state.nodes {
+			s := sim.nodes[n]
 			if s.phase != dead {
-				w.killNode(s)
-				w.queue.schedule(w.now+max(int64(w.scenario.Fleet.RestartTime), 1), simNodeStart, n, 0, 0)
-				w.routable[n] = false // it refuses, and clients try another
+				sim.killNode(s)
+				sim.queue.schedule(sim.now+max(int64(sim.scenario.Fleet.RestartTime), 1), simNodeStart, n, 0, 0)
+				sim.routable[n] = false // connections are refused, and clients try another node
 			}
 		}
 	case "drain":
-		for _, n := range m.nodes {
-			if s := w.nodes[n]; s.phase == serving {
+		for _, n := range state.nodes {
+			if s := sim.nodes[n]; s.phase == serving {
 				s.phase = draining
-				w.checker.RecordNodeStopping(n)
-				w.routable[n] = false
-				w.queue.schedule(w.now+drainStopDeciding, simDrainStep, n, 0, s.incarnation)
+				sim.checker.RecordNodeStopping(n)
+				sim.routable[n] = false
+				sim.queue.schedule(sim.now+drainStopDeciding, simDrainStep, n, 0, s.incarnation)
 			}
 		}
 	case "freeze":
-		for _, n := range m.nodes {
-			if s := w.nodes[n]; s.phase != dead {
-				s.frozenUntil = max(s.frozenUntil, m.endsAt)
-				w.queue.schedule(s.frozenUntil, simNodeThaw, n, 0, 0)
+		for _, n := range state.nodes {
+			if s := sim.nodes[n]; s.phase != dead {
+				s.frozenUntil = max(s.frozenUntil, state.endsAt)
+				sim.queue.schedule(s.frozenUntil, simNodeThaw, n, 0, 0)
 			}
 		}
 	case "directory-down":
-		w.directoryDown++
-		for _, s := range w.nodes {
+		sim.directoryDown++
+		for _, s := range sim.nodes {
 			if s.watching {
 				s.watching = false
 				s.enqueue(input{kind: inputListFailed})
 			}
 		}
 	case "directory-still":
-		w.directoryFrozen++
+		sim.directoryFrozen++
 	case "notes-lost":
-		w.peerMessageLoss = max(w.peerMessageLoss, t.Share)
+		sim.peerMessageLoss = max(sim.peerMessageLoss, fault.Share)
 	default:
-		for _, ep := range m.eps {
-			w.faultsByEndpoint[ep] = append(w.faultsByEndpoint[ep], i)
-			w.applyFaults(ep)
+		for _, ep := range state.eps {
+			sim.faultsByEndpoint[ep] = append(sim.faultsByEndpoint[ep], i)
+			sim.applyFaults(ep)
 		}
 	}
 }
 
-// endFault ends a trouble, or pauses one that comes and goes.
-func (w *Simulation) endFault(i int, _ int32) {
-	t, m := &w.scenario.Faults[i], &w.faults[i]
-	if !m.active {
+// endFault ends a fault, or pauses an intermittent one.
+func (sim *Simulation) endFault(i int, _ int32) {
+	fault, state := &sim.scenario.Faults[i], &sim.faults[i]
+	if !state.active {
 		return
 	}
-	m.active = false
-	w.traceEntry("trouble", -1, int32(i), 0)
-	if t.Period > 0 && w.now+int64(t.Period)/2 < m.endsAt {
-		w.queue.schedule(w.now+int64(t.Period)/2, simFaultStart, int32(i), 0, 0)
+	state.active = false
+	sim.traceEntry("trouble", -1, int32(i), 0)
+	if fault.Period > 0 && sim.now+int64(fault.Period)/2 < state.endsAt {
+		sim.queue.schedule(sim.now+int64(fault.Period)/2, simFaultStart, int32(i), 0, 0)
 	}
-	switch t.Kind {
+	switch fault.Kind {
 	case "directory-down":
-		w.directoryDown--
+		sim.directoryDown--
 	case "directory-still":
-		w.directoryFrozen--
+		sim.directoryFrozen--
 	case "notes-lost":
-		w.peerMessageLoss = 0
+		sim.peerMessageLoss = 0
 	case "replace", "kill", "drain", "freeze":
 	default:
-		for _, ep := range m.eps {
-			list := w.faultsByEndpoint[ep]
+		for _, ep := range state.eps {
+			list := sim.faultsByEndpoint[ep]
 			for n, j := range list {
 				if j == i {
-					w.faultsByEndpoint[ep] = append(list[:n:n], list[n+1:]...)
+					sim.faultsByEndpoint[ep] = append(list[:n:n], list[n+1:]...)
 					break
 				}
 			}
-			w.applyFaults(ep)
+			sim.applyFaults(ep)
 		}
 	}
 }
 
-// CombineFaults is what some of a day's troubles, all in force, make of an endpoint.
-func CombineFaults(troubles []scenario.Fault, inForce []int) partner.Trouble {
+// CombineFaults merges the active ones of a scenario's faults into their joint effect on an endpoint.
+func CombineFaults(faults []scenario.Fault, active []int) partner.Trouble {
 	p := partner.Trouble{Slow: 1, Late: 1}
-	for _, i := range inForce {
-		t := &troubles[i]
-		share, times := t.Share, t.Factor
+	for _, i := range active {
+		fault := &faults[i]
+		share, factor := fault.Share, fault.Factor
 		if share == 0 {
 			share = 1
 		}
-		if times == 0 {
-			times = 1
+		if factor == 0 {
+			factor = 1
 		}
-		p.Mode = max(p.Mode, faultModes[t.Kind])
-		p.Warm = p.Warm || t.ReturnsWarm
-		switch t.Kind {
+		p.Mode = max(p.Mode, faultModes[fault.Kind])
+		p.Warm = p.Warm || fault.ReturnsWarm
+		switch fault.Kind {
 		case "shut":
-			p.Opens = max(p.Opens, int64(t.Start+t.Duration))
+			p.Opens = max(p.Opens, int64(fault.Start+fault.Duration))
 		case "fail":
 			p.Fail = max(p.Fail, share)
 		case "slow":
-			p.Slow *= times
+			p.Slow *= factor
 		case "lose":
 			p.Lose = 1 - (1-p.Lose)*(1-share)
 		case "spoil":
 			p.Spoil = 1 - (1-p.Spoil)*(1-share)
 		case "late":
-			p.LateMost, p.Late = max(p.LateMost, share), max(p.Late, times)
+			p.LateMost, p.Late = max(p.LateMost, share), max(p.Late, factor)
 		}
 	}
 	return p
 }
 
-// applyFaults puts in force what all the troubles make of an endpoint.
-func (w *Simulation) applyFaults(ep int32) {
-	if w.destinations.Meet(w.now, ep, CombineFaults(w.scenario.Faults, w.faultsByEndpoint[ep])) {
-		w.resetCalls(func(c *call) bool { return c.ep == ep })
+// applyFaults applies the joint effect of all active faults to an endpoint.
+func (sim *Simulation) applyFaults(ep int32) {
+	if sim.destinations.Meet(sim.now, ep, CombineFaults(sim.scenario.Faults, sim.faultsByEndpoint[ep])) {
+		sim.resetCalls(func(c *call) bool { return c.ep == ep })
 	}
 }
 
-// replaceEndpoint lets an endpoint drain, and a new one take its place.
-func (w *Simulation) replaceEndpoint(ep int32) {
-	e := &w.destinations.Endpoints[ep]
+// replaceEndpoint starts draining an endpoint and adds a new one in its place.
+func (sim *Simulation) replaceEndpoint(ep int32) {
+	e := &sim.destinations.Endpoints[ep]
 	if e.Gone || e.Draining {
 		return
 	}
-	next := w.destinations.Replace(ep)
-	w.faultsByEndpoint = append(w.faultsByEndpoint, append([]int(nil), w.faultsByEndpoint[ep]...))
-	w.directoryStates = append(w.directoryStates, delivery.Gone)
-	w.applyFaults(next)
-	w.scheduleDirectoryChange(ep, delivery.Draining)
-	w.scheduleDirectoryChange(next, delivery.Ready)
-	w.queue.schedule(w.now+int64(w.scenario.Fleet.DirectoryDelay)+int64(w.scenario.Rules.DrainGrace)+endpointDrainTime, simEndpointGone, ep, 0, 0)
+	replacement := sim.destinations.Replace(ep)
+	sim.faultsByEndpoint = append(sim.faultsByEndpoint, append([]int(nil), sim.faultsByEndpoint[ep]...))
+	sim.directoryStates = append(sim.directoryStates, delivery.Gone)
+	sim.applyFaults(replacement)
+	sim.scheduleDirectoryChange(ep, delivery.Draining)
+	sim.scheduleDirectoryChange(replacement, delivery.Ready)
+	sim.queue.schedule(
+		sim.now+int64(sim.scenario.Fleet.DirectoryDelay)+int64(sim.scenario.Rules.DrainGrace)+endpointDrainTime,
+		simEndpointGone, ep, 0, 0)
 }
 
-// scheduleDirectoryChange is a change that the directory tells after its delay.
-func (w *Simulation) scheduleDirectoryChange(ep int32, state delivery.EndpointState) {
-	w.changes = append(w.changes, endpointChange{ep: ep, state: state})
-	w.queue.schedule(w.now+int64(w.scenario.Fleet.DirectoryDelay), simDirectoryChange, 0, 0, 0)
+// scheduleDirectoryChange records a directory change, which is published after the directory's delay.
+func (sim *Simulation) scheduleDirectoryChange(ep int32, state delivery.EndpointState) {
+	sim.changes = append(sim.changes, endpointChange{ep: ep, state: state})
+	sim.queue.schedule(sim.now+int64(sim.scenario.Fleet.DirectoryDelay), simDirectoryChange, 0, 0, 0)
 }
 
-// publishDirectoryChanges is the directory telling the changes that are due to all who watch.
-func (w *Simulation) publishDirectoryChanges() {
-	if w.directoryDown > 0 || w.directoryFrozen > 0 { // what was not told is told later
-		w.queue.schedule(w.now+second/10, simDirectoryChange, 0, 0, 0)
+// publishDirectoryChanges sends the changes that are due to all watching nodes.
+func (sim *Simulation) publishDirectoryChanges() {
+	if sim.directoryDown > 0 || sim.directoryFrozen > 0 { // retry until the directory publishes again
+		sim.queue.schedule(sim.now+second/10, simDirectoryChange, 0, 0, 0)
 		return
 	}
-	first := w.publishedChanges
-	w.publishedChanges = len(w.changes)
-	for _, c := range w.changes[first:] {
-		w.directoryStates[c.ep] = c.state
+	first := sim.publishedChanges
+	sim.publishedChanges = len(sim.changes)
+	for _, c := range sim.changes[first:] {
+		sim.directoryStates[c.ep] = c.state
 	}
-	for _, s := range w.nodes {
+	for _, s := range sim.nodes {
 		if s.watching && s.phase < closing {
-			w.recordDrains(s, w.changes[first:])
-			s.enqueue(input{kind: inputListChange, evt: int32(first), send: int32(w.publishedChanges)})
+			sim.recordDrains(s, sim.changes[first:])
+			s.enqueue(input{kind: inputListChange, evt: int32(first), send: int32(sim.publishedChanges)})
 		}
 	}
 }
 
-// recordDrains tells the ledger what a node was told to leave.
-func (w *Simulation) recordDrains(s *simNode, changes []endpointChange) {
+// recordDrains tells the checker which endpoints a node has been told are draining or gone.
+func (sim *Simulation) recordDrains(s *simNode, changes []endpointChange) {
 	for _, c := range changes {
 		if c.state != delivery.Ready {
-			w.checker.RecordDrain(w.now, s.index, c.ep)
+			sim.checker.RecordDrain(sim.now, s.index, c.ep)
 		}
 	}
 }
 
-// handleWatchResponse is the answer to a node's call for a watch: the whole list, or nothing.
-func (w *Simulation) handleWatchResponse(n int32, life int64) {
-	s := w.nodes[n]
-	if s.incarnation != life || s.phase >= closing {
+// handleWatchResponse delivers the response to a node's watch request: the full list, or a failure.
+func (sim *Simulation) handleWatchResponse(n int32, incarnation int64) {
+	s := sim.nodes[n]
+	if s.incarnation != incarnation || s.phase >= closing {
 		return
 	}
 	s.watchPending = false
-	if w.directoryDown > 0 {
+	if sim.directoryDown > 0 {
 		s.enqueue(input{kind: inputListFailed})
 		return
 	}
 	s.watching = true
-	w.recordDrains(s, w.changes[:w.publishedChanges])
+	sim.recordDrains(s, sim.changes[:sim.publishedChanges])
 	s.enqueue(input{kind: inputFullList})
 }
--- a/lab/simulator/node.go
+++ b/lab/simulator/node.go
@@ -6,54 +6,54 @@
 	"jaspersill/lab/checker"
 )
 
-// phase is where a seat's node stands.
+// phase is a node's phase of life.
 type phase uint8
 
 const (
 	serving  phase = iota
-	draining       // asked to stop: nobody new comes, what it has goes on
-	closing        // nothing more is decided; answers are still heard
+	draining       // asked to stop: accepts no new events, goes on with those it has
+	closing        // the scheduler has stopped; answers are still received
 	dead
 )
 
-// simNode is one delivery node: what it carries out, round its decision module. It does what package node does
-// on sockets, in virtual time.
+// simNode is one simulated delivery node. It runs its scheduler and carries out its decisions in virtual time, as
+// package node does on sockets.
 type simNode struct {
 	sim         *Simulation
 	index       int32
-	incarnation int64 // grows with each start: what belongs to a former one is passed over
+	incarnation int64 // grows with each start; simulator events of an earlier start are ignored
 	scheduler   delivery.Scheduler
 	phase       phase
-	frozenUntil int64 // until when it stands still; 0 where it does not
+	frozenUntil int64 // end of the freeze; 0 if it is not frozen
 
 	inputs      []input
 	spareInputs []input
-	lastRound   int64 // of its last round
-	nextRound   int64 // its next round, 0 for none
+	lastRound   int64 // when the scheduler last ran
+	nextRound   int64 // when it will run next, 0 if no round is scheduled
 	wakeAt      int64
 
-	eventByIndex    []int32 // events by its own index
+	eventByIndex    []int32 // event numbers by the node's own index
 	freeIndexes     []int32
-	endedEvents     []int32 // whose index is free after this round
+	endedEvents     []int32 // events whose index is freed after this round
 	heldEvents      int
 	endpoints       door.Table[int32]
-	idleConnections [][]idleConnection // idle connections by its own endpoint index, the one used last at the end
-	seenOutage      []int64            // by lane: the beginning of the last outage that it saw
+	idleConnections [][]idleConnection // by the node's own endpoint index, the most recently used last
+	seenOutage      []int64            // by lane: start of the last outage that the node noticed
 	openCalls       []int32            // calls opened in this round
-	newEvents       []int32            // events handed in in this round
+	newEvents       []int32            // events passed to the scheduler in this round
 
 	watching     bool
 	watchPending bool
 	roundCount   int64
 }
 
-// idleConnection is an idle connection.
+// idleConnection is an open connection without a call; epoch is that of the endpoint's process.
 type idleConnection struct {
 	lastUsed int64
 	epoch    uint32
 }
 
-// inputKind is a kind of piece.
+// inputKind is the kind of an input.
 type inputKind uint8
 
 const (
@@ -61,31 +61,32 @@
 	inputResumed
 	inputOutcome
 	inputWithdrawn
-	inputFullList // a whole list
+	inputFullList // the directory's full list
 	inputListChange
 	inputListFailed
 	inputPeerHealthy
 )
 
-// input is one input of news for the module's next round.
+// input is one input for the scheduler's next round. An inputListChange holds the half-open range from evt to send
+// of Simulation.changes.
 type input struct {
 	kind                inputKind
 	outcome             delivery.Outcome
 	ended               bool
 	evt, send           int32
-	ep                  int32 // its own index
+	ep                  int32 // the node's own index, but the endpoint's number for inputPeerHealthy
 	peer                int32
-	firstRunAt          int64 // resumed: when the first send went out that may have run
+	firstRunAt          int64 // inputResumed: start of the first send that may have run
 	retryAfter, latency int64
 	limitLeft, limit    float64
 }
 
-const idleTimeoutShare = 0.9 // part of the time after which endpoints close idle connections that a node keeps them
+const idleTimeoutShare = 0.9 // nodes close idle connections after this part of the endpoint's idle timeout
 
-// Deliver implements port.Feed.
+// Deliver implements delivery.Feed.
 func (s *simNode) Deliver(to delivery.Handler) {
-	w := s.sim
-	if s.wakeAt > 0 && w.now >= s.wakeAt {
+	sim := s.sim
+	if s.wakeAt > 0 && sim.now >= s.wakeAt {
 		s.wakeAt = 0
 		to.Woken()
 	}
@@ -94,25 +95,25 @@
 		p := &s.spareInputs[i]
 		switch p.kind {
 		case inputEvent:
-			e := &w.events[p.evt]
+			e := &sim.events[p.evt]
 			e.index = s.assignIndex(p.evt)
 			s.newEvents = append(s.newEvents, p.evt)
-			to.Event(e.index, int(e.typ), int(e.customer), e.key, e.deadline-w.now, 0, e.dest)
+			to.Event(e.index, int(e.typ), int(e.customer), e.key, e.deadline-sim.now, 0, e.dest)
 		case inputResumed:
-			e := &w.events[p.evt]
-			to.Resumed(e.index, int(p.send), p.ended, w.now-p.firstRunAt, 0)
+			e := &sim.events[p.evt]
+			to.Resumed(e.index, int(p.send), p.ended, sim.now-p.firstRunAt, 0)
 		case inputOutcome:
-			e := &w.events[p.evt]
+			e := &sim.events[p.evt]
 			if e.currentSend == p.send {
 				e.currentSend = -1
 			}
 			to.Outcome(e.index, int(p.send), p.ep, p.outcome, p.retryAfter, p.latency, p.ended, p.limitLeft, p.limit)
 			s.releaseIfDone(p.evt)
 		case inputWithdrawn:
-			to.Withdrawn(w.events[p.evt].index)
+			to.Withdrawn(sim.events[p.evt].index)
 		case inputFullList:
 			to.ListStarted(true)
-			for ep, state := range w.directoryStates {
+			for ep, state := range sim.directoryStates {
 				if state != delivery.Gone {
 					s.deliverEndpoint(to, int32(ep), state)
 				}
@@ -120,7 +121,7 @@
 			to.ListEnded()
 		case inputListChange:
 			to.ListStarted(false)
-			for _, c := range w.changes[p.evt:p.send] {
+			for _, c := range sim.changes[p.evt:p.send] {
 				s.deliverEndpoint(to, c.ep, c.state)
 			}
 			to.ListEnded()
@@ -134,21 +135,21 @@
 	}
 }
 
-// deliverEndpoint tells the module of one endpoint as the directory has it.
+// deliverEndpoint passes one endpoint's entry in the directory's list to the scheduler.
 func (s *simNode) deliverEndpoint(to delivery.Handler, ep int32, state delivery.EndpointState) {
 	e := &s.sim.destinations.Endpoints[ep]
-	own, _ := s.endpoints.Take(ep)
-	for int(own) >= len(s.idleConnections) {
+	localEp, _ := s.endpoints.Take(ep)
+	for int(localEp) >= len(s.idleConnections) {
 		s.idleConnections = append(s.idleConnections, nil)
 	}
 	rate := 0.0
 	if p := &s.sim.scenario.DestinationKinds[e.Kind]; p.LimitListed {
 		rate = p.Limit
 	}
-	to.EndpointListed(own, e.Dest, int(e.Kind), 0, state, rate)
+	to.EndpointListed(localEp, e.Dest, int(e.Kind), 0, state, rate)
 }
 
-// assignIndex gives out an index for an event.
+// assignIndex assigns one of the node's own indexes to an event.
 func (s *simNode) assignIndex(evt int32) int32 {
 	if last := len(s.freeIndexes) - 1; last >= 0 {
 		i := s.freeIndexes[last]
@@ -160,13 +161,13 @@
 	return int32(len(s.eventByIndex) - 1)
 }
 
-// enqueue takes a piece of news and plans a round for it.
+// enqueue adds an input and schedules a round for it.
 func (s *simNode) enqueue(p input) {
 	s.inputs = append(s.inputs, p)
 	s.scheduleRound(s.sim.now)
 }
 
-// scheduleRound asks for a round no earlier than a tick after the last one.
+// scheduleRound schedules a round at the given time, but no earlier than one tick after the last round.
 func (s *simNode) scheduleRound(at int64) {
 	at = max(at, s.lastRound+int64(s.sim.scenario.Fleet.Tick), s.frozenUntil)
 	if s.phase >= closing || (s.nextRound > 0 && s.nextRound <= at) {
@@ -176,58 +177,58 @@
 	s.sim.queue.schedule(at, simRound, s.index, 0, s.incarnation)
 }
 
-// runRound calls the module.
+// runRound runs the scheduler once and starts the calls it chose.
 func (s *simNode) runRound() {
-	w := s.sim
-	s.nextRound, s.lastRound = 0, w.now
+	sim := s.sim
+	s.nextRound, s.lastRound = 0, sim.now
 	s.roundCount++
-	s.scheduler.Round(w.now, s, s)
+	s.scheduler.Round(sim.now, s, s)
 	for _, evt := range s.newEvents {
-		if e := &w.events[evt]; e.end == checker.Open {
+		if e := &sim.events[evt]; e.end == checker.Open {
 			e.stored = true
 		}
 	}
 	for _, c := range s.openCalls {
-		w.startCall(c)
+		sim.startCall(c)
 	}
 	for _, evt := range s.endedEvents {
-		e := &w.events[evt]
+		e := &sim.events[evt]
 		s.freeIndexes = append(s.freeIndexes, e.index)
-		w.releaseEvent(evt)
+		sim.releaseEvent(evt)
 	}
 	s.newEvents, s.openCalls, s.endedEvents = s.newEvents[:0], s.openCalls[:0], s.endedEvents[:0]
 	switch {
 	case len(s.inputs) > 0:
-		s.scheduleRound(w.now)
+		s.scheduleRound(sim.now)
 	case s.wakeAt > 0:
 		s.scheduleRound(s.wakeAt)
 	}
 }
 
-// endEvent ends an event once.
-func (s *simNode) endEvent(evt int32, end checker.End, comeBack int64) {
-	w := s.sim
-	e := &w.events[evt]
+// endEvent gives an event its final end; later ends of the same event are ignored.
+func (s *simNode) endEvent(evt int32, end checker.End, retryAfter int64) {
+	sim := s.sim
+	e := &sim.events[evt]
 	if e.end != checker.Open {
 		return
 	}
 	e.end = end
 	s.heldEvents--
-	w.checker.RecordEnd(w.now, evt, end)
-	w.traceEntry("end", s.index, evt, int64(end))
+	sim.checker.RecordEnd(sim.now, evt, end)
+	sim.traceEntry("end", s.index, evt, int64(end))
 	switch end {
 	case checker.Acked:
-		w.checker.CreditCustomer(w.now, evt, int(e.customer))
-		w.arrivalEnded(w.arrivalOf(evt), end)
+		sim.checker.CreditCustomer(sim.now, evt, int(e.customer))
+		sim.arrivalEnded(sim.arrivalOf(evt), end)
 	case checker.Declined:
-		w.retryDeclined(evt, comeBack)
+		sim.retryDeclined(evt, retryAfter)
 	case checker.Discarded:
-		w.arrivalEnded(w.arrivalOf(evt), end)
+		sim.arrivalEnded(sim.arrivalOf(evt), end)
 	}
 	s.releaseIfDone(evt)
 }
 
-// releaseIfDone lets an event go that is over and has nothing out.
+// releaseIfDone queues an event for release if it has ended and has no sends in flight.
 func (s *simNode) releaseIfDone(evt int32) {
 	if e := &s.sim.events[evt]; e.end != checker.Open && e.inFlight == 0 && !e.releaseQueued {
 		e.releaseQueued = true
@@ -235,38 +236,38 @@
 	}
 }
 
-// Send implements port.Writer, as do the methods below.
-func (s *simNode) Send(index, own int32, timeout int64) {
-	w := s.sim
-	evt, ep := s.eventByIndex[index], s.endpoints.ID(own)
-	e := &w.events[evt]
+// Send implements delivery.Executor, as do the methods up to Log.
+func (s *simNode) Send(index, localEp int32, timeout int64) {
+	sim := s.sim
+	evt, ep := s.eventByIndex[index], s.endpoints.ID(localEp)
+	e := &sim.events[evt]
 	number := e.sends
 	e.sends++
 	e.inFlight++
 	e.currentSend = number
 	e.refs++
-	w.checker.RecordSend(w.now, evt, ep, w.destinations.LaneOf(ep))
-	w.traceEntry("send", s.index, evt, int64(ep))
-	most := w.scenario.DestinationKinds[w.destinations.Endpoints[ep].Kind].MaxEventsPerCall
+	sim.checker.RecordSend(sim.now, evt, ep, sim.destinations.LaneOf(ep))
+	sim.traceEntry("send", s.index, evt, int64(ep))
+	maxEvents := sim.scenario.DestinationKinds[sim.destinations.Endpoints[ep].Kind].MaxEventsPerCall
 	c := int32(-1)
 	for _, open := range s.openCalls {
-		if x := &w.calls[open]; x.ep == ep && len(x.sends) < most {
+		if x := &sim.calls[open]; x.ep == ep && len(x.sends) < maxEvents {
 			c = open
 		}
 	}
 	if c < 0 {
-		c = w.allocateCall(s, ep, own)
+		c = sim.allocateCall(s, ep, localEp)
 		s.openCalls = append(s.openCalls, c)
 	}
-	x := &w.calls[c]
+	x := &sim.calls[c]
 	x.sends = append(x.sends, callSend{evt: evt, incarnation: e.incarnation, number: number})
 	x.activeSends++
 	e.call = c
-	w.queue.scheduleBucketed(w.now+max(timeout, 1), simSendTimeout, evt, number, e.incarnation)
+	sim.queue.scheduleBucketed(sim.now+max(timeout, 1), simSendTimeout, evt, number, e.incarnation)
 }
 
-func (s *simNode) Decline(index int32, comeBack int64) {
-	s.endEvent(s.eventByIndex[index], checker.Declined, comeBack)
+func (s *simNode) Decline(index int32, retryAfter int64) {
+	s.endEvent(s.eventByIndex[index], checker.Declined, retryAfter)
 }
 func (s *simNode) Discard(index int32) { s.endEvent(s.eventByIndex[index], checker.Discarded, 0) }
 
@@ -277,7 +278,7 @@
 	}
 }
 
-// CancelUnsent does nothing: in virtual time a send leaves as soon as it is chosen.
+// CancelUnsent does nothing: in the simulation a send goes out at the end of the round in which it is chosen.
 func (s *simNode) CancelUnsent(int32, int) {}
 
 func (s *simNode) Wake(after int64) {
@@ -287,58 +288,61 @@
 func (s *simNode) Watch(on bool) {
 	if s.watching = s.watching && on; on && !s.watchPending {
 		s.watchPending = true
-		s.sim.queue.schedule(s.sim.now+2*int64(s.sim.scenario.Fleet.NetworkDelay)+1, simWatchResponse, s.index, 0, s.incarnation)
+		s.sim.queue.schedule(s.sim.now+2*int64(s.sim.scenario.Fleet.NetworkDelay)+1,
+			simWatchResponse, s.index, 0, s.incarnation)
 	}
 }
 
 func (s *simNode) Probe(int32) {}
 
-func (s *simNode) CloseIdle(own int32) {
-	s.sim.closeConnections(s.endpoints.ID(own), s.idleConnections[own])
-	s.idleConnections[own] = s.idleConnections[own][:0]
+func (s *simNode) CloseIdle(localEp int32) {
+	s.sim.closeConnections(s.endpoints.ID(localEp), s.idleConnections[localEp])
+	s.idleConnections[localEp] = s.idleConnections[localEp][:0]
 }
 
-func (s *simNode) Forget(own int32) {
-	s.CloseIdle(own)
-	s.endpoints.Release(own)
+func (s *simNode) Forget(localEp int32) {
+	s.CloseIdle(localEp)
+	s.endpoints.Release(localEp)
 }
 
-func (s *simNode) AnnounceHealthy(own int32) { s.sim.sendPeerMessages(s.index, s.endpoints.ID(own)) }
+func (s *simNode) AnnounceHealthy(localEp int32) {
+	s.sim.sendPeerMessages(s.index, s.endpoints.ID(localEp))
+}
 
-func (s *simNode) Log(text string, own int32) {
-	s.sim.traceEntry(text, s.index, s.endpoints.ID(own), 0)
+func (s *simNode) Log(text string, localEp int32) {
+	s.sim.traceEntry(text, s.index, s.endpoints.ID(localEp), 0)
 }
 
-// takeIdleConnection takes an idle one that its endpoint has not closed by now.
-func (s *simNode) takeIdleConnection(ep, own int32) bool {
-	w := s.sim
-	p := &w.destinations.Endpoints[ep]
-	keep := int64(idleTimeoutShare * float64(w.scenario.DestinationKinds[p.Kind].IdleTimeout))
-	for n := len(s.idleConnections[own]); n > 0; n = len(s.idleConnections[own]) {
-		l := s.idleConnections[own][n-1]
-		s.idleConnections[own] = s.idleConnections[own][:n-1]
-		if l.epoch != p.Epoch { // it was closed when the process died
+// takeIdleConnection takes an idle connection that is still open from the pool, and reports whether there was one.
+func (s *simNode) takeIdleConnection(ep, localEp int32) bool {
+	sim := s.sim
+	p := &sim.destinations.Endpoints[ep]
+	maxIdle := int64(idleTimeoutShare * float64(sim.scenario.DestinationKinds[p.Kind].IdleTimeout))
+	for n := len(s.idleConnections[localEp]); n > 0; n = len(s.idleConnections[localEp]) {
+		l := s.idleConnections[localEp][n-1]
+		s.idleConnections[localEp] = s.idleConnections[localEp][:n-1]
+		if l.epoch != p.Epoch { // the endpoint's process has died since, and with it the connection
 			continue
 		}
-		if w.now-l.lastUsed < keep {
+		if sim.now-l.lastUsed < maxIdle {
 			return true
 		}
-		w.destinations.Close(ep, l.epoch)
+		sim.destinations.Close(ep, l.epoch)
 	}
 	return false
 }
 
-// sawOutage tells whether the node saw a call fail, or be refused, at a lane during its last outage.
+// sawOutage reports whether a call of the node failed or was refused at a lane during the lane's last outage.
 func (s *simNode) sawOutage(lane int32) bool {
 	from, _ := s.sim.destinations.Outage(lane)
 	return int(lane) < len(s.seenOutage) && from > 0 && s.seenOutage[lane] == from
 }
 
-// recordFailure notes that a node recordFailure a call fail while the lane was out. One that ends later, as by a time-out, tells
-// its node only then: it could not have known before.
-func (s *simNode) recordFailure(lane int32, began int64, how delivery.Outcome) {
+// recordFailure records that the node noticed an outage of a lane, if a call failed during one. A call that fails
+// after the outage's end, for example by a timeout, does not count: the node could not have noticed in time.
+func (s *simNode) recordFailure(lane int32, startedAt int64, outcome delivery.Outcome) {
 	from, to := s.sim.destinations.Outage(lane)
-	if how == delivery.Acked || how == delivery.Unsent || from == 0 || began >= to || s.sim.now < from ||
+	if outcome == delivery.Acked || outcome == delivery.Unsent || from == 0 || startedAt >= to || s.sim.now < from ||
 		s.sim.now >= to {
 		return
 	}
--- a/lab/simulator/queue.go
+++ b/lab/simulator/queue.go
@@ -1,81 +1,81 @@
 package simulator
 
-// simEventKind is a kind of happening.
+// simEventKind says what a simulator event does, and with it what its fields a, b and n mean.
 type simEventKind uint8
 
 const (
-	simArrival         simEventKind = iota // an event comes to a client
-	simBurst                               // a clump of events comes; a: load
-	simSubmit                              // a client hands in an event; a: asking
-	simRound                               // a node calls its module; a: node
-	simCallReached                         // a call reaches its endpoint; a: call, n: its life
-	simCallDone                            // an endpoint is done with a call
-	simResponse                            // an answer reaches its node
-	simSendTimeout                         // a node stops waiting for a send; a: event, b: send, n: life
-	simDirectoryChange                     // changes of the list reach a node; a: node, n: its life
-	simWatchResponse                       // the answer to a call for a watch comes; a: node, n: its life
-	simPeerMessage                         // a note comes; a: node, b: endpoint, n: sender
-	simFaultStart                          // a trouble begins; a: trouble
-	simFaultEnd                            // a trouble ends or pauses; a: trouble
-	simNodeStart                           // a node serves again; a: node
-	simDrainStep                           // a drain goes on; a: node, b: step, n: its life
-	simNodeThaw                            // a node that stood still goes on; a: node
-	simEndpointGone                        // an endpoint that drained is gone; a: endpoint
-	simSecond                              // once a second
+	simArrival         simEventKind = iota // a new event arrives at a client
+	simBurst                               // a burst of events arrives; a: load change
+	simSubmit                              // a client submits an event to a node; a: pending arrival
+	simRound                               // a node runs its scheduler; a: node, n: incarnation
+	simCallReached                         // a call reaches its endpoint; a: call
+	simCallDone                            // an endpoint finishes a call; a: call
+	simResponse                            // a response or connection error reaches its node; a: call
+	simSendTimeout                         // a send times out; a: event, b: send, n: the event's incarnation
+	simDirectoryChange                     // the directory publishes the changes that are due
+	simWatchResponse                       // the response to a watch request arrives; a: node, n: incarnation
+	simPeerMessage                         // a peer message arrives; a: node, b: endpoint, n: sender
+	simFaultStart                          // a fault starts; a: fault
+	simFaultEnd                            // a fault ends or pauses; a: fault
+	simNodeStart                           // a node starts again; a: node
+	simDrainStep                           // a draining node takes its next step; a: node, b: step, n: incarnation
+	simNodeThaw                            // a frozen node resumes; a: node
+	simEndpointGone                        // a drained endpoint terminates; a: endpoint
+	simSecond                              // runs once per simulated second
 )
 
-// simEvent is one thing that happens at a time. Those of one time come in the order in which they were
-// planned.
+// simEvent is one scheduled simulator event. Events with equal times run in the order in which they were
+// scheduled.
 type simEvent struct {
 	at    int64
-	order uint64 // the order of planning, and in the last eight bits the kind: 32 bytes are two to a cache line
+	order uint64 // scheduling sequence number, with the kind in the low eight bits: 32 bytes in all, two to a cache line
 	n     int64
 	a, b  int32
 }
 
-func (h *simEvent) kind() simEventKind { return simEventKind(h.order) }
+func (e *simEvent) kind() simEventKind { return simEventKind(e.order) }
 
-// eventQueue is a heap of happenings with four branches: half as deep as one with two, which is what its time goes
-// to.
+// eventQueue is a priority queue of simulator events: a 4-ary heap, and buckets for far-off send timeouts. A
+// 4-ary heap is half as deep as a binary one, and depth dominates its cost.
 type eventQueue struct {
 	heap          []simEvent
 	order         uint64
-	buckets       [bucketCount][]simEvent // what is far off, by the width of time that it falls into
-	currentBucket int64                   // the width of time up to which all is in the heap
-	bucketed      int                     // of what is far off
-	stillValid    func(*simEvent) bool    // tells whether something far off still means anything
+	buckets       [bucketCount][]simEvent // far-off events by time interval, as a ring
+	currentBucket int64                   // the last interval whose events are in the heap
+	bucketed      int                     // number of events in buckets
+	stillValid    func(*simEvent) bool    // reports whether a bucketed event still has an effect
 }
 
 const (
-	bucketWidthBits = 28  // bits of ns: a quarter of a second
-	bucketCount     = 256 // widths: a minute
+	bucketWidthBits = 28  // an interval is 2^28 ns, about a quarter of a second
+	bucketCount     = 256 // intervals; together about a minute
 )
 
-// scheduleBucketed plans what seldom happens, as the end of the time that a send is waited for: most of it means
-// nothing any more when its time is near, and is dropped without a place in the heap.
-func (q *eventQueue) scheduleBucketed(at int64, w simEventKind, a, b int32, n int64) {
+// scheduleBucketed schedules an event that seldom has an effect, such as a send timeout. Most of them are
+// obsolete by the time they are due and are dropped without ever entering the heap.
+func (q *eventQueue) scheduleBucketed(at int64, kind simEventKind, a, b int32, n int64) {
 	slot := at >> bucketWidthBits
 	if slot <= q.currentBucket || slot >= q.currentBucket+bucketCount {
-		q.schedule(at, w, a, b, n)
+		q.schedule(at, kind, a, b, n)
 		return
 	}
 	q.order++
 	q.buckets[slot%bucketCount] = append(
 		q.buckets[slot%bucketCount],
-		simEvent{at: at, order: q.order<<8 | uint64(w), n: n, a: a, b: b},
+		simEvent{at: at, order: q.order<<8 | uint64(kind), n: n, a: a, b: b},
 	)
 	q.bucketed++
 }
 
-// promote takes what is far off into the heap as its time comes.
+// promote moves bucketed events that are still valid into the heap as their interval comes up.
 func (q *eventQueue) promote() {
 	for q.bucketed > 0 && (len(q.heap) == 0 || q.heap[0].at>>bucketWidthBits > q.currentBucket) {
 		q.currentBucket++
 		slot := &q.buckets[q.currentBucket%bucketCount]
 		q.bucketed -= len(*slot)
 		for i := range *slot {
-			if h := &(*slot)[i]; q.stillValid(h) {
-				q.push(*h)
+			if e := &(*slot)[i]; q.stillValid(e) {
+				q.push(*e)
 			}
 		}
 		*slot = (*slot)[:0]
@@ -87,50 +87,50 @@
 
 func earlier(x, y *simEvent) bool { return x.at < y.at || (x.at == y.at && x.order < y.order) }
 
-func (q *eventQueue) schedule(at int64, w simEventKind, a, b int32, n int64) {
+func (q *eventQueue) schedule(at int64, kind simEventKind, a, b int32, n int64) {
 	q.order++
-	q.push(simEvent{at: at, order: q.order<<8 | uint64(w), n: n, a: a, b: b})
+	q.push(simEvent{at: at, order: q.order<<8 | uint64(kind), n: n, a: a, b: b})
 }
 
-func (q *eventQueue) push(h simEvent) {
+func (q *eventQueue) push(e simEvent) {
 	i := len(q.heap)
-	q.heap = append(q.heap, h)
+	q.heap = append(q.heap, e)
 	for i > 0 {
-		up := (i - 1) / 4
-		if !earlier(&h, &q.heap[up]) {
+		parent := (i - 1) / 4
+		if !earlier(&e, &q.heap[parent]) {
 			break
 		}
-		q.heap[i] = q.heap[up]
-		i = up
+		q.heap[i] = q.heap[parent]
+		i = parent
 	}
-	q.heap[i] = h
+	q.heap[i] = e
 }
 
 func (q *eventQueue) pop() simEvent {
 	first := q.heap[0]
 	last := len(q.heap) - 1
-	h := q.heap[last]
+	e := q.heap[last]
 	q.heap = q.heap[:last]
 	if last == 0 {
 		return first
 	}
 	i := 0
 	for {
-		least := 4*i + 1
-		if least >= last {
+		smallest := 4*i + 1
+		if smallest >= last {
 			break
 		}
-		for c := least + 1; c < min(4*i+5, last); c++ {
-			if earlier(&q.heap[c], &q.heap[least]) {
-				least = c
+		for c := smallest + 1; c < min(4*i+5, last); c++ {
+			if earlier(&q.heap[c], &q.heap[smallest]) {
+				smallest = c
 			}
 		}
-		if !earlier(&q.heap[least], &h) {
+		if !earlier(&q.heap[smallest], &e) {
 			break
 		}
-		q.heap[i] = q.heap[least]
-		i = least
+		q.heap[i] = q.heap[smallest]
+		i = smallest
 	}
-	q.heap[i] = h
+	q.heap[i] = e
 	return first
 }
--- a/lab/simulator/simulation.go
+++ b/lab/simulator/simulation.go
@@ -1,6 +1,7 @@
-// Package world runs a scenario in virtual time: clients, the front, delivery nodes with their decision
-// modules, the network between them, the directory and the destinations, in one goroutine. One seed gives one
-// run, to the nanosecond and the byte, on every machine.
+// Package simulator runs a scenario as a discrete-event simulation: clients, the load balancer in front of the
+// nodes, delivery nodes with their schedulers, the network between them, the directory and the destinations, in
+// one goroutine and in virtual time. A run is deterministic: the same seed gives the same run and the same trace,
+// to the nanosecond and the byte, on every machine.
 package simulator
 
 import (
@@ -19,19 +20,19 @@
 	"jaspersill/lab/workload"
 )
 
-// SchedulerFactory makes the decision module of one node. It is called at each of its starts.
-type SchedulerFactory func(w *Simulation, node int, seed uint64) delivery.Scheduler
+// SchedulerFactory creates the scheduler of one node. It is called each time the node starts.
+type SchedulerFactory func(sim *Simulation, node int, seed uint64) delivery.Scheduler
 
 const (
-	clientTimeout     = int64(4e8)  // ns that a client waits for an answer before it hands in elsewhere
-	connectTimeout    = int64(15e8) // ns until a connection that shows no sign is given up
-	drainStopDeciding = int64(2e9)  // ns from being asked to stop until nothing more is decided: the node's
-	drainExit         = int64(34e8) // ns until its process ends
-	endpointDrainTime = int64(3e9)  // ns after which an endpoint that drains is gone
+	clientTimeout     = int64(4e8)  // ns that a client waits for an answer before it submits to another node
+	connectTimeout    = int64(15e8) // ns after which a connection attempt without any reply fails
+	drainStopDeciding = int64(2e9)  // ns from a stop request until the scheduler stops; the same as in package node
+	drainExit         = int64(34e8) // ns from a stop request until the process exits; the same as in package node
+	endpointDrainTime = int64(3e9)  // ns that a draining endpoint goes on after the grace period
 	second            = int64(1e9)
 )
 
-// event is one event at one node; a client that hands it in again makes another.
+// event is one event at one node. A client that submits its event again creates another.
 type event struct {
 	id                                 uint64
 	incarnation                        int64
@@ -40,53 +41,53 @@
 	sends, currentSend, inFlight       int32
 	retries                            int32
 	key                                uint64
-	arrivedAt, deadline, arrivalNumber int64 // count: its asking's number
+	arrivedAt, deadline, arrivalNumber int64
 	work                               int64
 	end                                checker.End
-	refs                               int32 // calls that know it: its number is not given out again before
+	refs                               int32 // calls that refer to it; its number is not reused before they are freed
 	stored, releaseQueued, released    bool
 }
 
-// callSend is one send in a call.
+// callSend is one event's send within a call, which may carry several.
 type callSend struct {
 	evt         int32
 	number      int32
 	incarnation int64
 	abandoned   bool
-	duplicate   bool // its destination knows its mark
+	duplicate   bool // the destination recognised its idempotency key: no further effect
 }
 
-// call is one exchange with an endpoint.
+// call is one request to an endpoint and its response.
 type call struct {
 	node, ep, localEp int32
 	nodeIncarnation   int64
 	sends             []callSend
-	activeSends       int // sends that nobody gave up
+	activeSends       int // sends that have not been abandoned
 	startedAt         int64
 	epoch             uint32
 	result            partner.Fate
-	connected         bool // it has a connection
+	connected         bool // it holds a connection
 	reached           bool
-	takesEffect       bool  // it takes effect if its endpoint lives until it is done
-	reachedAt         int64 // when it reached its endpoint
-	closed            bool  // nobody waits for it any more
-	scheduled         int   // happenings that know it
+	takesEffect       bool  // it takes effect if the endpoint's process lives until the work is done
+	reachedAt         int64 // when it reached the endpoint
+	closed            bool  // no send in it waits for an outcome
+	scheduled         int   // scheduled simulator events that refer to it
 	inUse             bool
 }
 
-// pendingArrival is an event that a client has and that no node has.
+// pendingArrival is an event that a client holds and that no node has accepted.
 type pendingArrival struct {
 	workload.Arrival
 	retries int32
 }
 
-// endpointChange is one that the directory tells.
+// endpointChange is a change of an endpoint's state in the directory.
 type endpointChange struct {
 	ep    int32
 	state delivery.EndpointState
 }
 
-// Simulation is one run.
+// Simulation is one run of a scenario.
 type Simulation struct {
 	scenario     *scenario.Scenario
 	newScheduler SchedulerFactory
@@ -98,178 +99,189 @@
 	nodes        []*simNode
 
 	events          []event
-	freeEvents      []int32 // events' numbers that are free
+	freeEvents      []int32 // unused entries of events
 	calls           []call
-	freeCalls       []int32 // calls' numbers that are free
+	freeCalls       []int32 // unused entries of calls
 	pendingArrivals []pendingArrival
-	freeArrivals    []int32
+	freeArrivals    []int32 // unused entries of pendingArrivals
 	nextID          uint64
-	lastIncarnation int64 // lives of events, calls and nodes
+	lastIncarnation int64 // counter that tells reused entries, and starts of a node, apart
 
-	source       workload.Source // apart, so that two versions are asked for the same
+	source       workload.Source // has a random stream of its own, so that two versions get the same events
 	upcoming     workload.Arrival
 	arrivalCount int64
-	faultRandom  *rand.Rand // whom troubles meet
-	random       *rand.Rand // everything else
-	routable     []bool     // nodes that clients believe to be up
+	faultRandom  *rand.Rand // draws the fault targets
+	random       *rand.Rand // draws everything else
+	routable     []bool     // by node: the load balancer sends clients to it
 
-	directoryStates  []delivery.EndpointState // by endpoint, as the directory has it
+	directoryStates  []delivery.EndpointState // by endpoint, as last published by the directory
 	changes          []endpointChange
-	publishedChanges int // changes that the directory has told
-	directoryDown    int // troubles in force
+	publishedChanges int // the first so many of changes have been published
+	directoryDown    int // active faults of this kind; so is directoryFrozen
 	directoryFrozen  int
 	peerMessageLoss  float64
 	faults           []faultState
-	faultsByEndpoint [][]int // troubles in force, by endpoint
+	faultsByEndpoint [][]int // active faults by endpoint
 
-	unfinished   []int32 // room for start
+	unfinished   []int32 // scratch space of startNode
 	trace        *bufio.Writer
 	traceLine    []byte
-	onSecond     func(w *Simulation)
-	onArrivalEnd func(a workload.Arrival, end string, took int64)
+	onSecond     func(sim *Simulation)
+	onArrivalEnd func(a workload.Arrival, end string, latency int64)
 	Stats        Stats
 }
 
-// Stats counts what a run cost.
+// Stats counts the work that a run took.
 type Stats struct {
 	SimEvents   int64 `json:"happenings"`
 	Rounds      int64 `json:"rounds"`
 	Calls       int64 `json:"calls"`
 	Connections int64 `json:"links"`
-	Dropped     int64 `json:"dropped"` // askings that found no node
-}
-
-// New prepares a run. The seed draws the destinations, what is asked for and whom troubles meet; luck draws
-// all else: the nodes' own chance, the front's choice, what is lost. Two runs of one seed and two lucks
-// differ by chance alone. trace takes a line for each thing that happens, and may be nil.
-func New(day *scenario.Scenario, seed, luck uint64, launch SchedulerFactory, trace io.Writer) *Simulation {
-	w := &Simulation{scenario: day, newScheduler: launch, end: int64(day.Length), destinations: partner.New(day, seed, luck),
-		checker: checker.New(day), source: workload.NewGenerator(day, seed), faultRandom: rand.New(rand.NewPCG(seed, FaultTargetStream)),
-		random: rand.New(rand.NewPCG(seed, 0xd4a5+luck))}
+	Dropped     int64 `json:"dropped"` // submissions that found no node
+}
+
+// New prepares a run. The seed determines the destinations, the arriving events and the fault targets; luck
+// seeds everything else: the nodes' random numbers, the load balancer's choices and message loss. Two runs with
+// the same seed and different luck therefore differ by chance alone. A trace line is written to trace for each
+// step of the run; trace may be nil.
+func New(scn *scenario.Scenario, seed, luck uint64, newScheduler SchedulerFactory, trace io.Writer) *Simulation {
+	sim := &Simulation{
+		scenario:     scn,
+		newScheduler: newScheduler,
+		end:          int64(scn.Length),
+		destinations: partner.New(scn, seed, luck),
+		checker:      checker.New(scn),
+		source:       workload.NewGenerator(scn, seed),
+		faultRandom:  rand.New(rand.NewPCG(seed, FaultTargetStream)),
+		random:       rand.New(rand.NewPCG(seed, 0xd4a5+luck)),
+	}
 	if trace != nil {
-		w.trace = bufio.NewWriterSize(trace, 1<<16)
+		sim.trace = bufio.NewWriterSize(trace, 1<<16)
 	}
-	w.queue.stillValid = func(h *simEvent) bool {
-		e := &w.events[h.a]
-		return e.incarnation == h.n && e.inFlight > 0 && e.currentSend == h.b
+	sim.queue.stillValid = func(ev *simEvent) bool {
+		e := &sim.events[ev.a]
+		return e.incarnation == ev.n && e.inFlight > 0 && e.currentSend == ev.b
 	}
-	w.directoryStates = make([]delivery.EndpointState, len(w.destinations.Endpoints))
-	for i := range w.directoryStates {
-		w.directoryStates[i] = delivery.Ready
+	sim.directoryStates = make([]delivery.EndpointState, len(sim.destinations.Endpoints))
+	for i := range sim.directoryStates {
+		sim.directoryStates[i] = delivery.Ready
 	}
-	for i := range day.Fleet.Nodes {
-		s := &simNode{sim: w, index: int32(i)}
-		w.nodes, w.routable = append(w.nodes, s), append(w.routable, true)
-		w.startNode(s)
+	for i := range scn.Fleet.Nodes {
+		s := &simNode{sim: sim, index: int32(i)}
+		sim.nodes, sim.routable = append(sim.nodes, s), append(sim.routable, true)
+		sim.startNode(s)
 	}
-	w.drawFaults()
-	w.scheduleArrival()
-	w.queue.schedule(second, simSecond, 0, 0, 0)
-	return w
+	sim.drawFaults()
+	sim.scheduleArrival()
+	sim.queue.schedule(second, simSecond, 0, 0, 0)
+	return sim
 }
 
-// Checker is the run's ledger.
-func (w *Simulation) Checker() *checker.Checker { return w.checker }
+// Checker returns the run's rule checker.
+func (sim *Simulation) Checker() *checker.Checker { return sim.checker }
 
-// Destinations is the true state of the destinations.
-func (w *Simulation) Destinations() *partner.Model { return w.destinations }
+// Destinations returns the model of the destinations with their true state.
+func (sim *Simulation) Destinations() *partner.Model { return sim.destinations }
 
-// Now is the run's time in ns.
-func (w *Simulation) Now() int64 { return w.now }
+// Now returns the virtual time in ns.
+func (sim *Simulation) Now() int64 { return sim.now }
 
-// Scenario is the run's scenario.
-func (w *Simulation) Scenario() *scenario.Scenario { return w.scenario }
+// Scenario returns the scenario that is run.
+func (sim *Simulation) Scenario() *scenario.Scenario { return sim.scenario }
 
-// WorkTime is what an event of a node takes at a partner of usual pace, in ns: for policies that know the truth.
-func (w *Simulation) WorkTime(node int, index int32) int64 {
-	return w.events[w.nodes[node].eventByIndex[index]].work
+// WorkTime returns the work time in ns of a node's event at a destination with work factor 1. It is meant for
+// policies that know the true state.
+func (sim *Simulation) WorkTime(node int, index int32) int64 {
+	return sim.events[sim.nodes[node].eventByIndex[index]].work
 }
 
-// LocalEndpoint maps the truth's number of an endpoint to a node's own, -1 where the node does not know it.
-func (w *Simulation) LocalEndpoint(node int, ep int32) int32 {
-	if own, ok := w.nodes[node].endpoints.Find(ep); ok {
-		return own
+// LocalEndpoint maps an endpoint's number in the model to the node's own index for it, or to -1 if the node does
+// not know the endpoint.
+func (sim *Simulation) LocalEndpoint(node int, ep int32) int32 {
+	if localEp, ok := sim.nodes[node].endpoints.Find(ep); ok {
+		return localEp
 	}
 	return -1
 }
 
-// HasIdleConnection tells whether a node has an idle connection to an endpoint, by the truth's number.
-func (w *Simulation) HasIdleConnection(node int, ep int32) bool {
-	own, ok := w.nodes[node].endpoints.Find(ep)
-	return ok && len(w.nodes[node].idleConnections[own]) > 0
+// HasIdleConnection reports whether a node has an idle connection to an endpoint, given by its number in the model.
+func (sim *Simulation) HasIdleConnection(node int, ep int32) bool {
+	localEp, ok := sim.nodes[node].endpoints.Find(ep)
+	return ok && len(sim.nodes[node].idleConnections[localEp]) > 0
 }
 
-// SetSource takes the askings from a source, as a recording, rather than drawing them. It is called before Run.
-func (w *Simulation) SetSource(source workload.Source) {
-	w.source = source
-	for i := range w.queue.heap { // the first one drawn gives its place to the first of the source
-		if h := &w.queue.heap[i]; h.kind() == simArrival {
-			h.n = 1
+// SetSource takes the arriving events from a source, such as a recording, instead of generating them. It must be
+// called before Run.
+func (sim *Simulation) SetSource(source workload.Source) {
+	sim.source = source
+	for i := range sim.queue.heap { // cancels the first generated arrival
+		if ev := &sim.queue.heap[i]; ev.kind() == simArrival {
+			ev.n = 1
 		}
 	}
-	w.scheduleArrival()
+	sim.scheduleArrival()
 }
 
-// OnArrivalEnd asks that a function hears what came of each asking, once: acked, declined, discarded, or nothing
-// where the run ended before; took is ns from the asking.
-func (w *Simulation) OnArrivalEnd(f func(a workload.Arrival, end string, took int64)) {
-	w.onArrivalEnd = f
+// OnArrivalEnd sets a function that is called once for each arriving event with its final end: acked, declined or
+// discarded. It is not called for events that are open when the run ends. latency is in ns since the arrival.
+func (sim *Simulation) OnArrivalEnd(f func(a workload.Arrival, end string, latency int64)) {
+	sim.onArrivalEnd = f
 }
 
-// arrivalEnded tells what arrivalEnded of an asking.
-func (w *Simulation) arrivalEnded(a workload.Arrival, end checker.End) {
-	if w.onArrivalEnd != nil {
-		w.onArrivalEnd(a, end.String(), w.now-a.At)
+// arrivalEnded reports the final end of an arriving event.
+func (sim *Simulation) arrivalEnded(a workload.Arrival, end checker.End) {
+	if sim.onArrivalEnd != nil {
+		sim.onArrivalEnd(a, end.String(), sim.now-a.At)
 	}
 }
 
-// OnSecond asks that a function is called once a second of the run.
-func (w *Simulation) OnSecond(f func(w *Simulation)) { w.onSecond = f }
+// OnSecond sets a function that is called once per simulated second.
+func (sim *Simulation) OnSecond(f func(sim *Simulation)) { sim.onSecond = f }
 
-// settleTime is how long the run goes on after its last arrival, so that all that was asked for has its end.
-func (w *Simulation) settleTime() int64 {
-	most := int64(0)
-	for _, t := range w.scenario.Types {
-		most = max(most, int64(t.MaxAge))
+// settleTime returns how long the run goes on after the last arrival, so that every event reaches its final end.
+func (sim *Simulation) settleTime() int64 {
+	maxAge := int64(0)
+	for _, t := range sim.scenario.Types {
+		maxAge = max(maxAge, int64(t.MaxAge))
 	}
-	return most + 3*second
+	return maxAge + 3*second
 }
 
-// Run plays the scenario to its end and sums it up.
-func (w *Simulation) Run() checker.Summary {
-	stop := w.end + w.settleTime()
+// Run runs the scenario to its end and returns the summary.
+func (sim *Simulation) Run() checker.Summary {
+	stop := sim.end + sim.settleTime()
 	for {
-		w.queue.promote()
-		if len(w.queue.heap) == 0 || w.queue.heap[0].at > stop {
+		sim.queue.promote()
+		if len(sim.queue.heap) == 0 || sim.queue.heap[0].at > stop {
 			break
 		}
-		h := w.queue.pop()
-		w.now = h.at
-		w.Stats.SimEvents++
-		w.dispatch(&h)
+		ev := sim.queue.pop()
+		sim.now = ev.at
+		sim.Stats.SimEvents++
+		sim.dispatch(&ev)
 	}
-	w.now = stop
-	w.checker.CheckOverdue(w.now)
-	for _, s := range w.nodes {
-		w.Stats.Rounds += s.roundCount
+	sim.now = stop
+	sim.checker.CheckOverdue(sim.now)
+	for _, s := range sim.nodes {
+		sim.Stats.Rounds += s.roundCount
 	}
-	if w.trace != nil {
-		w.trace.Flush()
+	if sim.trace != nil {
+		sim.trace.Flush()
 	}
-	return w.checker.Summary()
+	return sim.checker.Summary()
 }
 
-func (w *Simulation) dispatch(h *simEvent) {
-	switch h.kind() {
+func (sim *Simulation) dispatch(ev *simEvent) {
+	switch ev.kind() {
 	case simArrival:
-		if h.n == 0 {
-			w.handleArrival()
+		if ev.n == 0 {
+			sim.handleArrival()
 		}
 	case simSubmit:
-		w.submit(h.a)
+		sim.submit(ev.a)
 	case simRound:
-		if s := w.nodes[h.a]; s.incarnation == h.n && s.nextRound == w.now && s.phase < closing {
-			if s.frozenUntil > w.now {
+		if s := sim.nodes[ev.a]; s.incarnation == ev.n && s.nextRound == sim.now && s.phase < closing {
+			if s.frozenUntil > sim.now {
 				s.nextRound = 0
 				s.scheduleRound(s.frozenUntil)
 			} else {
@@ -277,210 +289,214 @@
 			}
 		}
 	case simCallReached:
-		w.callReached(h.a)
+		sim.callReached(ev.a)
 	case simCallDone:
-		w.callDone(h.a)
+		sim.callDone(ev.a)
 	case simResponse:
-		w.handleResponse(h.a)
+		sim.handleResponse(ev.a)
 	case simSendTimeout:
-		w.handleSendTimeout(h.a, h.b, h.n)
+		sim.handleSendTimeout(ev.a, ev.b, ev.n)
 	case simDirectoryChange:
-		w.publishDirectoryChanges()
+		sim.publishDirectoryChanges()
 	case simWatchResponse:
-		w.handleWatchResponse(h.a, h.n)
+		sim.handleWatchResponse(ev.a, ev.n)
 	case simPeerMessage:
-		if s := w.nodes[h.a]; s.phase < closing {
-			s.enqueue(input{kind: inputPeerHealthy, ep: h.b, peer: int32(h.n)})
+		if s := sim.nodes[ev.a]; s.phase < closing {
+			s.enqueue(input{kind: inputPeerHealthy, ep: ev.b, peer: int32(ev.n)})
 		}
 	case simFaultStart:
-		w.startFault(int(h.a), h.b)
+		sim.startFault(int(ev.a), ev.b)
 	case simFaultEnd:
-		w.endFault(int(h.a), h.b)
+		sim.endFault(int(ev.a), ev.b)
 	case simNodeStart:
-		w.startNode(w.nodes[h.a])
+		sim.startNode(sim.nodes[ev.a])
 	case simDrainStep:
-		w.continueDrain(w.nodes[h.a], h.b, h.n)
+		sim.continueDrain(sim.nodes[ev.a], ev.b, ev.n)
 	case simNodeThaw:
-		if s := w.nodes[h.a]; s.frozenUntil > 0 && s.frozenUntil <= w.now {
+		if s := sim.nodes[ev.a]; s.frozenUntil > 0 && s.frozenUntil <= sim.now {
 			s.frozenUntil = 0
-			s.scheduleRound(w.now)
+			s.scheduleRound(sim.now)
 		}
 	case simEndpointGone:
-		w.destinations.Leave(h.a)
-		w.resetCalls(func(c *call) bool { return c.ep == h.a })
-		w.scheduleDirectoryChange(h.a, delivery.Gone)
+		sim.destinations.Leave(ev.a)
+		sim.resetCalls(func(c *call) bool { return c.ep == ev.a })
+		sim.scheduleDirectoryChange(ev.a, delivery.Gone)
 	case simSecond:
-		w.checker.CheckOverdue(w.now)
-		w.closeExpiredConnections()
-		if w.onSecond != nil && w.now <= w.end {
-			w.onSecond(w)
+		sim.checker.CheckOverdue(sim.now)
+		sim.closeExpiredConnections()
+		if sim.onSecond != nil && sim.now <= sim.end {
+			sim.onSecond(sim)
 		}
-		w.queue.schedule(w.now+second, simSecond, 0, 0, 0)
+		sim.queue.schedule(sim.now+second, simSecond, 0, 0, 0)
 	}
 }
 
-// traceEntry writes a line of the trace.
-func (w *Simulation) traceEntry(what string, node, a int32, b int64) {
-	if w.trace == nil {
+// traceEntry writes a line to the trace.
+func (sim *Simulation) traceEntry(kind string, node, a int32, b int64) {
+	if sim.trace == nil {
 		return
 	}
-	t := strconv.AppendInt(w.traceLine[:0], w.now, 10)
-	t = append(append(append(t, ' '), what...), ' ')
+	t := strconv.AppendInt(sim.traceLine[:0], sim.now, 10)
+	t = append(append(append(t, ' '), kind...), ' ')
 	t = append(strconv.AppendInt(t, int64(node), 10), ' ')
 	t = append(strconv.AppendInt(t, int64(a), 10), ' ')
 	t = append(strconv.AppendInt(t, b, 10), '\n')
-	w.traceLine = t
-	w.trace.Write(t)
-}
-
-// startNode begins a node's life, the first or after a restart. What it had taken on goes on.
-func (w *Simulation) startNode(s *simNode) {
-	w.lastIncarnation++
-	s.incarnation, s.phase, s.frozenUntil = w.lastIncarnation, serving, 0
-	s.scheduler = w.newScheduler(w, int(s.index), w.random.Uint64())
-	s.eventByIndex, s.freeIndexes, s.inputs, s.nextRound, s.wakeAt = s.eventByIndex[:0], s.freeIndexes[:0], s.inputs[:0], 0, 0
-	s.endpoints, s.idleConnections, s.seenOutage, s.watching, s.watchPending = door.Table[int32]{}, nil, nil, false, false
-	s.lastRound = w.now - int64(w.scenario.Fleet.Tick)
-	w.routable[s.index] = true
-	w.checker.RecordNodeServing(w.now, s.index)
-	w.recordDrains(s, w.changes[:w.publishedChanges])
+	sim.traceLine = t
+	sim.trace.Write(t)
+}
+
+// startNode starts a node, for the first time or after a restart. It resumes the unfinished events that the node
+// had accepted.
+func (sim *Simulation) startNode(s *simNode) {
+	sim.lastIncarnation++
+	s.incarnation, s.phase, s.frozenUntil = sim.lastIncarnation, serving, 0
+	s.scheduler = sim.newScheduler(sim, int(s.index), sim.random.Uint64())
+	s.eventByIndex, s.freeIndexes, s.inputs = s.eventByIndex[:0], s.freeIndexes[:0], s.inputs[:0]
+	s.nextRound, s.wakeAt = 0, 0
+	s.endpoints, s.idleConnections, s.seenOutage = door.Table[int32]{}, nil, nil
+	s.watching, s.watchPending = false, false
+	s.lastRound = sim.now - int64(sim.scenario.Fleet.Tick)
+	sim.routable[s.index] = true
+	sim.checker.RecordNodeServing(sim.now, s.index)
+	sim.recordDrains(s, sim.changes[:sim.publishedChanges])
 	s.enqueue(input{kind: inputFullList})
-	for i := range w.events { // in the order of their coming, as the journal has them
-		if e := &w.events[i]; e.node == s.index && e.end == checker.Open && e.incarnation > 0 {
-			w.unfinished = append(w.unfinished, int32(i))
+	for i := range sim.events { // sorted below into the order of acceptance, as in the journal
+		if e := &sim.events[i]; e.node == s.index && e.end == checker.Open && e.incarnation > 0 {
+			sim.unfinished = append(sim.unfinished, int32(i))
 		}
 	}
-	slices.SortFunc(w.unfinished, func(a, b int32) int { return cmp.Compare(w.events[a].id, w.events[b].id) })
-	for _, evt := range w.unfinished {
-		w.resumeEvent(s, evt)
+	slices.SortFunc(sim.unfinished, func(a, b int32) int { return cmp.Compare(sim.events[a].id, sim.events[b].id) })
+	for _, evt := range sim.unfinished {
+		sim.resumeEvent(s, evt)
 	}
-	w.unfinished = w.unfinished[:0]
-	w.traceEntry("start", s.index, 0, 0)
+	sim.unfinished = sim.unfinished[:0]
+	sim.traceEntry("start", s.index, 0, 0)
 }
 
-// resumeEvent hands in an event that a node had taken on before it ended.
-func (w *Simulation) resumeEvent(s *simNode, evt int32) {
-	e := &w.events[evt]
-	w.lastIncarnation++
-	e.incarnation, e.inFlight, e.currentSend, e.call, e.releaseQueued = w.lastIncarnation, 0, -1, -1, false
+// resumeEvent passes an event that the node accepted before its restart to the new scheduler.
+func (sim *Simulation) resumeEvent(s *simNode, evt int32) {
+	e := &sim.events[evt]
+	sim.lastIncarnation++
+	e.incarnation, e.inFlight, e.currentSend, e.call, e.releaseQueued = sim.lastIncarnation, 0, -1, -1, false
 	s.inputs = append(s.inputs, input{kind: inputEvent, evt: evt})
 	if e.sends > 0 {
-		first, ran := w.checker.MayHaveRun(evt)
+		first, ran := sim.checker.MayHaveRun(evt)
 		s.inputs = append(s.inputs, input{kind: inputResumed, evt: evt, send: e.sends, ended: ran, firstRunAt: first})
 	}
 }
 
-// killNode ends a node's process: its connections break, what it held waits in its journal.
-func (w *Simulation) killNode(s *simNode) {
+// killNode ends a node's process: its connections break, and its accepted events wait in its journal.
+func (sim *Simulation) killNode(s *simNode) {
 	if s.phase == dead {
 		return
 	}
 	s.phase = dead
-	w.checker.RecordNodeDied(w.now, s.index)
-	w.traceEntry("die", s.index, 0, 0)
-	for i := range w.calls {
-		if c := &w.calls[i]; c.inUse && c.node == s.index && !c.closed {
+	sim.checker.RecordNodeDied(sim.now, s.index)
+	sim.traceEntry("die", s.index, 0, 0)
+	for i := range sim.calls {
+		if c := &sim.calls[i]; c.inUse && c.node == s.index && !c.closed {
 			c.closed = true
-			w.closeConnection(c)
-			w.freeCall(int32(i))
+			sim.closeConnection(c)
+			sim.freeCall(int32(i))
 		}
 	}
-	for own := range s.idleConnections {
-		if len(s.idleConnections[own]) > 0 {
-			w.closeConnections(s.endpoints.ID(int32(own)), s.idleConnections[own])
+	for localEp := range s.idleConnections {
+		if len(s.idleConnections[localEp]) > 0 {
+			sim.closeConnections(s.endpoints.ID(int32(localEp)), s.idleConnections[localEp])
 		}
 	}
-	for i := range w.events {
-		e := &w.events[i]
+	for i := range sim.events {
+		e := &sim.events[i]
 		if e.incarnation == 0 || e.node != s.index || e.released {
 			continue
 		}
 		switch {
 		case e.end != checker.Open:
-			w.releaseEvent(int32(i))
-		case !e.stored: // its client heard nothing, and hands it in elsewhere
+			sim.releaseEvent(int32(i))
+		case !e.stored: // its client got no answer, and submits it again after its timeout
 			s.endEvent(int32(i), checker.Declined, clientTimeout)
-			w.releaseEvent(int32(i))
+			sim.releaseEvent(int32(i))
 		}
 	}
 	s.endedEvents, s.newEvents, s.openCalls = s.endedEvents[:0], s.newEvents[:0], s.openCalls[:0]
 }
 
-// continueDrain goes on with a drain: nothing more is decided, then the process ends and starts again.
-func (w *Simulation) continueDrain(s *simNode, step int32, life int64) {
-	if s.incarnation != life || s.phase == dead {
+// continueDrain takes the next step of a node's drain: step 0 stops the scheduler, step 1 ends the process and
+// schedules its restart.
+func (sim *Simulation) continueDrain(s *simNode, step int32, incarnation int64) {
+	if s.incarnation != incarnation || s.phase == dead {
 		return
 	}
 	if step == 0 {
 		s.phase = closing
-		w.queue.schedule(w.now+drainExit-drainStopDeciding, simDrainStep, s.index, 1, life)
+		sim.queue.schedule(sim.now+drainExit-drainStopDeciding, simDrainStep, s.index, 1, incarnation)
 		return
 	}
-	w.killNode(s)
-	w.queue.schedule(w.now+int64(w.scenario.Fleet.RestartTime), simNodeStart, s.index, 0, 0)
+	sim.killNode(s)
+	sim.queue.schedule(sim.now+int64(sim.scenario.Fleet.RestartTime), simNodeStart, s.index, 0, 0)
 }
 
-// scheduleArrival plans the next event that comes to a client.
-func (w *Simulation) scheduleArrival() {
-	if a, more := w.source.Next(); more {
-		w.upcoming = a
-		w.queue.schedule(max(a.At, w.now), simArrival, 0, 0, 0)
+// scheduleArrival schedules the next arrival from the source.
+func (sim *Simulation) scheduleArrival() {
+	if a, more := sim.source.Next(); more {
+		sim.upcoming = a
+		sim.queue.schedule(max(a.At, sim.now), simArrival, 0, 0, 0)
 	}
 }
 
-// handleArrival is an event that comes to a client.
-func (w *Simulation) handleArrival() {
-	a := w.upcoming
-	w.arrivalCount++
-	a.Number = w.arrivalCount
-	w.checker.RecordArrival(w.now, int(a.Type), int(a.Customer))
-	w.submit(w.storeArrival(pendingArrival{Arrival: a}))
-	w.scheduleArrival()
+// handleArrival handles a new event arriving at a client.
+func (sim *Simulation) handleArrival() {
+	a := sim.upcoming
+	sim.arrivalCount++
+	a.Number = sim.arrivalCount
+	sim.checker.RecordArrival(sim.now, int(a.Type), int(a.Customer))
+	sim.submit(sim.storeArrival(pendingArrival{Arrival: a}))
+	sim.scheduleArrival()
 }
 
-func (w *Simulation) storeArrival(a pendingArrival) int32 {
-	if last := len(w.freeArrivals) - 1; last >= 0 {
-		i := w.freeArrivals[last]
-		w.freeArrivals = w.freeArrivals[:last]
-		w.pendingArrivals[i] = a
+func (sim *Simulation) storeArrival(a pendingArrival) int32 {
+	if last := len(sim.freeArrivals) - 1; last >= 0 {
+		i := sim.freeArrivals[last]
+		sim.freeArrivals = sim.freeArrivals[:last]
+		sim.pendingArrivals[i] = a
 		return i
 	}
-	w.pendingArrivals = append(w.pendingArrivals, a)
-	return int32(len(w.pendingArrivals) - 1)
+	sim.pendingArrivals = append(sim.pendingArrivals, a)
+	return int32(len(sim.pendingArrivals) - 1)
 }
 
-// submit is a client handing in an event at the node that the front gives it.
-func (w *Simulation) submit(ask int32) {
-	a := w.pendingArrivals[ask]
-	w.freeArrivals = append(w.freeArrivals, ask)
-	if w.now >= a.Deadline {
-		w.arrivalEnded(a.Arrival, checker.Declined)
+// submit lets a client submit an event to the node that the load balancer chooses.
+func (sim *Simulation) submit(slot int32) {
+	a := sim.pendingArrivals[slot]
+	sim.freeArrivals = append(sim.freeArrivals, slot)
+	if sim.now >= a.Deadline {
+		sim.arrivalEnded(a.Arrival, checker.Declined)
 		return
 	}
-	s := w.nodes[w.random.IntN(len(w.nodes))]
-	for tries := 0; !w.routable[s.index] || s.phase != serving; tries++ { // who is gone refuses, and the next is tried
-		if tries > 4*len(w.nodes) {
-			w.Stats.Dropped++
-			w.scheduleRetry(a, 0)
+	s := sim.nodes[sim.random.IntN(len(sim.nodes))]
+	for redraws := 0; !sim.routable[s.index] || s.phase != serving; redraws++ { // a node that is down refuses
+		if redraws > 4*len(sim.nodes) {
+			sim.Stats.Dropped++
+			sim.scheduleRetry(a, 0)
 			return
 		}
-		s = w.nodes[w.random.IntN(len(w.nodes))]
+		s = sim.nodes[sim.random.IntN(len(sim.nodes))]
 	}
-	if s.frozenUntil > w.now+clientTimeout { // nobody answers, and the client goes elsewhere
-		w.queue.schedule(w.now+clientTimeout, simSubmit, w.storeArrival(a), 0, 0)
+	if s.frozenUntil > sim.now+clientTimeout { // the client times out and submits again
+		sim.queue.schedule(sim.now+clientTimeout, simSubmit, sim.storeArrival(a), 0, 0)
 		return
 	}
-	if s.heldEvents >= w.scenario.Fleet.MaxEvents {
-		w.scheduleRetry(a, s.scheduler.RetryAfter())
+	if s.heldEvents >= sim.scenario.Fleet.MaxEvents {
+		sim.scheduleRetry(a, s.scheduler.RetryAfter())
 		return
 	}
-	evt := w.allocateEvent()
-	e := &w.events[evt]
-	w.nextID++
-	w.lastIncarnation++
+	evt := sim.allocateEvent()
+	e := &sim.events[evt]
+	sim.nextID++
+	sim.lastIncarnation++
 	*e = event{
-		id:            w.nextID,
-		incarnation:   w.lastIncarnation,
+		id:            sim.nextID,
+		incarnation:   sim.lastIncarnation,
 		typ:           a.Type,
 		customer:      a.Customer,
 		node:          s.index,
@@ -496,44 +512,45 @@
 		work:          a.Work,
 	}
 	s.heldEvents++
-	w.checker.RecordAccepted(w.now, evt, e.id, s.index, int(e.typ), e.dest, e.key, e.arrivedAt, e.deadline)
-	w.traceEntry("take", s.index, evt, int64(e.dest))
+	sim.checker.RecordAccepted(sim.now, evt, e.id, s.index, int(e.typ), e.dest, e.key, e.arrivedAt, e.deadline)
+	sim.traceEntry("take", s.index, evt, int64(e.dest))
 	s.enqueue(input{kind: inputEvent, evt: evt})
 }
 
-func (w *Simulation) allocateEvent() int32 {
-	if last := len(w.freeEvents) - 1; last >= 0 {
-		i := w.freeEvents[last]
-		w.freeEvents = w.freeEvents[:last]
+func (sim *Simulation) allocateEvent() int32 {
+	if last := len(sim.freeEvents) - 1; last >= 0 {
+		i := sim.freeEvents[last]
+		sim.freeEvents = sim.freeEvents[:last]
 		return i
 	}
-	w.events = append(w.events, event{})
-	return int32(len(w.events) - 1)
+	sim.events = append(sim.events, event{})
+	return int32(len(sim.events) - 1)
 }
 
-// releaseEvent is a node that is done with an event. Its number is given back once no call knows it: a late call
-// must not take effect for another.
-func (w *Simulation) releaseEvent(evt int32) {
-	w.events[evt].released = true
-	w.freeEvent(evt)
+// releaseEvent marks an event as finished by its node. Its number is reused only after all calls that refer to it
+// are freed, since a late call must not take effect for another event.
+func (sim *Simulation) releaseEvent(evt int32) {
+	sim.events[evt].released = true
+	sim.freeEvent(evt)
 }
 
-func (w *Simulation) freeEvent(evt int32) {
-	if e := &w.events[evt]; e.released && e.refs == 0 {
-		w.checker.Release(w.now, evt)
+// freeEvent returns an event's number to the pool once it is released and no call refers to it.
+func (sim *Simulation) freeEvent(evt int32) {
+	if e := &sim.events[evt]; e.released && e.refs == 0 {
+		sim.checker.Release(sim.now, evt)
 		*e = event{}
-		w.freeEvents = append(w.freeEvents, evt)
+		sim.freeEvents = append(sim.freeEvents, evt)
 	}
 }
 
-// retryDeclined is a client that hears that its event was not taken on, or was not delivered and may come again.
-func (w *Simulation) retryDeclined(evt int32, comeBack int64) {
-	w.scheduleRetry(pendingArrival{w.arrivalOf(evt), w.events[evt].retries}, comeBack)
+// retryDeclined lets the client retry an event that the node did not accept or declined to deliver.
+func (sim *Simulation) retryDeclined(evt int32, retryAfter int64) {
+	sim.scheduleRetry(pendingArrival{sim.arrivalOf(evt), sim.events[evt].retries}, retryAfter)
 }
 
-// arrivalOf is what an event was asked for as.
-func (w *Simulation) arrivalOf(evt int32) workload.Arrival {
-	e := &w.events[evt]
+// arrivalOf returns the arrival from which an event came.
+func (sim *Simulation) arrivalOf(evt int32) workload.Arrival {
+	e := &sim.events[evt]
 	return workload.Arrival{
 		At:       e.arrivedAt,
 		Deadline: e.deadline,
@@ -546,64 +563,65 @@
 	}
 }
 
-func (w *Simulation) scheduleRetry(a pendingArrival, comeBack int64) {
-	c := &w.scenario.Clients
+func (sim *Simulation) scheduleRetry(a pendingArrival, retryAfter int64) {
+	c := &sim.scenario.Clients
 	if a.retries >= int32(c.MaxRetries) {
-		w.arrivalEnded(a.Arrival, checker.Declined)
+		sim.arrivalEnded(a.Arrival, checker.Declined)
 		return
 	}
 	a.retries++
-	if comeBack <= 0 {
-		comeBack = int64(c.RetryDelay)
+	if retryAfter <= 0 {
+		retryAfter = int64(c.RetryDelay)
 	}
-	comeBack += int64(c.RetryJitter * w.random.Float64() * float64(comeBack))
-	if w.now+comeBack < a.Deadline {
-		w.queue.schedule(w.now+comeBack, simSubmit, w.storeArrival(a), 0, 0)
+	retryAfter += int64(c.RetryJitter * sim.random.Float64() * float64(retryAfter))
+	if sim.now+retryAfter < a.Deadline {
+		sim.queue.schedule(sim.now+retryAfter, simSubmit, sim.storeArrival(a), 0, 0)
 	} else {
-		w.arrivalEnded(a.Arrival, checker.Declined)
+		sim.arrivalEnded(a.Arrival, checker.Declined)
 	}
 }
 
-// closeExpiredConnections closes idle connections whose time is over, as nodes do in time.
-func (w *Simulation) closeExpiredConnections() {
-	for _, s := range w.nodes {
+// closeExpiredConnections closes connections that have been idle for too long, as nodes do.
+func (sim *Simulation) closeExpiredConnections() {
+	for _, s := range sim.nodes {
 		if s.phase == dead {
 			continue
 		}
-		for own := range s.idleConnections {
-			list := s.idleConnections[own]
-			if len(list) == 0 {
+		for localEp := range s.idleConnections {
+			connections := s.idleConnections[localEp]
+			if len(connections) == 0 {
 				continue
 			}
-			ep := s.endpoints.ID(int32(own))
-			keep := int64(idleTimeoutShare * float64(w.scenario.DestinationKinds[w.destinations.Endpoints[ep].Kind].IdleTimeout))
-			s.idleConnections[own] = slices.DeleteFunc(list, func(l idleConnection) bool {
-				old := w.now-l.lastUsed >= keep
-				if old {
-					w.destinations.Close(ep, l.epoch)
+			ep := s.endpoints.ID(int32(localEp))
+			maxIdle := int64(idleTimeoutShare *
+				float64(sim.scenario.DestinationKinds[sim.destinations.Endpoints[ep].Kind].IdleTimeout))
+			s.idleConnections[localEp] = slices.DeleteFunc(connections, func(l idleConnection) bool {
+				expired := sim.now-l.lastUsed >= maxIdle
+				if expired {
+					sim.destinations.Close(ep, l.epoch)
 				}
-				return old
+				return expired
 			})
 		}
 	}
 }
 
-// sendPeerMessages sends a note to all peers.
-func (w *Simulation) sendPeerMessages(from, ep int32) {
-	if !w.scenario.Fleet.PeerMessages {
+// sendPeerMessages tells all other nodes that an endpoint is healthy. Some of the messages may be lost.
+func (sim *Simulation) sendPeerMessages(from, ep int32) {
+	if !sim.scenario.Fleet.PeerMessages {
 		return
 	}
-	lost := 1 - (1-w.scenario.Fleet.PeerMessageLoss)*(1-w.peerMessageLoss)
-	for _, s := range w.nodes {
-		if s.index != from && w.random.Float64() >= lost {
-			w.queue.schedule(w.now+int64(w.scenario.Fleet.NetworkDelay)+1, simPeerMessage, s.index, ep, int64(from))
+	lost := 1 - (1-sim.scenario.Fleet.PeerMessageLoss)*(1-sim.peerMessageLoss)
+	for _, s := range sim.nodes {
+		if s.index != from && sim.random.Float64() >= lost {
+			sim.queue.schedule(sim.now+int64(sim.scenario.Fleet.NetworkDelay)+1, simPeerMessage, s.index, ep, int64(from))
 		}
 	}
 }
 
-// EventsHeld counts the events that nodes have in hand.
-func (w *Simulation) EventsHeld() (held int) {
-	for _, s := range w.nodes {
+// EventsHeld counts the unfinished events at all nodes.
+func (sim *Simulation) EventsHeld() (held int) {
+	for _, s := range sim.nodes {
 		held += s.heldEvents
 	}
 	return held
