--- a/lab/checker/checker.go
+++ b/lab/checker/checker.go
@@ -1,5 +1,5 @@
-// Package ledger judges a run from outside: by what clients, partners and the directory saw, never by what a
-// node says of itself. It holds the six rules and counts what the events were worth.
+// Package checker checks a run against the six delivery rules and computes the utility that it delivered. It relies
+// only on what clients, destinations and the directory observe, never on what a node reports about itself.
 package checker
 
 import (
@@ -16,10 +16,10 @@
 const (
 	RuleSingleEnd    Rule = 1 + iota // exactly one final end, in time, and no send after it
 	RuleSingleEffect                 // no effect happens twice
-	RuleDrain                        // nothing new to an endpoint that drains, past the grace
-	RuleColdStart                    // a cold destination is not pushed over by those that saw its outage
-	RuleKeyOrder                     // events of one key one at a time, in the order of their coming
-	RuleRetryAfter                   // a told wait is heeded
+	RuleDrain                        // no send to a draining endpoint after the grace period
+	RuleColdStart                    // a cold destination is not overloaded by nodes that saw its outage
+	RuleKeyOrder                     // events of one key go one at a time, in the order of their arrival
+	RuleRetryAfter                   // no send before the end of a Retry-After period
 )
 
 var ruleNames = [...]string{
@@ -41,13 +41,13 @@
 func (r *Rule) UnmarshalText(text []byte) error {
 	i := slices.Index(ruleNames[:], string(text))
 	if i < 1 {
-		return fmt.Errorf("no such rule: %q", text)
+		return fmt.Errorf("unknown rule %q", text)
 	}
 	*r = Rule(i)
 	return nil
 }
 
-// Violation is a broken rule with its evidence.
+// Violation is a violation of a rule, with the sends of the event as evidence.
 type Violation struct {
 	Rule        Rule   `json:"rule"`
 	At          int64  `json:"at_ns"`
@@ -57,25 +57,25 @@
 	Sends       []Send `json:"sends,omitempty"`
 }
 
-func (b Violation) String() string {
+func (v Violation) String() string {
 	text := fmt.Sprintf(
-		"%s broken at %.3f s: event %d at node %d: %s",
-		b.Rule,
-		float64(b.At)/1e9,
-		b.Event,
-		b.Node,
-		b.Description,
+		"rule %q violated at %.3f s: event %d at node %d: %s",
+		v.Rule,
+		float64(v.At)/1e9,
+		v.Event,
+		v.Node,
+		v.Description,
 	)
-	for _, s := range b.Sends {
+	for _, s := range v.Sends {
 		text += fmt.Sprintf("; sent at %.3f s to endpoint %d", float64(s.At)/1e9, s.Endpoint)
 		if s.Ended {
-			text += fmt.Sprintf(", heard %s at %.3f s", OutcomeName(s.Outcome), float64(s.EndedAt)/1e9)
+			text += fmt.Sprintf(", outcome %s at %.3f s", OutcomeName(s.Outcome), float64(s.EndedAt)/1e9)
 		}
 	}
 	return text
 }
 
-// Send is one send as it was seen.
+// Send is one observed send and its outcome.
 type Send struct {
 	At       int64            `json:"at_ns"`
 	EndedAt  int64            `json:"heard_at_ns,omitempty"`
@@ -84,7 +84,7 @@
 	Outcome  delivery.Outcome `json:"how"`
 }
 
-// OutcomeNames are the names of the outcomes of sends, by port.Outcome.
+// OutcomeNames are the names of the outcomes of sends, indexed by delivery.Outcome.
 var OutcomeNames = [...]string{
 	"acked",
 	"errored",
@@ -97,10 +97,10 @@
 	"spoilt",
 }
 
-// OutcomeName names an outcome.
+// OutcomeName returns the name of an outcome.
 func OutcomeName(o delivery.Outcome) string { return OutcomeNames[o] }
 
-// End is how an event ended.
+// End is the final end of an event, or Open before it.
 type End uint8
 
 const (
@@ -113,38 +113,38 @@
 func (e End) String() string { return [...]string{"open", "acked", "declined", "discarded"}[e] }
 
 const (
-	maxViolations    = 50          // kept; the others are counted
-	overdueTolerance = int64(3e8)  // ns past its time after which an event without an end is lost: the protocol's
-	restartTolerance = int64(15e8) // ns after a restart in which no end is overdue: the protocol's
-	binWidth         = int64(1e9)  // ns in which utility and load are gathered
-	worstWindowBins  = 10          // bins of the worst spell
+	maxViolations    = 50          // violations kept with evidence; further ones are only counted
+	overdueTolerance = int64(3e8)  // ns after its deadline by which an event must have its end, as in the protocol
+	restartTolerance = int64(15e8) // ns after a restart during which no end is overdue, as in the protocol
+	binWidth         = int64(1e9)  // ns of arrival time for which utility is summed up
+	worstWindowBins  = 10          // bins of the worst window: 10 s
 )
 
-// The parts of the figure. Most of it is the whole run; a spell of trouble and a stream type that is left
-// behind count for what an operator hears about first.
+// Weights of the parts of the score G. The whole run counts most; the worst window and the worst stream type are
+// included since they are what an operator hears about first.
 const (
 	weightOverall     = 0.6
 	weightWorstWindow = 0.3
 	weightWorstType   = 0.1
 )
 
-// event is one event that a node took on, from its coming to its end.
+// event is one event that a node accepted, from its acceptance to its release.
 type event struct {
 	id           uint64
 	typ          int32
 	node         int32
 	dest         int32
 	key          uint64
-	arrivedAt    int64 // when its client first had it
+	arrivedAt    int64 // when its client first got it
 	deadline     int64
 	end          End
 	inUse        bool
 	mayRun       bool
-	firstRunAt   int64 // sending of the first send that may have run
+	firstRunAt   int64 // start of the first send that may have run
 	inFlight     int
 	effects      int
-	runningCalls int   // calls at its destination that will take effect
-	dedupSince   int64 // when its destination took the call that took effect last
+	runningCalls int   // calls in progress at its destination that will take effect
+	dedupSince   int64 // when its destination received the call that last took effect; starts the deduplication window
 	sends        []Send
 }
 
@@ -154,6 +154,8 @@
 	key  uint64
 }
 
+// keyQueue holds the events of one key in the order of their arrival. pausedUntil is the end of the pause after an
+// uncertain outcome.
 type keyQueue struct {
 	events      []int32
 	pausedUntil int64
@@ -163,7 +165,7 @@
 	node, ep int32
 }
 
-// Checker judges one run. Events are known by small numbers that their caller gives out and takes back.
+// Checker checks one run. The caller identifies events by small numbers, which it reuses after Release.
 type Checker struct {
 	scenario        *scenario.Scenario
 	types           []delivery.StreamType
@@ -172,109 +174,117 @@
 	keyQueues       map[orderKey]*keyQueue
 	drainReportedAt map[nodeEndpoint]int64
 	drainReported   []bool    // by endpoint: some node was told that it drains
-	waitUntil       [][]int64 // by node and lane: until when
-	servingSince    []int64   // by node: when it serves again; far away while it is down
+	waitUntil       [][]int64 // by node and lane: end of the Retry-After period
+	servingSince    []int64   // by node: start of serving; in the far future while it is stopping or down
 
 	Violations     []Violation
-	ViolationCount int // breaks in all
+	ViolationCount int // all violations, also those not kept
 
-	offered, delivered                     []float64 // utility by bin of the asking
+	offered, delivered                     []float64 // utility by arrival time, in bins
 	offeredByType, deliveredByType         []float64
 	offeredByCustomer, deliveredByCustomer []float64
 	EndCounts                              [4]int64
-	OutcomeCounts                          [9]int64 // outcomes that nodes heard
+	OutcomeCounts                          [9]int64 // outcomes that nodes saw, by delivery.Outcome
 	Sends, Calls, Connections              int64
 	Effects                                int64
 	Arrivals, Accepted                     int64
-	OnDelivery                             func(typ int, took int64) // hears the time from the asking to the delivery, where set
+
+	OnDelivery func(typ int, latency int64) // called with the time from arrival to delivery; may be nil
 }
 
-// New begins a ledger for a run of a scenario.
-func New(day *scenario.Scenario) *Checker {
-	l := &Checker{scenario: day, types: day.DeliveryTypes(), allowDuplicates: day.Fleet.AllowDuplicates, keyQueues: make(map[orderKey]*keyQueue),
-		drainReportedAt: make(
-			map[nodeEndpoint]int64,
-		), waitUntil: make([][]int64, day.Fleet.Nodes), servingSince: make([]int64, day.Fleet.Nodes),
-		offeredByType: make([]float64, len(day.Types)), deliveredByType: make([]float64, len(day.Types)),
-		offeredByCustomer: make([]float64, len(day.Customers)), deliveredByCustomer: make([]float64, len(day.Customers))}
-	return l
+// New returns a checker for a run of a scenario.
+func New(scn *scenario.Scenario) *Checker {
+	c := &Checker{
+		scenario:            scn,
+		types:               scn.DeliveryTypes(),
+		allowDuplicates:     scn.Fleet.AllowDuplicates,
+		keyQueues:           make(map[orderKey]*keyQueue),
+		drainReportedAt:     make(map[nodeEndpoint]int64),
+		waitUntil:           make([][]int64, scn.Fleet.Nodes),
+		servingSince:        make([]int64, scn.Fleet.Nodes),
+		offeredByType:       make([]float64, len(scn.Types)),
+		deliveredByType:     make([]float64, len(scn.Types)),
+		offeredByCustomer:   make([]float64, len(scn.Customers)),
+		deliveredByCustomer: make([]float64, len(scn.Customers)),
+	}
+	return c
 }
 
 func grow[T any](list []T, i int) []T {
 	for i >= len(list) {
-		var none T
-		list = append(list, none)
+		var zero T
+		list = append(list, zero)
 	}
 	return list
 }
 
-func (l *Checker) violate(rule Rule, now int64, e *event, what string) {
-	if l.ViolationCount++; len(l.Violations) < maxViolations {
-		l.Violations = append(l.Violations, Violation{rule, now, e.id, e.node, what, slices.Clone(e.sends)})
+func (c *Checker) violate(rule Rule, now int64, e *event, description string) {
+	if c.ViolationCount++; len(c.Violations) < maxViolations {
+		c.Violations = append(c.Violations, Violation{rule, now, e.id, e.node, description, slices.Clone(e.sends)})
 	}
 }
 
-// RecordArrival notes that a client has an event; its tries belong to this one asking.
-func (l *Checker) RecordArrival(now int64, typ, owner int) {
-	u := l.scenario.Types[typ].Utility
+// RecordArrival records a new event at a client. The client's retries belong to the same arrival.
+func (c *Checker) RecordArrival(now int64, typ, customer int) {
+	utility := c.scenario.Types[typ].Utility
 	b := int(now / binWidth)
-	l.offered, l.delivered = grow(l.offered, b), grow(l.delivered, b)
-	l.offered[b] += u
-	l.offeredByType[typ] += u
-	l.offeredByCustomer[owner] += u
-	l.Arrivals++
+	c.offered, c.delivered = grow(c.offered, b), grow(c.delivered, b)
+	c.offered[b] += utility
+	c.offeredByType[typ] += utility
+	c.offeredByCustomer[customer] += utility
+	c.Arrivals++
 }
 
-// RecordAccepted notes that a node has an event: from now on it owes the event's end.
-func (l *Checker) RecordAccepted(
+// RecordAccepted records that a node received an event. From now on the node must give it a final end.
+func (c *Checker) RecordAccepted(
 	now int64,
 	evt int32,
 	id uint64,
 	node int32,
 	typ int,
 	dest int32,
-	k uint64,
-	asked, deadline int64,
+	key uint64,
+	arrivedAt, deadline int64,
 ) {
-	l.events = grow(l.events, int(evt))
-	e := &l.events[evt]
+	c.events = grow(c.events, int(evt))
+	e := &c.events[evt]
 	*e = event{
 		id:        id,
 		typ:       int32(typ),
 		node:      node,
 		dest:      dest,
-		key:       k,
-		arrivedAt: asked,
+		key:       key,
+		arrivedAt: arrivedAt,
 		deadline:  deadline,
 		inUse:     true,
 		sends:     e.sends[:0],
 	}
-	l.Accepted++
-	if l.types[typ].Ordered && k != 0 {
-		at := orderKey{node, int32(typ), k}
-		if l.keyQueues[at] == nil {
-			l.keyQueues[at] = &keyQueue{}
+	c.Accepted++
+	if c.types[typ].Ordered && key != 0 {
+		at := orderKey{node, int32(typ), key}
+		if c.keyQueues[at] == nil {
+			c.keyQueues[at] = &keyQueue{}
 		}
-		l.keyQueues[at].events = append(l.keyQueues[at].events, evt)
+		c.keyQueues[at].events = append(c.keyQueues[at].events, evt)
 	}
 }
 
-// RecordSend notes that a send goes out to an endpoint of a lane.
-func (l *Checker) RecordSend(now int64, evt, ep, lane int32) {
-	e := &l.events[evt]
-	t := &l.types[e.typ]
-	l.Sends++
+// RecordSend records and checks a send to an endpoint of a lane.
+func (c *Checker) RecordSend(now int64, evt, ep, lane int32) {
+	e := &c.events[evt]
+	t := &c.types[e.typ]
+	c.Sends++
 	switch {
 	case !e.inUse:
-		l.violate(RuleSingleEnd, now, e, "a send of an event that nobody handed in")
+		c.violate(RuleSingleEnd, now, e, "send of an event that the node has not accepted")
 		return
 	case e.end != Open:
-		l.violate(RuleSingleEnd, now, e, "a send after it was "+e.end.String())
+		c.violate(RuleSingleEnd, now, e, "send after the event was "+e.end.String())
 	case now > e.deadline+overdueTolerance:
-		l.violate(RuleSingleEnd, now, e, "a send after its time was up")
+		c.violate(RuleSingleEnd, now, e, "send after the event's deadline")
 	}
-	if e.inFlight > 0 && !l.allowDuplicates {
-		l.violate(RuleSingleEnd, now, e, "two sends out at once")
+	if e.inFlight > 0 && !c.allowDuplicates {
+		c.violate(RuleSingleEnd, now, e, "two sends of the event in flight at once")
 	}
 	if e.inFlight > 0 || e.mayRun {
 		first := e.firstRunAt
@@ -285,227 +295,230 @@
 		}
 		switch {
 		case t.Safety == delivery.NonIdempotent:
-			l.violate(RuleSingleEffect, now, e, "another send of an event that may have run and must not run twice")
+			c.violate(RuleSingleEffect, now, e, "repeated send of a non-idempotent event that may have run")
 		case t.Safety == delivery.Deduplicated && first > 0 && now-first > t.DedupWindow:
-			l.violate(RuleSingleEffect, now, e, "a repeat after its mark may be forgotten")
+			c.violate(RuleSingleEffect, now, e, "repeated send after the end of the deduplication window")
 		}
 	}
-	if int(ep) < len(l.drainReported) && l.drainReported[ep] {
-		if at, told := l.drainReportedAt[nodeEndpoint{e.node, ep}]; told && now > at+int64(l.scenario.Rules.DrainGrace) {
-			l.violate(
+	if int(ep) < len(c.drainReported) && c.drainReported[ep] {
+		if at, reported := c.drainReportedAt[nodeEndpoint{e.node, ep}]; reported && now > at+int64(c.scenario.Rules.DrainGrace) {
+			c.violate(
 				RuleDrain,
 				now,
 				e,
-				fmt.Sprintf("a send to endpoint %d, told to drain at %.3f s", ep, float64(at)/1e9),
+				fmt.Sprintf("send to endpoint %d, which was reported as draining at %.3f s", ep, float64(at)/1e9),
 			)
 		}
 	}
-	if w := l.waitUntil[e.node]; int(lane) < len(w) && now < w[lane] {
-		l.violate(
+	if w := c.waitUntil[e.node]; int(lane) < len(w) && now < w[lane] {
+		c.violate(
 			RuleRetryAfter,
 			now,
 			e,
-			fmt.Sprintf("a send to a destination that told to wait until %.3f s", float64(w[lane])/1e9),
+			fmt.Sprintf("send to a destination that asked to wait until %.3f s", float64(w[lane])/1e9),
 		)
 	}
 	if t.Ordered && e.key != 0 {
-		l.checkKeyOrder(now, evt, e)
+		c.checkKeyOrder(now, evt, e)
 	}
 	e.inFlight++
 	e.sends = append(e.sends, Send{At: now, Endpoint: ep})
 }
 
-// checkKeyOrder sees whether an event of a key may be sent now.
-func (l *Checker) checkKeyOrder(now int64, evt int32, e *event) {
-	k := l.keyQueues[orderKey{e.node, e.typ, e.key}]
-	if k == nil {
+// checkKeyOrder checks whether an event with an ordering key may be sent now.
+func (c *Checker) checkKeyOrder(now int64, evt int32, e *event) {
+	queue := c.keyQueues[orderKey{e.node, e.typ, e.key}]
+	if queue == nil {
 		return
 	}
-	if now < k.pausedUntil && len(e.sends) == 0 {
-		l.violate(
+	if now < queue.pausedUntil && len(e.sends) == 0 {
+		c.violate(
 			RuleKeyOrder,
 			now,
 			e,
-			fmt.Sprintf("a send of a key that rests until %.3f s", float64(k.pausedUntil)/1e9),
+			fmt.Sprintf("send of an event whose key is paused until %.3f s", float64(queue.pausedUntil)/1e9),
 		)
 	}
-	for _, before := range k.events {
-		if before == evt {
+	for _, earlier := range queue.events {
+		if earlier == evt {
 			return
 		}
-		if b := &l.events[before]; b.end == Open || b.inFlight > 0 {
-			l.violate(RuleKeyOrder, now, e, fmt.Sprintf("a send before event %d of its key is over", b.id))
+		if b := &c.events[earlier]; b.end == Open || b.inFlight > 0 {
+			c.violate(RuleKeyOrder, now, e, fmt.Sprintf("send before event %d of the same key has finished", b.id))
 			return
 		}
 	}
 }
 
-// RecordOutcome notes what a node heard of a send, by its number.
-func (l *Checker) RecordOutcome(now int64, evt int32, number int, how delivery.Outcome) {
-	e := &l.events[evt]
-	l.OutcomeCounts[how]++
+// RecordOutcome records the outcome that a node saw of a send, given by the send's number within its event.
+func (c *Checker) RecordOutcome(now int64, evt int32, number int, outcome delivery.Outcome) {
+	e := &c.events[evt]
+	c.OutcomeCounts[outcome]++
 	if number >= len(e.sends) || e.sends[number].Ended {
 		return
 	}
 	s := &e.sends[number]
-	s.Ended, s.EndedAt, s.Outcome = true, now, how
+	s.Ended, s.EndedAt, s.Outcome = true, now, outcome
 	e.inFlight--
-	if how.MayHaveRun() && how != delivery.Acked && !e.mayRun {
+	if outcome.MayHaveRun() && outcome != delivery.Acked && !e.mayRun {
 		e.mayRun, e.firstRunAt = true, s.At
 	}
-	if t := &l.types[e.typ]; t.Ordered && e.key != 0 {
-		k := l.keyQueues[orderKey{e.node, e.typ, e.key}]
-		if k != nil && (how == delivery.TimedOut || how == delivery.Reset || how == delivery.Cancelled) {
-			k.pausedUntil = now + int64(l.scenario.Rules.KeyPause)
+	if t := &c.types[e.typ]; t.Ordered && e.key != 0 {
+		queue := c.keyQueues[orderKey{e.node, e.typ, e.key}]
+		if queue != nil && (outcome == delivery.TimedOut || outcome == delivery.Reset || outcome == delivery.Cancelled) {
+			queue.pausedUntil = now + int64(c.scenario.Rules.KeyPause)
 		}
 	}
 }
 
-// RecordCallReceived notes that a call which will take effect has come to its destination. It tells whether the
-// destination knows the event's mark, so that nothing happens again.
-func (l *Checker) RecordCallReceived(now int64, evt int32) (known bool) {
-	e := &l.events[evt]
-	t := &l.types[e.typ]
-	known = t.Safety == delivery.Deduplicated && (e.runningCalls > 0 || (e.effects > 0 && now-e.dedupSince <= t.DedupWindow))
+// RecordCallReceived records that a call which will take effect has reached its destination. It reports whether the
+// destination recognises the event's idempotency key, so that the call has no further effect.
+func (c *Checker) RecordCallReceived(now int64, evt int32) (duplicate bool) {
+	e := &c.events[evt]
+	t := &c.types[e.typ]
+	duplicate = t.Safety == delivery.Deduplicated &&
+		(e.runningCalls > 0 || (e.effects > 0 && now-e.dedupSince <= t.DedupWindow))
 	e.runningCalls++
-	return known
+	return duplicate
 }
 
-// RecordCallDone notes the end of the work of a call that came at a time: the event took effect, where it ran and its
-// mark was not known.
-func (l *Checker) RecordCallDone(now, came int64, evt int32, ran, known bool) {
-	e := &l.events[evt]
-	t := &l.types[e.typ]
-	if e.runningCalls--; !ran || known {
+// RecordCallDone records that a destination finished a call that it received at reachedAt. The event took effect if
+// the call ran and was not recognised as a duplicate.
+func (c *Checker) RecordCallDone(now, reachedAt int64, evt int32, ran, duplicate bool) {
+	e := &c.events[evt]
+	t := &c.types[e.typ]
+	if e.runningCalls--; !ran || duplicate {
 		return
 	}
-	e.dedupSince = came
-	l.Effects++
+	e.dedupSince = reachedAt
+	c.Effects++
 	if e.effects++; e.effects > 1 && t.Safety != delivery.Idempotent {
-		l.violate(RuleSingleEffect, now, e, fmt.Sprintf("it took effect %d times", e.effects))
+		c.violate(RuleSingleEffect, now, e, fmt.Sprintf("the event took effect %d times", e.effects))
 	}
 }
 
-// RecordEnd notes an event's end.
-func (l *Checker) RecordEnd(now int64, evt int32, end End) {
-	e := &l.events[evt]
-	t := &l.types[e.typ]
+// RecordEnd records and checks an event's final end.
+func (c *Checker) RecordEnd(now int64, evt int32, end End) {
+	e := &c.events[evt]
+	t := &c.types[e.typ]
 	switch {
 	case !e.inUse || e.end != Open:
-		l.violate(RuleSingleEnd, now, e, fmt.Sprintf("%s after it was %s", end, e.end))
+		c.violate(RuleSingleEnd, now, e, fmt.Sprintf("%s after the event was already %s", end, e.end))
 		return
-	case now > e.deadline+overdueTolerance && now > l.servingSince[e.node]+restartTolerance:
-		l.violate(
+	case now > e.deadline+overdueTolerance && now > c.servingSince[e.node]+restartTolerance:
+		c.violate(
 			RuleSingleEnd,
 			now,
 			e,
-			fmt.Sprintf("%s %.3f s after its time was up", end, float64(now-e.deadline)/1e9),
+			fmt.Sprintf("%s %.3f s after the deadline", end, float64(now-e.deadline)/1e9),
 		)
 	case end == Declined && t.Safety == delivery.NonIdempotent && (e.mayRun || e.inFlight > 0):
-		l.violate(RuleSingleEffect, now, e, "declined though it may have run and must not run twice")
+		c.violate(RuleSingleEffect, now, e, "declined a non-idempotent event that may have run")
 	}
 	e.end = end
-	l.EndCounts[end]++
+	c.EndCounts[end]++
 	if end == Acked {
-		worth := l.scenario.Types[e.typ].UtilityShare(now - e.arrivedAt)
-		l.creditUtility(e, worth)
-		if l.OnDelivery != nil {
-			l.OnDelivery(int(e.typ), now-e.arrivedAt)
+		share := c.scenario.Types[e.typ].UtilityShare(now - e.arrivedAt)
+		c.creditUtility(e, share)
+		if c.OnDelivery != nil {
+			c.OnDelivery(int(e.typ), now-e.arrivedAt)
 		}
 	}
 }
 
-func (l *Checker) creditUtility(e *event, worth float64) {
-	u := worth * l.scenario.Types[e.typ].Utility
+func (c *Checker) creditUtility(e *event, share float64) {
+	utility := share * c.scenario.Types[e.typ].Utility
 	b := int(e.arrivedAt / binWidth)
-	l.delivered = grow(l.delivered, b)
-	l.delivered[b] += u
-	l.deliveredByType[e.typ] += u
+	c.delivered = grow(c.delivered, b)
+	c.delivered[b] += utility
+	c.deliveredByType[e.typ] += utility
 }
 
-// CreditCustomer credits a customer with an event that was delivered.
-func (l *Checker) CreditCustomer(now int64, evt int32, owner int) {
-	e := &l.events[evt]
-	l.deliveredByCustomer[owner] += l.scenario.Types[e.typ].UtilityShare(now-e.arrivedAt) * l.scenario.Types[e.typ].Utility
+// CreditCustomer credits a customer with the utility of a delivered event.
+func (c *Checker) CreditCustomer(now int64, evt int32, customer int) {
+	e := &c.events[evt]
+	c.deliveredByCustomer[customer] += c.scenario.Types[e.typ].UtilityShare(now-e.arrivedAt) *
+		c.scenario.Types[e.typ].Utility
 }
 
-// Abandon ends what is judged of an event: its client heard nothing and went elsewhere, so that what is sent
-// for it counts for nothing.
-func (l *Checker) Abandon(evt int32) {
-	e := &l.events[evt]
-	l.Accepted--
+// Abandon stops checking an event whose client got no answer and submitted it to another node. Later sends of it
+// count for nothing.
+func (c *Checker) Abandon(evt int32) {
+	e := &c.events[evt]
+	c.Accepted--
 	e.inUse, e.end = false, Declined
-	if k := l.keyQueues[orderKey{e.node, e.typ, e.key}]; k != nil {
-		k.events = slices.DeleteFunc(k.events, func(other int32) bool { return other == evt })
+	if queue := c.keyQueues[orderKey{e.node, e.typ, e.key}]; queue != nil {
+		queue.events = slices.DeleteFunc(queue.events, func(other int32) bool { return other == evt })
 	}
 }
 
-// Release ends what is known of an event: its number may be given out again. An event without an end is lost.
-func (l *Checker) Release(now int64, evt int32) {
-	e := &l.events[evt]
+// Release forgets an event, so that its number may be reused. Releasing an event without an end is a violation.
+func (c *Checker) Release(now int64, evt int32) {
+	e := &c.events[evt]
 	if !e.inUse {
 		return
 	}
 	if e.end == Open {
-		l.violate(RuleSingleEnd, now, e, "it was left without an end")
+		c.violate(RuleSingleEnd, now, e, "the node released the event without a final end")
 	}
-	if t := &l.types[e.typ]; t.Ordered && e.key != 0 {
+	if t := &c.types[e.typ]; t.Ordered && e.key != 0 {
 		at := orderKey{e.node, e.typ, e.key}
-		if k := l.keyQueues[at]; k != nil {
-			k.events = slices.DeleteFunc(k.events, func(other int32) bool { return other == evt })
-			if len(k.events) == 0 && now >= k.pausedUntil {
-				delete(l.keyQueues, at)
+		if queue := c.keyQueues[at]; queue != nil {
+			queue.events = slices.DeleteFunc(queue.events, func(other int32) bool { return other == evt })
+			if len(queue.events) == 0 && now >= queue.pausedUntil {
+				delete(c.keyQueues, at)
 			}
 		}
 	}
 	e.inUse = false
 }
 
-// CheckOverdue looks for events whose time is up and that have no end. It is called now and then.
-func (l *Checker) CheckOverdue(now int64) {
-	for i := range l.events {
-		e := &l.events[i]
-		if e.inUse && e.end == Open && now > e.deadline+overdueTolerance && now > l.servingSince[e.node]+restartTolerance {
-			l.violate(
+// CheckOverdue reports events without an end that are past their deadline. It is to be called periodically.
+func (c *Checker) CheckOverdue(now int64) {
+	for i := range c.events {
+		e := &c.events[i]
+		if e.inUse && e.end == Open && now > e.deadline+overdueTolerance && now > c.servingSince[e.node]+restartTolerance {
+			c.violate(
 				RuleSingleEnd,
 				now,
 				e,
-				fmt.Sprintf("no end %.3f s after its time was up", float64(now-e.deadline)/1e9),
+				fmt.Sprintf("no final end %.3f s after the deadline", float64(now-e.deadline)/1e9),
 			)
-			e.end = Discarded // told once
+			e.end = Discarded // so that it is reported only once
 		}
 	}
 }
 
-// RecordDrain notes that a node was told that an endpoint drains or is gone.
-func (l *Checker) RecordDrain(now int64, node, ep int32) {
-	l.drainReported = grow(l.drainReported, int(ep))
-	l.drainReported[ep] = true
-	if at := (nodeEndpoint{node, ep}); l.drainReportedAt[at] == 0 {
-		l.drainReportedAt[at] = now
+// RecordDrain records that a node was told that an endpoint is draining or gone.
+func (c *Checker) RecordDrain(now int64, node, ep int32) {
+	c.drainReported = grow(c.drainReported, int(ep))
+	c.drainReported[ep] = true
+	if at := (nodeEndpoint{node, ep}); c.drainReportedAt[at] == 0 {
+		c.drainReportedAt[at] = now
 	}
 }
 
-// RecordRetryAfter notes that a node heard that it must wait for a lane.
-func (l *Checker) RecordRetryAfter(now int64, node, lane int32, wait int64) {
-	l.waitUntil[node] = grow(l.waitUntil[node], int(lane))
-	l.waitUntil[node][lane] = max(l.waitUntil[node][lane], now+wait)
+// RecordRetryAfter records that a node was told to wait before it sends to a lane again.
+func (c *Checker) RecordRetryAfter(now int64, node, lane int32, wait int64) {
+	c.waitUntil[node] = grow(c.waitUntil[node], int(lane))
+	c.waitUntil[node][lane] = max(c.waitUntil[node][lane], now+wait)
 }
 
-// RecordNodeStopping notes that a node was asked to stop: until it is back no end is overdue.
-func (l *Checker) RecordNodeStopping(node int32) { l.servingSince[node] = 1 << 62 }
+// RecordNodeStopping records that a node was asked to stop. Until it serves again, none of its ends is overdue.
+func (c *Checker) RecordNodeStopping(node int32) { c.servingSince[node] = 1 << 62 }
 
-// RecordNodeDied notes that a node's process ended: sends that were out may have run, and waits end with it.
-func (l *Checker) RecordNodeDied(now int64, node int32) {
-	l.RecordNodeStopping(node)
-	clear(l.waitUntil[node])
-	for at := range l.drainReportedAt {
+// RecordNodeDied records that a node's process ended. Its sends in flight may have run, and the waits and drains that
+// it was told of no longer bind it.
+func (c *Checker) RecordNodeDied(now int64, node int32) {
+	c.RecordNodeStopping(node)
+	clear(c.waitUntil[node])
+	for at := range c.drainReportedAt {
 		if at.node == node {
-			delete(l.drainReportedAt, at)
+			delete(c.drainReportedAt, at)
 		}
 	}
-	for i := range l.events {
-		e := &l.events[i]
+	for i := range c.events {
+		e := &c.events[i]
 		if !e.inUse || e.node != node {
 			continue
 		}
@@ -519,31 +532,31 @@
 			}
 		}
 	}
-	for at, k := range l.keyQueues {
+	for at, queue := range c.keyQueues {
 		if at.node == node {
-			k.pausedUntil = 0
+			queue.pausedUntil = 0
 		}
 	}
 }
 
-// RecordNodeServing notes that a node serves again.
-func (l *Checker) RecordNodeServing(now int64, node int32) { l.servingSince[node] = now }
+// RecordNodeServing records that a node serves, for the first time or again.
+func (c *Checker) RecordNodeServing(now int64, node int32) { c.servingSince[node] = now }
 
-// RecordOverload notes that a cold destination was pushed over, by so many calls, of which so many came from nodes that
-// had seen its outage.
-func (l *Checker) RecordOverload(now int64, dest int32, offered, informed int, allowed float64) {
+// RecordOverload records that a cold destination was overloaded by the offered calls. It is a violation if at least
+// two thirds of them came from nodes that had seen the outage.
+func (c *Checker) RecordOverload(now int64, dest int32, offered, informed int, allowed float64) {
 	if 3*informed >= 2*offered {
-		l.violate(
+		c.violate(
 			RuleColdStart,
 			now,
 			&event{node: -1},
-			fmt.Sprintf("destination %d pushed over while cold by %d calls where "+
-				"%.1f are borne, %d of them from nodes that had seen its outage", dest, offered, allowed, informed),
+			fmt.Sprintf("cold destination %d overloaded by %d calls where "+
+				"%.1f are allowed, %d of them from nodes that had seen its outage", dest, offered, allowed, informed),
 		)
 	}
 }
 
-// Summary is what a run was worth. Utility is told as a share of what was asked for.
+// Summary is the result of a run. Utilities are shares of the utility of all arrivals.
 type Summary struct {
 	G              float64     `json:"g"`
 	Overall        float64     `json:"whole"`
@@ -551,7 +564,7 @@
 	WorstType      float64     `json:"worst_type"`
 	Types          []float64   `json:"types"`
 	Customers      []float64   `json:"customers"`
-	Waste          float64     `json:"waste"` // sends beyond one for each delivered event, by those asked for
+	Waste          float64     `json:"waste"` // sends beyond one per delivered event, as a share of the arrivals
 	Arrivals       int64       `json:"asked"`
 	Accepted       int64       `json:"taken"`
 	Acked          int64       `json:"acked"`
@@ -564,40 +577,52 @@
 	Violations     []Violation `json:"breaks,omitempty"`
 }
 
-// Summary sums up the run. Askings whose time had not run out by its end are left out of the worst spell.
-func (l *Checker) Summary() Summary {
-	s := Summary{Arrivals: l.Arrivals, Accepted: l.Accepted, Acked: l.EndCounts[Acked], Declined: l.EndCounts[Declined],
-		Discarded: l.EndCounts[Discarded], Sends: l.Sends, Effects: l.Effects, Outcomes: l.OutcomeCounts, ViolationCount: l.ViolationCount,
-		Violations: l.Violations, WorstWindow: 1, WorstType: 1}
-	wanted, got := sum(l.offered), sum(l.delivered)
-	s.Overall = ratio(got, wanted)
-	for i := 0; i+worstWindowBins <= len(l.offered); i++ {
-		if w := sum(l.offered[i : i+worstWindowBins]); w > 0 {
-			s.WorstWindow = min(s.WorstWindow, ratio(sum(l.delivered[i:i+worstWindowBins]), w))
+// Summary sums up the run. The worst window is taken over full windows only; a run shorter than one window has its
+// overall utility instead.
+func (c *Checker) Summary() Summary {
+	s := Summary{
+		Arrivals:       c.Arrivals,
+		Accepted:       c.Accepted,
+		Acked:          c.EndCounts[Acked],
+		Declined:       c.EndCounts[Declined],
+		Discarded:      c.EndCounts[Discarded],
+		Sends:          c.Sends,
+		Effects:        c.Effects,
+		Outcomes:       c.OutcomeCounts,
+		ViolationCount: c.ViolationCount,
+		Violations:     c.Violations,
+		WorstWindow:    1,
+		WorstType:      1,
+	}
+	offered, delivered := sum(c.offered), sum(c.delivered)
+	s.Overall = ratio(delivered, offered)
+	for i := 0; i+worstWindowBins <= len(c.offered); i++ {
+		if w := sum(c.offered[i : i+worstWindowBins]); w > 0 {
+			s.WorstWindow = min(s.WorstWindow, ratio(sum(c.delivered[i:i+worstWindowBins]), w))
 		}
 	}
-	if len(l.offered) < worstWindowBins {
+	if len(c.offered) < worstWindowBins {
 		s.WorstWindow = s.Overall
 	}
-	for i := range l.offeredByType {
-		r := ratio(l.deliveredByType[i], l.offeredByType[i])
+	for i := range c.offeredByType {
+		r := ratio(c.deliveredByType[i], c.offeredByType[i])
 		s.Types = append(s.Types, r)
 		s.WorstType = min(s.WorstType, r)
 	}
-	for i := range l.offeredByCustomer {
-		s.Customers = append(s.Customers, ratio(l.deliveredByCustomer[i], l.offeredByCustomer[i]))
+	for i := range c.offeredByCustomer {
+		s.Customers = append(s.Customers, ratio(c.deliveredByCustomer[i], c.offeredByCustomer[i]))
 	}
-	if l.Arrivals > 0 {
-		s.Waste = float64(l.Sends-l.EndCounts[Acked]) / float64(l.Arrivals)
+	if c.Arrivals > 0 {
+		s.Waste = float64(c.Sends-c.EndCounts[Acked]) / float64(c.Arrivals)
 	}
 	s.G = weightOverall*s.Overall + weightWorstWindow*s.WorstWindow + weightWorstType*s.WorstType
 	return s
 }
 
-// UtilityPerSecond is the share of the utility asked for in each second that was delivered.
-func (l *Checker) UtilityPerSecond() (shares []float64) {
-	for i := range l.offered {
-		shares = append(shares, ratio(l.delivered[i], l.offered[i]))
+// UtilityPerSecond returns, for the arrivals of each second, the share of their utility that was delivered.
+func (c *Checker) UtilityPerSecond() (shares []float64) {
+	for i := range c.offered {
+		shares = append(shares, ratio(c.delivered[i], c.offered[i]))
 	}
 	return shares
 }
@@ -616,9 +641,9 @@
 	return a / b
 }
 
-// MayHaveRun tells whether a send of an event may have run, for all that its node knows, and when the first
-// such went out.
-func (l *Checker) MayHaveRun(evt int32) (first int64, ran bool) {
-	e := &l.events[evt]
+// MayHaveRun reports whether, as far as the node can know, a send of an event may have run, and when the first such
+// send started.
+func (c *Checker) MayHaveRun(evt int32) (first int64, ran bool) {
+	e := &c.events[evt]
 	return e.firstRunAt, e.mayRun
 }
--- a/lab/simulator/simulation.go
+++ b/lab/simulator/simulation.go
@@ -351,10 +351,10 @@
 	sim.lastIncarnation++
 	s.incarnation, s.phase, s.frozenUntil = sim.lastIncarnation, serving, 0
 	s.scheduler = sim.newScheduler(sim, int(s.index), sim.random.Uint64())
-	s.eventByIndex, s.freeIndexes, s.inputs = s.eventByIndex[:0], s.freeIndexes[:0], s.inputs[:0]
-	s.nextRound, s.wakeAt = 0, 0
-	s.endpoints, s.idleConnections, s.seenOutage = door.Table[int32]{}, nil, nil
-	s.watching, s.watchPending = false, false
+	s.eventByIndex, s.freeIndexes, s.inputs, s.nextRound, s.wakeAt =
+		s.eventByIndex[:0], s.freeIndexes[:0], s.inputs[:0], 0, 0
+	s.endpoints, s.idleConnections, s.seenOutage, s.watching, s.watchPending =
+		door.Table[int32]{}, nil, nil, false, false
 	s.lastRound = sim.now - int64(sim.scenario.Fleet.Tick)
 	sim.routable[s.index] = true
 	sim.checker.RecordNodeServing(sim.now, s.index)
