--- a/lab/run/run_test.go
+++ b/lab/run/run_test.go
@@ -224,18 +224,18 @@
 
 func TestBadScenariosAreNamed(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
-		{"name = \"x\"\nlenght = \"3s\"", "x.toml:2: lenght: no such key"},
+		{"name = \"x\"\nlenght = \"3s\"", "x.toml:2: lenght: unknown key"},
 		{"name = \"x\"\nlength = 3", "length: want 1s to"},
-		{"name = \"x\"\nlength = \"3\"", `want a time as "250ms", got "3"`},
+		{"name = \"x\"\nlength = \"3\"", `want a duration such as "250ms", got "3"`},
 		{"like = \"nowhere\"", "nowhere"},
 		{"like = \"farm\"\nname = \"\"", `x.toml: name: want a name`},
 		{"like = \"farm\"\n[fleet]\nnodes = 900000000", "fleet.nodes: want 1 to 2000, got 900000000"},
 		{"like = \"farm\"\n[[trouble]]\nkind = \"sloww\"\nat = \"1s\"", `trouble 1 (sloww): kind: want a kind`},
-		{"like = \"farm\"\n[[trouble]]\nkind = \"slow\"\nat = \"1s\"", "destinations: want how many, or which"},
+		{"like = \"farm\"\n[[trouble]]\nkind = \"slow\"\nat = \"1s\"", "destinations: want a count, or a destination"},
 		{"like = \"farm\"\n[[trouble]]\nkind = \"kill\"\nat = \"1s\"\nnode = 9", "node: want 0 to 4, got 9"},
 		{"like = \"farm\"\n[[load]]\nat = \"1s\"\ngreedy = \"nobody\"", "greedy: want the name of a customer"},
 		{"like = \"farm\"\nversion = 2", "version: want 1, got 2"},
-		{"[[type]]\nname = \"x\"\nsafety = \"safe\"", "partner: how many: want 1"},
+		{"[[type]]\nname = \"x\"\nsafety = \"safe\"", "partner: count: want 1"},
 	} {
 		name := t.TempDir() + "/x.toml"
 		if err := os.WriteFile(name, []byte(c.text), 0o600); err != nil {
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -1,5 +1,5 @@
-// Package scenario reads the lab's scenarios: TOML files that say how large a fleet is, what its partners are
-// like, what clients bring, and which troubles come when. It does no I/O.
+// Package scenario reads the lab's scenarios: TOML files that describe a fleet of nodes, its destinations, the
+// traffic from clients, and the faults that occur during a run. It does no I/O.
 package scenario
 
 import (
@@ -17,17 +17,17 @@
 	"jaspersill/delivery"
 )
 
-// Version is the version of the format; a file may name it and is refused where it differs.
+// Version is the version of the file format. A file may state its version and is rejected if it differs.
 const Version = 1
 
-// Duration is a time, written as "250ms".
+// Duration is a non-negative time span in ns, written as in "250ms".
 type Duration int64
 
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (s *Duration) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err != nil || d < 0 {
-		return fmt.Errorf(`want a time as "250ms", got %q`, text)
+		return fmt.Errorf(`want a duration such as "250ms", got %q`, text)
 	}
 	*s = Duration(d)
 	return nil
@@ -38,12 +38,12 @@
 
 func (s Duration) String() string { return time.Duration(s).String() }
 
-// Scenario is one day in the lab.
+// Scenario describes a run of the lab.
 type Scenario struct {
 	Version          int               `toml:"version"`
-	Base             string            `toml:"like,omitempty"` // a scenario that says what this one does not
+	Base             string            `toml:"like,omitempty"` // name of the scenario from which missing keys are taken
 	Name             string            `toml:"name"`
-	Challenge        string            `toml:"hard"` // what it is hard for, in a line
+	Challenge        string            `toml:"hard"` // what the scenario makes difficult, in one line
 	Length           Duration          `toml:"length"`
 	Fleet            Fleet             `toml:"fleet"`
 	Rules            Rules             `toml:"rules"`
@@ -55,160 +55,179 @@
 	Faults           []Fault           `toml:"trouble,omitempty"`
 }
 
-// Fleet is the delivery nodes and what each may have at once.
+// Fleet describes the delivery nodes, their limits and their environment.
 type Fleet struct {
 	Nodes              int      `toml:"nodes"`
-	MaxConcurrentCalls int      `toml:"slots"`  // calls out at once, each node
-	MaxEvents          int      `toml:"events"` // held at once, each node
-	MaxAttempts        int      `toml:"sends"`  // of an event at most
+	MaxConcurrentCalls int      `toml:"slots"`  // per node
+	MaxEvents          int      `toml:"events"` // unfinished events per node
+	MaxAttempts        int      `toml:"sends"`  // sends per event
 	Tick               Duration `toml:"tick"`
-	MaxRetryAfter      Duration `toml:"come_back"` // longest time that clients heed; "0s" where it cannot be told
-	AllowDuplicates    bool     `toml:"copies"`    // an event may have two sends out
+	MaxRetryAfter      Duration `toml:"come_back"` // longest retry delay to tell clients; "0s" for none
+	AllowDuplicates    bool     `toml:"copies"`    // an event may have two sends in flight
 	PeerMessages       bool     `toml:"notes"`
-	PeerMessageLoss    float64  `toml:"note_loss"` // share of notes that never come
-	NetworkDelay       Duration `toml:"delay"`     // one way between any two machines
-	DirectoryDelay     Duration `toml:"directory"` // time until the directory tells a change
-	RestartTime        Duration `toml:"restart"`   // from a node's death until it serves again
+	PeerMessageLoss    float64  `toml:"note_loss"` // share of peer messages that are lost
+	NetworkDelay       Duration `toml:"delay"`     // one way, between any two machines
+	DirectoryDelay     Duration `toml:"directory"` // time until the directory publishes a change
+	RestartTime        Duration `toml:"restart"`   // from a node's exit until it serves again
 }
 
-// Rules are the figures of the rules that the partners ask for.
+// Rules are the parameters of the delivery rules: how destinations recover and are overloaded, and how nodes drain
+// and keep order.
 type Rules struct {
-	ColdShare      float64  `toml:"cold_share"`
-	WarmupTime     Duration `toml:"warm_after"`
-	OverloadFactor float64  `toml:"fall_multiple"`
-	OverloadAfter  Duration `toml:"fall_after"`
-	OverloadOutage Duration `toml:"fallen_for"` // a destination that was pushed over stays down so long
+	ColdShare      float64  `toml:"cold_share"`    // share of its capacity that a destination has right after an outage
+	WarmupTime     Duration `toml:"warm_after"`    // time until it is back at full capacity
+	OverloadFactor float64  `toml:"fall_multiple"` // multiple of its capacity that overloads a cold destination
+	OverloadAfter  Duration `toml:"fall_after"`    // time window for which the calls are counted
+	OverloadOutage Duration `toml:"fallen_for"`    // how long an overloaded destination stays down
 	DrainGrace     Duration `toml:"grace"`
 	AskWithin      Duration `toml:"ask_within"`
-	KeyPause       Duration `toml:"order_pause"`
+	KeyPause       Duration `toml:"order_pause"` // pause of an ordering key after an uncertain outcome
 }
 
-// Clients is how clients behave when they are turned away.
+// Clients describes how clients retry events that were declined.
 type Clients struct {
-	MaxRetries  int      `toml:"again"`    // times an event is handed in again after a decline
-	RetryDelay  Duration `toml:"back_off"` // before that, where no time was told
-	RetryJitter float64  `toml:"spread"`   // by which that time varies by chance, as a part of it
+	MaxRetries  int      `toml:"again"`    // submissions of an event after the first
+	RetryDelay  Duration `toml:"back_off"` // delay before a retry if the node told none
+	RetryJitter float64  `toml:"spread"`   // random addition to the delay, as a share of it
 }
 
-// StreamType is a stream type and how much of it comes.
+// StreamType is a stream type and its traffic.
 type StreamType struct {
 	Name        string   `toml:"name"`
 	Safety      string   `toml:"safety"` // idempotent, deduplicated or non-idempotent
-	Rate        float64  `toml:"rate"`   // events a second over the fleet
-	Work        Duration `toml:"work"`   // median time that a partner of usual pace takes
-	Sigma       float64  `toml:"sigma"`  // of the logarithm of that time
+	Rate        float64  `toml:"rate"`   // events per second over the whole fleet
+	Work        Duration `toml:"work"`   // median work time at a destination with work factor 1
+	Sigma       float64  `toml:"sigma"`  // standard deviation of the logarithm of the work time
 	SLO         Duration `toml:"slo"`
 	MaxAge      Duration `toml:"max_age"`
-	DedupWindow Duration `toml:"window,omitempty"` // how long a destination knows a repeat
+	DedupWindow Duration `toml:"window,omitempty"` // how long a destination recognises a repeated event
 	Utility     float64  `toml:"utility"`
 	LateUtility float64  `toml:"late_utility,omitempty"` // share of the utility left at max age
-	Keys        int      `toml:"keys,omitempty"`         // events of one of so many keys go singly; 0 for no order
+	Keys        int      `toml:"keys,omitempty"`         // number of ordering keys; 0 if events are not ordered
 }
 
-// Customer shares the traffic.
+// Customer is a customer and its share of the traffic.
 type Customer struct {
 	Name       string  `toml:"name"`
 	Share      float64 `toml:"share"`
-	AgreedRate float64 `toml:"rate"` // its agreed events a second
+	AgreedRate float64 `toml:"rate"` // events per second agreed with the customer
 }
 
-// DestinationKind is a kind of destination, and how many there are.
+// DestinationKind is a kind of destination and the number of its destinations.
 type DestinationKind struct {
 	Name             string   `toml:"name"`
 	Destinations     int      `toml:"destinations"`
-	Endpoints        int      `toml:"endpoints"` // of each
-	Weight           float64  `toml:"weight"`    // of each in the traffic
-	Workers          int      `toml:"workers"`   // calls that an endpoint works on at once
-	Queue            int      `toml:"queue"`     // calls that wait there
-	MinWorkFactor    float64  `toml:"pace_least"`
+	Endpoints        int      `toml:"endpoints"`  // of each destination
+	Weight           float64  `toml:"weight"`     // of each destination's share in the traffic
+	Workers          int      `toml:"workers"`    // calls that an endpoint processes concurrently
+	Queue            int      `toml:"queue"`      // calls that may wait at an endpoint
+	MinWorkFactor    float64  `toml:"pace_least"` // a destination's work times are multiplied by its work factor
 	MaxWorkFactor    float64  `toml:"pace_most"`
-	Limit            float64  `toml:"limit,omitempty"` // calls a second over all nodes; 0 for none
-	LimitWindow      Duration `toml:"span,omitempty"`  // the limit is a count in each span; "0s" for a plain rate
-	RetryAfterShare  float64  `toml:"told,omitempty"`  // share of refusals that tell how long to wait
-	CountRefused     bool     `toml:"refused_count,omitempty"`
-	ReportsLimit     bool     `toml:"reports,omitempty"` // answers tell the limit and the share of it left
-	ReportInterval   Duration `toml:"report_age,omitempty"`
-	LimitListed      bool     `toml:"rated,omitempty"` // the list tells the limit
-	MaxConnections   int      `toml:"connections"`     // that an endpoint holds; 0 for no limit
+	Limit            float64  `toml:"limit,omitempty"`         // calls per second from all nodes; 0 for none
+	LimitWindow      Duration `toml:"span,omitempty"`          // the limit is a count per window; "0s" for a plain rate
+	RetryAfterShare  float64  `toml:"told,omitempty"`          // share of refusals with a Retry-After time
+	CountRefused     bool     `toml:"refused_count,omitempty"` // refused calls count against the limit
+	ReportsLimit     bool     `toml:"reports,omitempty"`       // answers tell the limit and the remaining share of it
+	ReportInterval   Duration `toml:"report_age,omitempty"`    // the reported share is computed anew after this time
+	LimitListed      bool     `toml:"rated,omitempty"`         // the directory's list tells the limit
+	MaxConnections   int      `toml:"connections"`             // open connections per endpoint; 0 for no limit
 	Handshake        Duration `toml:"handshake"`
-	IdleTimeout      Duration `toml:"idle_for"`
+	IdleTimeout      Duration `toml:"idle_for"` // endpoints close connections that have been idle for this long
 	MaxEventsPerCall int      `toml:"per_call"`
-	LimitPerEndpoint bool     `toml:"routes,omitempty"`
+	LimitPerEndpoint bool     `toml:"routes,omitempty"` // each endpoint has a limit and outages of its own
 }
 
-// LoadChange changes the traffic for a time.
+// LoadChange changes the traffic for a period of time.
 type LoadChange struct {
 	Start          Duration `toml:"at"`
 	Duration       Duration `toml:"for"`
-	Factor         float64  `toml:"times"`            // the usual rate
-	Burst          int      `toml:"clump,omitempty"`  // so many events come at once instead, for one destination
-	Period         Duration `toml:"every,omitempty"`  // the change swings on and off, half of this each
-	GreedyCustomer string   `toml:"greedy,omitempty"` // all that comes in addition is this customer's
+	Factor         float64  `toml:"times"`            // multiplies the usual rate
+	Burst          int      `toml:"clump,omitempty"`  // events that arrive at once for one destination, instead of the factor
+	Period         Duration `toml:"every,omitempty"`  // on and off for half a period each; time between bursts
+	GreedyCustomer string   `toml:"greedy,omitempty"` // customer to which all additional events belong
 }
 
-// Fault is one thing that goes wrong. Which machines it meets is drawn by the seed, unless named.
+// Fault is a fault that occurs during the run. The affected machines are drawn from the seed unless they are given.
 type Fault struct {
 	Kind         string   `toml:"kind"`
 	Start        Duration `toml:"at"`
 	Duration     Duration `toml:"for,omitempty"`
-	Destinations int      `toml:"destinations,omitempty"` // how many are met
-	Destination  int      `toml:"destination,omitempty"`  // this one, from 1
-	Endpoints    int      `toml:"endpoints,omitempty"`    // of each; 0 for all
-	Nodes        int      `toml:"nodes,omitempty"`        // how many are met
-	Node         int      `toml:"node,omitempty"`         // this one, from 1
-	Share        float64  `toml:"share,omitempty"`        // of calls
-	Factor       float64  `toml:"times,omitempty"`        // slower by
-	Period       Duration `toml:"every,omitempty"`        // it comes and goes, half of this each
-	ReturnsWarm  bool     `toml:"warm,omitempty"`         // the destination comes back at full strength
+	Destinations int      `toml:"destinations,omitempty"` // number of affected destinations
+	Destination  int      `toml:"destination,omitempty"`  // or one destination, counted from 1
+	Endpoints    int      `toml:"endpoints,omitempty"`    // affected endpoints of each destination; 0 for all
+	Nodes        int      `toml:"nodes,omitempty"`        // number of affected nodes
+	Node         int      `toml:"node,omitempty"`         // or one node, counted from 1
+	Share        float64  `toml:"share,omitempty"`        // of the calls, answers or messages
+	Factor       float64  `toml:"times,omitempty"`        // by which work or answers are slower
+	Period       Duration `toml:"every,omitempty"`        // the fault is on and off for half a period each
+	ReturnsWarm  bool     `toml:"warm,omitempty"`         // the destination returns at full capacity
 }
 
-// FaultKinds of troubles and what each says, in the order of the reference.
-var FaultKinds = []struct{ Name, Meets, Meaning string }{
+// FaultKinds are the kinds of faults with what each affects, in the order of the reference.
+var FaultKinds = []struct{ Name, Target, Description string }{
 	{"refuse", "destinations", "connections are refused"},
-	{"silent", "destinations", "no sign: connections stay open and silent, new ones never come up"},
-	{"hang", "destinations", "calls are taken and never answered, nor run"},
-	{"shut", "destinations", "all is turned away; it is told when it opens"},
-	{"fail", "destinations", "a share of the calls ends with an error, half of them after taking effect"},
-	{"slow", "destinations", "work takes times as long"},
-	{"lose", "destinations", "a share of the answers is lost with its connection, after taking effect"},
-	{"spoil", "destinations", "a share of the answers cannot be read"},
-	{"late", "destinations", "a share of the answers comes times as late"},
-	{"replace", "destinations", "endpoints drain and new ones take their place"},
-	{"kill", "nodes", "the process is gone at once, and starts again"},
-	{"drain", "nodes", "the process is asked to stop, stops, and starts again"},
-	{"freeze", "nodes", "the process stands still"},
-	{"directory-down", "fleet", "watches end, and the directory answers nobody"},
-	{"directory-still", "fleet", "the directory tells no change"},
-	{"notes-lost", "fleet", "a share of the notes is lost"},
+	{"silent", "destinations", "nothing is received: open connections stay silent, and new ones are never established"},
+	{"hang", "destinations", "calls are received but neither run nor answered"},
+	{"shut", "destinations", "all calls are refused, with a Retry-After time until the end of the fault"},
+	{"fail", "destinations", "a share of the calls ends with an error, half of those after taking effect"},
+	{"slow", "destinations", "work times are multiplied by `times`"},
+	{"lose", "destinations", "a share of the answers is lost in a connection reset, after the call took effect"},
+	{"spoil", "destinations", "a share of the answers is unreadable"},
+	{"late", "destinations", "a share of the answers takes `times` as long"},
+	{"replace", "destinations", "endpoints drain and are replaced by new ones"},
+	{"kill", "nodes", "the process is killed and restarts"},
+	{"drain", "nodes", "the process is asked to stop, drains, exits and restarts"},
+	{"freeze", "nodes", "the process is suspended"},
+	{"directory-down", "fleet", "watches end, and the directory does not answer"},
+	{"directory-still", "fleet", "the directory publishes no changes"},
+	{"notes-lost", "fleet", "a share of the peer messages is lost"},
 }
 
-// faultTarget finds a kind of trouble.
-func faultTarget(name string) (meets string, ok bool) {
+// faultTarget returns what a kind of fault affects, and whether the kind exists.
+func faultTarget(name string) (target string, ok bool) {
 	for _, k := range FaultKinds {
 		if k.Name == name {
-			return k.Meets, true
+			return k.Target, true
 		}
 	}
 	return "", false
 }
 
-// defaults is what a file need not say.
+// defaults returns the values of keys that a file may leave out.
 func defaults() Scenario {
-	return Scenario{Version: Version, Length: Duration(time.Minute),
-		Fleet: Fleet{Nodes: 4, MaxConcurrentCalls: 24, MaxEvents: 300, MaxAttempts: 6, Tick: Duration(5 * time.Millisecond),
-			MaxRetryAfter: Duration(2 * time.Second), AllowDuplicates: true, PeerMessages: true, NetworkDelay: Duration(500 * time.Microsecond),
-			DirectoryDelay: Duration(2 * time.Second), RestartTime: Duration(1200 * time.Millisecond)},
-		Rules: Rules{ColdShare: 0.25, WarmupTime: Duration(10 * time.Second), OverloadFactor: 2,
-			OverloadAfter: Duration(
-				2 * time.Second,
-			), OverloadOutage: Duration(20 * time.Second), DrainGrace: Duration(500 * time.Millisecond),
-			AskWithin: Duration(10 * time.Second), KeyPause: Duration(2 * time.Second)},
-		Clients: Clients{MaxRetries: 2, RetryDelay: Duration(400 * time.Millisecond), RetryJitter: 0.5}}
+	return Scenario{
+		Version: Version,
+		Length:  Duration(time.Minute),
+		Fleet: Fleet{
+			Nodes:              4,
+			MaxConcurrentCalls: 24,
+			MaxEvents:          300,
+			MaxAttempts:        6,
+			Tick:               Duration(5 * time.Millisecond),
+			MaxRetryAfter:      Duration(2 * time.Second),
+			AllowDuplicates:    true,
+			PeerMessages:       true,
+			NetworkDelay:       Duration(500 * time.Microsecond),
+			DirectoryDelay:     Duration(2 * time.Second),
+			RestartTime:        Duration(1200 * time.Millisecond),
+		},
+		Rules: Rules{
+			ColdShare:      0.25,
+			WarmupTime:     Duration(10 * time.Second),
+			OverloadFactor: 2,
+			OverloadAfter:  Duration(2 * time.Second),
+			OverloadOutage: Duration(20 * time.Second),
+			DrainGrace:     Duration(500 * time.Millisecond),
+			AskWithin:      Duration(10 * time.Second),
+			KeyPause:       Duration(2 * time.Second),
+		},
+		Clients: Clients{MaxRetries: 2, RetryDelay: Duration(400 * time.Millisecond), RetryJitter: 0.5},
+	}
 }
 
-// Read reads a scenario's text and checks it as a whole. Errors name the file, the line or the place, what
-// was wanted and what was found, and all of them are told. find has the text of the scenario that this one is
-// like; lists that this one has replace the other's as a whole.
+// Read parses and validates a scenario's text. Errors name the file, the line or the key, the expected and the actual
+// value; all problems are reported together. find returns the text of a base scenario by its name. A list in this
+// scenario replaces the base's list as a whole.
 func Read(file string, text []byte, find func(name string) ([]byte, error)) (*Scenario, error) {
 	return read(file, text, find, 0)
 }
@@ -220,25 +239,25 @@
 	}
 	if err := toml.Unmarshal(text, &head); err == nil && head.Like != "" {
 		if depth >= maxBaseDepth || find == nil {
-			return nil, fmt.Errorf("%s: like: want at most %d scenarios one like the other", file, maxBaseDepth)
+			return nil, fmt.Errorf("%s: like: want a chain of at most %d base scenarios", file, maxBaseDepth)
 		}
-		base, err := find(head.Like)
+		baseText, err := find(head.Like)
 		if err != nil {
 			return nil, fmt.Errorf("%s: like: %w", file, err)
 		}
-		like, err := read(head.Like, base, find, depth+1)
+		base, err := read(head.Like, baseText, find, depth+1)
 		if err != nil {
 			return nil, err
 		}
-		s = *like
+		s = *base
 		s.Types, s.Customers, s.DestinationKinds, s.LoadChanges, s.Faults = nil, nil, nil, nil, nil
-		return decode(file, text, s, like)
+		return decode(file, text, s, base)
 	}
 	return decode(file, text, s, &Scenario{})
 }
 
-// decode lays a text over what is usual, and takes the lists that it lacks from the scenario that it is like.
-func decode(file string, text []byte, s Scenario, like *Scenario) (*Scenario, error) {
+// decode applies a text to the given defaults, and takes lists that it does not have from the base scenario.
+func decode(file string, text []byte, s Scenario, base *Scenario) (*Scenario, error) {
 	d := toml.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&s); err != nil {
@@ -251,7 +270,7 @@
 				line, _ := e.Position()
 				all = errors.Join(
 					all,
-					fmt.Errorf("%s:%d: %s: no such key", file, line, strings.Join(e.Key(), ".")),
+					fmt.Errorf("%s:%d: %s: unknown key", file, line, strings.Join(e.Key(), ".")),
 				)
 			}
 			return nil, all
@@ -261,11 +280,11 @@
 		}
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
-	inherit(&s.Types, like.Types)
-	inherit(&s.Customers, like.Customers)
-	inherit(&s.DestinationKinds, like.DestinationKinds)
-	inherit(&s.LoadChanges, like.LoadChanges)
-	inherit(&s.Faults, like.Faults)
+	inherit(&s.Types, base.Types)
+	inherit(&s.Customers, base.Customers)
+	inherit(&s.DestinationKinds, base.DestinationKinds)
+	inherit(&s.LoadChanges, base.LoadChanges)
+	inherit(&s.Faults, base.Faults)
 	s.Base = ""
 	for i := range s.DestinationKinds {
 		p := &s.DestinationKinds[i]
@@ -299,13 +318,13 @@
 	return &s, nil
 }
 
-func inherit[T any](list *[]T, like []T) {
+func inherit[T any](list *[]T, base []T) {
 	if *list == nil {
-		*list = slices.Clone(like)
+		*list = slices.Clone(base)
 	}
 }
 
-// Write writes a scenario that Read reads back.
+// Write encodes a scenario in the form that Read reads.
 func (s *Scenario) Write() ([]byte, error) {
 	var b bytes.Buffer
 	e := toml.NewEncoder(&b)
@@ -313,15 +332,16 @@
 	return b.Bytes(), err
 }
 
-// Clone copies a scenario with its lists.
+// Clone returns a copy of the scenario with copies of its lists.
 func (s *Scenario) Clone() *Scenario {
 	c := *s
-	c.Types, c.Customers, c.DestinationKinds = slices.Clone(s.Types), slices.Clone(s.Customers), slices.Clone(s.DestinationKinds)
-	c.LoadChanges, c.Faults = slices.Clone(s.LoadChanges), slices.Clone(s.Faults)
+	c.Types, c.Customers = slices.Clone(s.Types), slices.Clone(s.Customers)
+	c.DestinationKinds, c.LoadChanges, c.Faults =
+		slices.Clone(s.DestinationKinds), slices.Clone(s.LoadChanges), slices.Clone(s.Faults)
 	return &c
 }
 
-// Most that a scenario may ask for: memory stays bounded whatever a file claims.
+// Limits on a scenario, so that memory stays bounded whatever a file contains.
 const (
 	maxNodes     = 2000
 	maxEndpoints = 20000
@@ -333,25 +353,25 @@
 
 type validator struct{ err error }
 
-func (c *validator) require(good bool, place, want string, got any) {
-	if !good {
+func (c *validator) require(ok bool, place, want string, got any) {
+	if !ok {
 		c.err = errors.Join(c.err, fmt.Errorf("%s: want %s, got %v", place, want, got))
 	}
 }
 
-func (c *validator) intRange(place string, got, least, most int) {
-	c.require(got >= least && got <= most, place, fmt.Sprintf("%d to %d", least, most), got)
+func (c *validator) intRange(place string, got, lo, hi int) {
+	c.require(got >= lo && got <= hi, place, fmt.Sprintf("%d to %d", lo, hi), got)
 }
 
-func (c *validator) floatRange(place string, got, least, most float64) {
-	c.require(!math.IsNaN(got) && got >= least && got <= most, place, fmt.Sprintf("%g to %g", least, most), got)
+func (c *validator) floatRange(place string, got, lo, hi float64) {
+	c.require(!math.IsNaN(got) && got >= lo && got <= hi, place, fmt.Sprintf("%g to %g", lo, hi), got)
 }
 
-func (c *validator) durationRange(place string, got, least, most Duration) {
-	c.require(got >= least && got <= most, place, fmt.Sprintf("%v to %v", least, most), got)
+func (c *validator) durationRange(place string, got, lo, hi Duration) {
+	c.require(got >= lo && got <= hi, place, fmt.Sprintf("%v to %v", lo, hi), got)
 }
 
-// Validate tells all that is wrong with a scenario.
+// Validate reports all problems of a scenario.
 func (s *Scenario) Validate() error {
 	var c validator
 	ms, hour := Duration(time.Millisecond), Duration(time.Hour)
@@ -379,10 +399,10 @@
 	c.intRange("clients.again", s.Clients.MaxRetries, 0, 100)
 	c.durationRange("clients.back_off", s.Clients.RetryDelay, 10*ms, hour)
 	c.floatRange("clients.spread", s.Clients.RetryJitter, 0, 1)
-	c.intRange("type: how many", len(s.Types), 1, maxListItems)
-	c.intRange("partner: how many", len(s.DestinationKinds), 1, maxListItems)
-	c.intRange("trouble: how many", len(s.Faults), 0, maxListItems)
-	c.intRange("load: how many", len(s.LoadChanges), 0, maxListItems)
+	c.intRange("type: count", len(s.Types), 1, maxListItems)
+	c.intRange("partner: count", len(s.DestinationKinds), 1, maxListItems)
+	c.intRange("trouble: count", len(s.Faults), 0, maxListItems)
+	c.intRange("load: count", len(s.LoadChanges), 0, maxListItems)
 	for i, t := range s.Types {
 		at := fmt.Sprintf("type %d (%s): ", i+1, t.Name)
 		_, known := safetyByName[t.Safety]
@@ -397,21 +417,21 @@
 		c.floatRange(at+"late_utility", t.LateUtility, 0, 1)
 		c.intRange(at+"keys", t.Keys, 0, 1e6)
 		c.require((t.Safety == "deduplicated") == (t.DedupWindow > 0), at+"window",
-			"a time where repeats are dropped, and none elsewhere", t.DedupWindow)
+			"a duration for deduplicated types, and none for others", t.DedupWindow)
 	}
 	shares := 0.0
 	for i, o := range s.Customers {
 		c.floatRange(fmt.Sprintf("customer %d (%s): share", i+1, o.Name), o.Share, 0, 1)
 		shares += o.Share
 	}
-	c.require(math.Abs(shares-1) < 0.01, "customer: shares in all", "1", shares)
+	c.require(math.Abs(shares-1) < 0.01, "customer: sum of shares", "1", shares)
 	endpoints, dests := 0, 0
 	for i, p := range s.DestinationKinds {
 		at := fmt.Sprintf("partner %d (%s): ", i+1, p.Name)
 		c.require(
 			p.Name != "" && !strings.ContainsAny(p.Name, " ,"),
 			at+"name",
-			"a name without blanks",
+			"a name without spaces or commas",
 			strconv.Quote(p.Name),
 		)
 		c.intRange(at+"destinations", p.Destinations, 1, maxEndpoints)
@@ -431,7 +451,7 @@
 			endpoints, dests = endpoints+p.Destinations*p.Endpoints, dests+p.Destinations
 		}
 	}
-	c.intRange("partner: endpoints in all", endpoints, 1, maxEndpoints)
+	c.intRange("partner: total endpoints", endpoints, 1, maxEndpoints)
 	for i, l := range s.LoadChanges {
 		at := fmt.Sprintf("load %d: ", i+1)
 		c.floatRange(at+"times", l.Factor, 0, 1000)
@@ -446,15 +466,15 @@
 	}
 	for i, t := range s.Faults {
 		at := fmt.Sprintf("trouble %d (%s): ", i+1, t.Kind)
-		meets, ok := faultTarget(t.Kind)
-		c.require(ok, at+"kind", "a kind that `jaspersill-lab scenario reference` names", strconv.Quote(t.Kind))
+		target, ok := faultTarget(t.Kind)
+		c.require(ok, at+"kind", "a kind listed by `jaspersill-lab scenario reference`", strconv.Quote(t.Kind))
 		c.require(
-			meets != "destinations" || t.Destinations+t.Destination > 0,
+			target != "destinations" || t.Destinations+t.Destination > 0,
 			at+"destinations",
-			"how many, or which",
+			"a count, or a destination",
 			0,
 		)
-		c.require(meets != "nodes" || t.Nodes+t.Node > 0, at+"nodes", "how many, or which", 0)
+		c.require(target != "nodes" || t.Nodes+t.Node > 0, at+"nodes", "a count, or a node", 0)
 		c.intRange(at+"destination", t.Destination, 0, dests)
 		c.intRange(at+"destinations", t.Destinations, 0, dests)
 		c.intRange(at+"node", t.Node, 0, f.Nodes)
@@ -466,29 +486,39 @@
 	return c.err
 }
 
-var safetyByName = map[string]delivery.Safety{"idempotent": delivery.Idempotent, "deduplicated": delivery.Deduplicated,
-	"non-idempotent": delivery.NonIdempotent}
+var safetyByName = map[string]delivery.Safety{
+	"idempotent":     delivery.Idempotent,
+	"deduplicated":   delivery.Deduplicated,
+	"non-idempotent": delivery.NonIdempotent,
+}
 
-// DeliveryTypes is what a node is told of the stream types.
+// DeliveryTypes returns the stream types as they are configured in a node.
 func (s *Scenario) DeliveryTypes() (types []delivery.StreamType) {
 	for _, t := range s.Types {
-		types = append(types, delivery.StreamType{Safety: safetyByName[t.Safety], Ordered: t.Keys > 0,
-			DedupWindow: int64(
-				t.DedupWindow,
-			), SLO: int64(t.SLO), MaxAge: int64(t.MaxAge), Utility: t.Utility, LateUtility: t.LateUtility})
+		types = append(types, delivery.StreamType{
+			Safety:      safetyByName[t.Safety],
+			Ordered:     t.Keys > 0,
+			DedupWindow: int64(t.DedupWindow),
+			SLO:         int64(t.SLO),
+			MaxAge:      int64(t.MaxAge),
+			Utility:     t.Utility,
+			LateUtility: t.LateUtility,
+		})
 	}
 	return types
 }
 
-// DeliveryDestinationKinds is what a node is told of the kinds of destinations.
+// DeliveryDestinationKinds returns the kinds of destinations as they are configured in a node.
 func (s *Scenario) DeliveryDestinationKinds() (kinds []delivery.DestinationKind) {
 	for _, p := range s.DestinationKinds {
-		kinds = append(kinds, delivery.DestinationKind{LimitPerEndpoint: p.LimitPerEndpoint, MaxEventsPerCall: p.MaxEventsPerCall})
+		kinds = append(kinds, delivery.DestinationKind{
+			LimitPerEndpoint: p.LimitPerEndpoint, MaxEventsPerCall: p.MaxEventsPerCall,
+		})
 	}
 	return kinds
 }
 
-// DeliveryLimits is what a node may have at once.
+// DeliveryLimits returns a node's limits.
 func (s *Scenario) DeliveryLimits() delivery.Limits {
 	return delivery.Limits{
 		MaxConcurrentCalls: s.Fleet.MaxConcurrentCalls,
@@ -499,43 +529,43 @@
 	}
 }
 
-// DeliveryRecovery is how destinations come back.
+// DeliveryRecovery returns how destinations recover from outages.
 func (s *Scenario) DeliveryRecovery() delivery.Recovery {
 	return delivery.Recovery{ColdShare: s.Rules.ColdShare, WarmupTime: int64(s.Rules.WarmupTime),
 		OverloadFactor: s.Rules.OverloadFactor, OverloadAfter: int64(s.Rules.OverloadAfter)}
 }
 
-// UtilityShare is the part of an event's utility that is left at an age.
+// UtilityShare returns the share of an event's utility that is left at an age.
 func (t *StreamType) UtilityShare(age int64) float64 {
-	slo, most := int64(t.SLO), int64(t.MaxAge)
+	slo, maxAge := int64(t.SLO), int64(t.MaxAge)
 	switch {
-	case age > most:
+	case age > maxAge:
 		return 0
 	case age <= slo:
 		return 1
 	}
-	return 1 - (1-t.LateUtility)*float64(age-slo)/float64(max(1, most-slo))
+	return 1 - (1-t.LateUtility)*float64(age-slo)/float64(max(1, maxAge-slo))
 }
 
-// Scale multiplies a scenario's fleet: nodes, destinations and traffic.
-func (s *Scenario) Scale(by float64) *Scenario {
+// Scale returns the scenario with its nodes, destinations and traffic multiplied by a factor.
+func (s *Scenario) Scale(factor float64) *Scenario {
 	c := s.Clone()
-	times := func(n int) int { return max(1, int(math.Round(float64(n)*by))) }
-	c.Fleet.Nodes = times(c.Fleet.Nodes)
+	scale := func(n int) int { return max(1, int(math.Round(float64(n)*factor))) }
+	c.Fleet.Nodes = scale(c.Fleet.Nodes)
 	for i := range c.DestinationKinds {
-		c.DestinationKinds[i].Destinations = times(c.DestinationKinds[i].Destinations)
+		c.DestinationKinds[i].Destinations = scale(c.DestinationKinds[i].Destinations)
 	}
 	for i := range c.Types {
-		c.Types[i].Rate *= by
+		c.Types[i].Rate *= factor
 	}
 	for i := range c.Faults {
 		t := &c.Faults[i]
 		t.Node, t.Destination = min(t.Node, c.Fleet.Nodes), 0
-		if meets, _ := faultTarget(t.Kind); meets == "destinations" {
-			t.Destinations = times(max(1, t.Destinations))
+		if target, _ := faultTarget(t.Kind); target == "destinations" {
+			t.Destinations = scale(max(1, t.Destinations))
 		}
 		if t.Nodes > 0 {
-			t.Nodes = min(times(t.Nodes), c.Fleet.Nodes)
+			t.Nodes = min(scale(t.Nodes), c.Fleet.Nodes)
 		}
 	}
 	return c
--- a/lab/search/search.go
+++ b/lab/search/search.go
@@ -44,7 +44,7 @@
 		k := scenario.FaultKinds[chance.IntN(len(scenario.FaultKinds))]
 		t := scenario.Fault{Kind: k.Name, Start: scenario.Duration(length * (0.1 + 0.5*chance.Float64())),
 			Duration: scenario.Duration(length * (0.05 + 0.3*chance.Float64()))}
-		switch k.Meets {
+		switch k.Target {
 		case "destinations":
 			t.Destinations = 1 + chance.IntN(max(1, dests/3))
 			if chance.IntN(4) == 0 {
@@ -61,7 +61,7 @@
 		case "slow", "late":
 			t.Factor = 2 + 18*chance.Float64()
 		}
-		if chance.IntN(3) == 0 && k.Meets == "destinations" && k.Name != "replace" {
+		if chance.IntN(3) == 0 && k.Target == "destinations" && k.Name != "replace" {
 			t.Period = max(scenario.Duration(1e9), t.Duration/scenario.Duration(2+chance.IntN(5)))
 		}
 		day.Faults = append(day.Faults, t)
