--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -8,13 +8,13 @@
 
 	"jaspersill/delivery"
 	"jaspersill/scheduler"
+	"jaspersill/settings"
 	"jaspersill/simwire"
-	"jaspersill/start"
 )
 
 func main() {
-	launch := func(seed uint64, s start.Start) delivery.Scheduler {
-		return scheduler.New(seed, s.Types, s.Partners, s.Room, s.Recovery, s.Directory, s.Fleet, s.OrderPause)
+	launch := func(seed uint64, s settings.Settings) delivery.Scheduler {
+		return scheduler.New(seed, s.StreamTypes, s.DestinationKinds, s.Limits, s.Recovery, s.Directory, s.Cluster, s.OrderPause)
 	}
 	if err := simwire.Serve(os.Stdin, os.Stdout, launch); err != nil {
 		fmt.Fprintln(os.Stderr, "benchlink:", err)
--- a/cmd/jaspersill-lab/real.go
+++ b/cmd/jaspersill-lab/loopback.go
@@ -14,32 +14,32 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/spf13/cobra"
 
-	"jaspersill/lab/load"
-	"jaspersill/lab/loopback"
+	"jaspersill/lab/emulator"
+	"jaspersill/lab/loadgen"
 	"jaspersill/lab/report"
-	"jaspersill/lab/run"
+	"jaspersill/lab/runner"
 	"jaspersill/lab/scenario"
 	"jaspersill/lab/scenarios"
 	"jaspersill/lab/workload"
 )
 
-// socketRun is how days are played on loopback.
-type socketRun struct {
-	program string
-	at      int
-	keep    string
+// socketRunner is how days are played on loopback.
+type socketRunner struct {
+	program   string
+	parallel  int
+	logFolder string
 }
 
-func (r *socketRun) flags(c *cobra.Command) {
+func (r *socketRunner) addFlags(c *cobra.Command) {
 	c.Flags().
-		StringVar(&r.program, "node", beside("jaspersill"), "the delivery node's program, with --sockets")
+		StringVar(&r.program, "node", siblingProgram("jaspersill"), "the delivery node's program, with --sockets")
 	c.Flags().
-		IntVar(&r.at, "parallel", 1, "days at once, with --sockets; each keeps a good part of a core busy")
-	c.Flags().StringVar(&r.keep, "logs", "", "a folder for the nodes' logs, with --sockets")
+		IntVar(&r.parallel, "parallel", 1, "days at once, with --sockets; each keeps a good part of a core busy")
+	c.Flags().StringVar(&r.logFolder, "logs", "", "a folder for the nodes' logs, with --sockets")
 }
 
-// beside is a program in the folder of this one.
-func beside(name string) string {
+// siblingProgram is a program in the folder of this one.
+func siblingProgram(name string) string {
 	self, err := os.Executable()
 	if err != nil {
 		return name
@@ -47,8 +47,8 @@
 	return filepath.Join(filepath.Dir(self), name)
 }
 
-// play plays a day on each seed and adds the results to a file.
-func (r *socketRun) play(ctx context.Context, f *report.File, day *scenario.Scenario, m *many) error {
+// runSeeds plays a day on each seed and adds the results to a file.
+func (r *socketRunner) runSeeds(ctx context.Context, f *report.File, day *scenario.Scenario, m *runOptions) error {
 	for _, t := range day.Types {
 		if t.Keys > 0 {
 			return fmt.Errorf(
@@ -58,13 +58,13 @@
 			)
 		}
 	}
-	if r.at < 1 || r.at > 64 {
-		return usageError{fmt.Errorf("--parallel: want 1 to 64, got %d", r.at)}
+	if r.parallel < 1 || r.parallel > 64 {
+		return usageError{fmt.Errorf("--parallel: want 1 to 64, got %d", r.parallel)}
 	}
-	seeds := run.Seeds(m.first, m.seeds)
-	results := make([]run.Result, len(seeds))
+	seeds := runner.Seeds(m.firstSeed, m.seeds)
+	results := make([]runner.Result, len(seeds))
 	errs := make([]error, len(seeds))
-	turns := make(chan struct{}, r.at)
+	turns := make(chan struct{}, r.parallel)
 	p := newProgress()
 	var mu sync.Mutex
 	done := 0
@@ -76,12 +76,12 @@
 			turns <- struct{}{}
 			defer func() { <-turns }()
 			if ctx.Err() == nil {
-				results[i], errs[i] = r.one(ctx, day, seed)
+				results[i], errs[i] = r.runSeed(ctx, day, seed)
 			}
 			mu.Lock()
 			defer mu.Unlock()
 			done++
-			p.tell(done, len(seeds))
+			p.update(done, len(seeds))
 		}()
 	}
 	wg.Wait()
@@ -92,10 +92,10 @@
 	return nil
 }
 
-// one plays one day.
-func (r *socketRun) one(ctx context.Context, day *scenario.Scenario, seed uint64) (run.Result, error) {
-	result := run.Result{Seed: seed, Latency: make([]float64, len(run.Percentiles))}
-	folder := r.keep
+// runSeed plays runSeed day.
+func (r *socketRunner) runSeed(ctx context.Context, day *scenario.Scenario, seed uint64) (runner.Result, error) {
+	result := runner.Result{Seed: seed, LatencyMs: make([]float64, len(runner.Percentiles))}
+	folder := r.logFolder
 	if folder == "" {
 		var err error
 		if folder, err = os.MkdirTemp("", "lab-"); err != nil {
@@ -108,12 +108,12 @@
 			return result, err
 		}
 	}
-	s, err := loopback.Open(day, seed, 0, nil)
+	s, err := emulator.Open(day, seed, 0, nil)
 	if err != nil {
 		return result, err
 	}
 	defer s.Close()
-	nodes, err := loopback.Configure(s, folder, "", 0, 1)
+	nodes, err := emulator.ConfigureNodes(s, folder, "", 0, 1)
 	if err == nil {
 		err = nodes.Start(ctx, r.program)
 	}
@@ -121,11 +121,11 @@
 		return result, err
 	}
 	times := hdrhistogram.New(1e5, 1e12, 3)
-	s.Latency(func(_ int, took int64) { times.RecordValue(max(1e5, took)) })
-	result.Sum = s.Play(ctx, nodes, workload.NewGenerator(day, seed), seed)
+	s.OnDelivery(func(_ int, took int64) { times.RecordValue(max(1e5, took)) })
+	result.Summary = s.Run(ctx, nodes, workload.NewGenerator(day, seed), seed)
 	nodes.Stop()
-	for i, q := range run.Percentiles {
-		result.Latency[i] = float64(times.ValueAtQuantile(q)) / 1e6
+	for i, q := range runner.Percentiles {
+		result.LatencyMs[i] = float64(times.ValueAtQuantile(q)) / 1e6
 	}
 	return result, ctx.Err()
 }
@@ -134,7 +134,7 @@
 	var folder, listen string
 	var quiet bool
 	var seed uint64
-	c := &cobra.Command{Use: "emulate SCENARIO", Args: exactly(1),
+	c := &cobra.Command{Use: "emulate SCENARIO", Args: exactArgs(1),
 		Short: "Play partners, directory and platform on loopback until stopped, for nodes started by hand",
 		RunE: func(c *cobra.Command, args []string) error {
 			day, err := scenarios.Find(args[0])
@@ -150,13 +150,13 @@
 					fmt.Fprintf(w, time.Now().Format("15:04:05.000 ")+format+"\n", args...)
 				}
 			}
-			s, err := loopback.Open(day, seed, 0, tell)
+			s, err := emulator.Open(day, seed, 0, tell)
 			if err != nil {
 				return err
 			}
 			defer s.Close()
-			s.Anyone()
-			nodes, err := loopback.Configure(s, folder, listen, 0, 1)
+			s.AcceptUnknownEvents()
+			nodes, err := emulator.ConfigureNodes(s, folder, listen, 0, 1)
 			if err != nil {
 				return err
 			}
@@ -171,7 +171,7 @@
 					nodes.Address(i),
 				)
 			}
-			s.Begin(c.Context(), nil)
+			s.Start(c.Context(), nil)
 			<-c.Context().Done()
 			return nil
 		}}
@@ -183,7 +183,7 @@
 }
 
 func loadCommand() *cobra.Command {
-	var plan load.Plan
+	var plan loadgen.Plan
 	var name, out, program, record, replay string
 	var knee, own bool
 	var p99 time.Duration
@@ -207,33 +207,33 @@
 				return err
 			}
 			if replay != "" {
-				if day, err = recorded(&plan, replay); err != nil {
+				if day, err = loadRecording(&plan, replay); err != nil {
 					return err
 				}
 			} else {
-				plan.Mix, plan.Weights = mix(day)
+				plan.Mix, plan.CumulativeWeights = requestMix(day)
 			}
-			var heard *listener
+			var heard *resultRecorder
 			if record != "" {
 				if knee {
 					return usageError{errors.New("load: --record goes with one step, not with --knee")}
 				}
-				heard = &listener{day: day, plan: &plan}
-				plan.Heard = heard.hear
+				heard = &resultRecorder{day: day, plan: &plan}
+				plan.OnResult = heard.record
 			}
 			if own = len(args) == 0; own {
-				s, err := loopback.Open(day, 1, 0, nil)
+				s, err := emulator.Open(day, 1, 0, nil)
 				if err != nil {
 					return err
 				}
 				defer s.Close()
-				s.Anyone()
+				s.AcceptUnknownEvents()
 				folder, err := os.MkdirTemp("", "lab-")
 				if err != nil {
 					return err
 				}
 				defer os.RemoveAll(folder)
-				nodes, err := loopback.Configure(s, folder, "", 0, cores)
+				nodes, err := emulator.ConfigureNodes(s, folder, "", 0, cores)
 				if err == nil {
 					err = nodes.Start(c.Context(), program)
 				}
@@ -244,22 +244,22 @@
 				time.Sleep(300 * time.Millisecond) // its list is there
 				plan.Address = nodes.Address(0)
 				defer func() {
-					fmt.Fprintf(c.OutOrStdout(), "the node: %s\n", usage(nodes.Pid(0)))
+					fmt.Fprintf(c.OutOrStdout(), "the node: %s\n", memoryUsage(nodes.PID(0)))
 				}()
 			} else {
 				plan.Address = args[0]
 			}
-			f, err := report.New("load", commandLine(c, args), day)
+			f, err := report.NewFile("load", commandLine(c, args), day)
 			if err != nil {
 				return err
 			}
 			if knee {
 				var best float64
-				best, f.Loads, err = load.Knee(c.Context(), plan, p99, nil)
+				best, f.Loads, err = loadgen.FindKnee(c.Context(), plan, p99, nil)
 				f.Notes = append(f.Notes, fmt.Sprintf("borne with p99 under %v: %.0f events/s", p99, best))
 			} else {
-				var l report.Load
-				l, err = load.Run(c.Context(), &plan)
+				var l report.LoadResult
+				l, err = loadgen.Run(c.Context(), &plan)
 				f.Loads = append(f.Loads, l)
 			}
 			w := c.OutOrStdout()
@@ -291,36 +291,36 @@
 					return err
 				}
 			}
-			return keep(c, f, out)
+			return saveResult(c, f, out)
 		}}
 	c.Flags().StringVar(&record, "record", "", "write what was offered, and what came of it, into this file")
 	c.Flags().StringVar(&replay, "replay", "", "offer the arrivals of this recording, rather than a rate")
 	c.Flags().
 		StringVar(&name, "scenario", "throughput", "its stream types and destinations are what is offered")
 	c.Flags().Float64Var(&plan.Rate, "rate", 1000, "events a second")
-	c.Flags().Float64Var(&plan.To, "to", 0, "grow the rate evenly up to this one")
-	c.Flags().DurationVar(&plan.For, "for", 5*time.Second, "how long, or each step of --knee")
-	c.Flags().IntVar(&plan.Conns, "connections", 64, "each carries one request at a time")
+	c.Flags().Float64Var(&plan.EndRate, "to", 0, "grow the rate evenly up to this one")
+	c.Flags().DurationVar(&plan.Duration, "for", 5*time.Second, "how long, or each step of --knee")
+	c.Flags().IntVar(&plan.Connections, "connections", 64, "each carries one request at a time")
 	c.Flags().Uint64Var(&plan.Seed, "seed", uint64(time.Now().UnixNano()), "draws ids and the mix")
 	c.Flags().BoolVar(&knee, "knee", false, "search the highest rate that is borne, from --rate on")
 	c.Flags().DurationVar(&p99, "p99", 50*time.Millisecond, "the bound that --knee keeps")
 	c.Flags().Float64Var(&cores, "cores", 1, "of the node that is started")
-	c.Flags().StringVar(&program, "node", beside("jaspersill"), "the delivery node's program")
+	c.Flags().StringVar(&program, "node", siblingProgram("jaspersill"), "the delivery node's program")
 	c.Flags().StringVar(&out, "out", "", `the folder for the result; "none" keeps none`)
 	return c
 }
 
-// mix is what a scenario's clients hand in.
-func mix(day *scenario.Scenario) (list []load.Request, weights []float64) {
+// requestMix is what a scenario's clients hand in.
+func requestMix(day *scenario.Scenario) (list []loadgen.Request, weights []float64) {
 	sum := 0.0
 	for _, t := range day.Types {
 		dest := 0
 		for _, p := range day.DestinationKinds {
 			for range p.Destinations {
-				list = append(list, load.Request{Kind: t.Name, Owner: day.Customers[0].Name, Dest: dest,
-					Left: time.Duration(
+				list = append(list, loadgen.Request{Kind: t.Name, Owner: day.Customers[0].Name, Dest: dest,
+					Timeout: time.Duration(
 						t.MaxAge,
-					), Marked: t.Safety == "deduplicated", Body: make([]byte, 300)})
+					), HasIdempotencyKey: t.Safety == "deduplicated", Body: make([]byte, 300)})
 				sum += t.Rate * p.Weight
 				weights = append(weights, sum)
 				dest++
@@ -335,8 +335,8 @@
 	return list, weights
 }
 
-// usage tells what a process takes, where the system says so.
-func usage(pid int) string {
+// memoryUsage tells what a process takes, where the system says so.
+func memoryUsage(pid int) string {
 	if runtime.GOOS != "linux" {
 		return "no figures on this system"
 	}
@@ -350,9 +350,9 @@
 			peak = line[6:]
 		}
 	}
-	return fmt.Sprintf("RSS%s, at most%s", squeeze(rss), squeeze(peak))
+	return fmt.Sprintf("RSS%s, at most%s", collapseSpaces(rss), collapseSpaces(peak))
 }
 
 func splitLines(text string) []string { return strings.Split(text, "\n") }
 
-func squeeze(text string) string { return " " + strings.Join(strings.Fields(text), " ") }
+func collapseSpaces(text string) string { return " " + strings.Join(strings.Fields(text), " ") }
--- a/cmd/jaspersill-lab/main.go
+++ b/cmd/jaspersill-lab/main.go
@@ -29,10 +29,10 @@
 type usageError struct{ error }
 
 func main() {
-	sysfault.BecomeProgramIfAsked()
+	sysfault.ExecUnderFilterIfRequested()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	root := commands()
+	root := newRootCommand()
 	err := root.ExecuteContext(ctx)
 	if err == nil {
 		return
@@ -45,9 +45,9 @@
 	os.Exit(exitFailed)
 }
 
-func commands() *cobra.Command {
+func newRootCommand() *cobra.Command {
 	root := &cobra.Command{Use: "jaspersill-lab", Short: "Play delivery nodes against simulated partners",
-		SilenceUsage: true, SilenceErrors: true, SuggestionsMinimumDistance: 2, Args: exactly(0),
+		SilenceUsage: true, SilenceErrors: true, SuggestionsMinimumDistance: 2, Args: exactArgs(0),
 		RunE: func(c *cobra.Command, _ []string) error {
 			c.Help()
 			return usageError{errors.New("a command is needed")}
@@ -67,8 +67,8 @@
 	return root
 }
 
-// exactly wants so many arguments, and tells the nearest command where there are commands.
-func exactly(n int) cobra.PositionalArgs {
+// exactArgs wants so many arguments, and tells the nearest command where there are commands.
+func exactArgs(n int) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if len(args) == n {
 			return nil
@@ -84,8 +84,8 @@
 	}
 }
 
-// keep writes a result into a folder: the one named, or one of its own below results.
-func keep(c *cobra.Command, f *report.File, folder string) error {
+// saveResult writes a result into a folder: the one named, or one of its own below results.
+func saveResult(c *cobra.Command, f *report.File, folder string) error {
 	if folder == "none" {
 		return nil
 	}
@@ -115,23 +115,23 @@
 
 // progress tells on a terminal how much is done and how long the rest takes.
 type progress struct {
-	began time.Time
-	shown time.Time
-	tty   bool
+	startedAt time.Time
+	lastShown time.Time
+	tty       bool
 }
 
 func newProgress() *progress {
 	info, err := os.Stderr.Stat()
-	return &progress{began: time.Now(), tty: err == nil && info.Mode()&os.ModeCharDevice != 0}
+	return &progress{startedAt: time.Now(), tty: err == nil && info.Mode()&os.ModeCharDevice != 0}
 }
 
-func (p *progress) tell(done, of int) {
+func (p *progress) update(done, of int) {
 	now := time.Now()
-	if !p.tty || (done < of && now.Sub(p.shown) < 200*time.Millisecond) {
+	if !p.tty || (done < of && now.Sub(p.lastShown) < 200*time.Millisecond) {
 		return
 	}
-	p.shown = now
-	left := time.Duration(float64(now.Sub(p.began)) / float64(done) * float64(of-done)).Round(time.Second)
+	p.lastShown = now
+	left := time.Duration(float64(now.Sub(p.startedAt)) / float64(done) * float64(of-done)).Round(time.Second)
 	fmt.Fprintf(os.Stderr, "\r%d of %d, %v left   ", done, of, left)
 	if done == of {
 		fmt.Fprint(os.Stderr, "\r\033[K")
@@ -139,12 +139,12 @@
 }
 
 func reportCommand() *cobra.Command {
-	return &cobra.Command{Use: "report DIR", Args: exactly(1),
+	return &cobra.Command{Use: "report DIR", Args: exactArgs(1),
 		Short: "Make the tables and the page of results anew; DIR holds one result or a folder of each",
 		RunE: func(c *cobra.Command, args []string) error {
-			folders, err := report.List(args[0])
+			folders, err := report.FindResults(args[0])
 			for _, folder := range folders {
-				if err := report.Rewrite(folder); err != nil {
+				if err := report.Regenerate(folder); err != nil {
 					return err
 				}
 				fmt.Fprintln(c.OutOrStdout(), filepath.Join(folder, "report.html"))
@@ -158,14 +158,14 @@
 		Use:                        "scenario",
 		Short:                      "The lab's scenarios",
 		SuggestionsMinimumDistance: 2,
-		Args:                       exactly(0),
+		Args:                       exactArgs(0),
 		RunE: func(c *cobra.Command, _ []string) error {
 			c.Help()
 			return usageError{errors.New("scenario: a command is needed")}
 		},
 	}
 	c.AddCommand(
-		&cobra.Command{Use: "ls", Short: "List them, with what each is hard for", Args: exactly(0),
+		&cobra.Command{Use: "ls", Short: "List them, with what each is hard for", Args: exactArgs(0),
 			RunE: func(c *cobra.Command, _ []string) error {
 				for _, name := range scenarios.Names() {
 					day, err := scenarios.Find(name)
@@ -176,7 +176,7 @@
 				}
 				return nil
 			}},
-		&cobra.Command{Use: "show NAME", Short: "Print one in full", Args: exactly(1),
+		&cobra.Command{Use: "show NAME", Short: "Print one in full", Args: exactArgs(1),
 			RunE: func(c *cobra.Command, args []string) error {
 				day, err := scenarios.Find(args[0])
 				if err != nil {
@@ -186,12 +186,12 @@
 				c.OutOrStdout().Write(text)
 				return err
 			}},
-		&cobra.Command{Use: "check FILE", Short: "Tell all that is wrong with a file", Args: exactly(1),
+		&cobra.Command{Use: "check FILE", Short: "Tell all that is wrong with a file", Args: exactArgs(1),
 			RunE: func(c *cobra.Command, args []string) error {
 				_, err := scenarios.Find(args[0])
 				return err
 			}},
-		&cobra.Command{Use: "reference", Short: "Print the kinds of troubles as Markdown", Args: exactly(0),
+		&cobra.Command{Use: "reference", Short: "Print the kinds of troubles as Markdown", Args: exactArgs(0),
 			RunE: func(c *cobra.Command, _ []string) error {
 				_, err := fmt.Fprint(c.OutOrStdout(), scenario.Reference())
 				return err
--- a/cmd/jaspersill-lab/play.go
+++ b/cmd/jaspersill-lab/simulate.go
@@ -18,7 +18,7 @@
 
 	"jaspersill/lab/policy"
 	"jaspersill/lab/report"
-	"jaspersill/lab/run"
+	"jaspersill/lab/runner"
 	"jaspersill/lab/scenario"
 	"jaspersill/lab/scenarios"
 	"jaspersill/lab/search"
@@ -26,48 +26,48 @@
 
 type flag = pflag.Flag
 
-// many is how many runs, and where the result goes.
-type many struct {
-	seeds int
-	first uint64
-	out   string
+// runOptions is how runOptions runs, and where the result goes.
+type runOptions struct {
+	seeds     int
+	firstSeed uint64
+	out       string
 }
 
-func (m *many) flags(c *cobra.Command) {
+func (m *runOptions) addFlags(c *cobra.Command) {
 	c.Flags().IntVar(&m.seeds, "seeds", 10, "runs of each, one a seed")
-	c.Flags().Uint64Var(&m.first, "first", 1, "the first seed")
+	c.Flags().Uint64Var(&m.firstSeed, "first", 1, "the first seed")
 	c.Flags().
 		StringVar(&m.out, "out", "", `the folder for the result; "none" keeps none (default one below results)`)
 }
 
-func (m *many) check() error {
+func (m *runOptions) validate() error {
 	if m.seeds < 1 || m.seeds > 100000 {
 		return usageError{fmt.Errorf("--seeds: want 1 to 100000, got %d", m.seeds)}
 	}
 	return nil
 }
 
-// set reads what to play: a policy, a policy with changed keys behind commas, or another build of this
+// parseVariant reads what to play: a policy, a policy with changed keys behind commas, or another build of this
 // program.
-func set(spec string, day *scenario.Scenario, luck uint64) (run.Set, error) {
+func parseVariant(spec string, day *scenario.Scenario, luck uint64) (runner.Variant, error) {
 	parts := strings.Split(spec, ",")
 	for _, change := range parts[1:] {
 		key, value, ok := strings.Cut(change, "=")
 		if !ok {
-			return run.Set{}, usageError{fmt.Errorf("%s: want POLICY,KEY=VALUE, got %q", spec, change)}
+			return runner.Variant{}, usageError{fmt.Errorf("%s: want POLICY,KEY=VALUE, got %q", spec, change)}
 		}
 		var err error
 		if day, err = day.WithKey(key, value); err != nil {
-			return run.Set{}, err
+			return runner.Variant{}, err
 		}
 	}
-	s, err := run.Named(parts[0], day, luck)
+	s, err := runner.NewVariant(parts[0], day, luck)
 	s.Name = spec
 	return s, err
 }
 
-// apart splits lists of policies; what changes a key stays with the policy before it.
-func apart(lists []string) (specs []string) {
+// splitPolicies splits lists of policies; what changes a key stays with the policy before it.
+func splitPolicies(lists []string) (specs []string) {
 	for _, list := range lists {
 		for i, part := range strings.Split(list, ",") {
 			if i > 0 && strings.Contains(part, "=") {
@@ -80,21 +80,21 @@
 	return specs
 }
 
-// play plays sets and adds them to a file. A set whose name is a path is another build of this program.
-func play(
+// runVariants plays sets and adds them to a file. A set whose name is a path is another build of this program.
+func runVariants(
 	ctx context.Context,
 	f *report.File,
 	specs []string,
 	day *scenario.Scenario,
-	m *many,
+	m *runOptions,
 	lucks bool,
 ) error {
-	var sets []run.Set
+	var sets []runner.Variant
 	var at []int
-	results := make([][]run.Result, len(specs))
+	results := make([][]runner.Result, len(specs))
 	for i, spec := range specs {
 		if strings.ContainsRune(spec, os.PathSeparator) {
-			r, err := other(ctx, spec, f.Scenario, m, uint64(i))
+			r, err := runOtherBuild(ctx, spec, f.Scenario, m, uint64(i))
 			if err != nil {
 				return err
 			}
@@ -105,13 +105,13 @@
 		if lucks {
 			luck = uint64(i)
 		}
-		s, err := set(spec, day, luck)
+		s, err := parseVariant(spec, day, luck)
 		if err != nil {
 			return err
 		}
 		sets, at = append(sets, s), append(at, i)
 	}
-	played, err := run.All(ctx, sets, run.Seeds(m.first, m.seeds), true, newProgress().tell)
+	played, err := runner.RunAll(ctx, sets, runner.Seeds(m.firstSeed, m.seeds), true, newProgress().update)
 	if err != nil {
 		return err
 	}
@@ -121,12 +121,12 @@
 	for i, spec := range specs {
 		f.Add(spec, results[i])
 	}
-	f.Placed()
+	f.ComputePlaces()
 	return nil
 }
 
-// other has another build of this program play the scenario.
-func other(ctx context.Context, path, text string, m *many, luck uint64) ([]run.Result, error) {
+// runOtherBuild has another build of this program play the scenario.
+func runOtherBuild(ctx context.Context, path, text string, m *runOptions, luck uint64) ([]runner.Result, error) {
 	file, err := os.CreateTemp("", "scenario-*.toml")
 	if err != nil {
 		return nil, err
@@ -139,7 +139,7 @@
 		return nil, err
 	}
 	c := exec.CommandContext(ctx, path, "run", file.Name(), "--seeds", strconv.Itoa(m.seeds), "--first",
-		strconv.FormatUint(m.first, 10), "--luck", strconv.FormatUint(luck, 10), "--out", "none", "--json")
+		strconv.FormatUint(m.firstSeed, 10), "--luck", strconv.FormatUint(luck, 10), "--out", "none", "--json")
 	c.Stderr = os.Stderr
 	out, err := c.Output()
 	if err != nil {
@@ -161,12 +161,12 @@
 	return f.Sets[0].Results, nil
 }
 
-// show prints the sets of a file.
-func show(c *cobra.Command, f *report.File) error {
+// printResult prints the sets of a file.
+func printResult(c *cobra.Command, f *report.File) error {
 	t := tabwriter.NewWriter(c.OutOrStdout(), 0, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "SET\tG\t95%\tPLACE\tWORST 10 S\tWORST TYPE\tWASTE\tP99 MS\tBROKEN")
 	for _, s := range f.Sets {
-		mean := func(of func(*run.Result) float64) float64 {
+		mean := func(of func(*runner.Result) float64) float64 {
 			total := 0.0
 			for i := range s.Results {
 				total += of(&s.Results[i])
@@ -185,10 +185,10 @@
 			s.G.Least,
 			s.G.Most,
 			place,
-			mean(func(r *run.Result) float64 { return r.Sum.WorstWindow }),
-			mean(func(r *run.Result) float64 { return r.Sum.WorstType }),
-			mean(func(r *run.Result) float64 { return r.Sum.Waste }),
-			mean(func(r *run.Result) float64 { return r.Latency[2] }),
+			mean(func(r *runner.Result) float64 { return r.Summary.WorstWindow }),
+			mean(func(r *runner.Result) float64 { return r.Summary.WorstType }),
+			mean(func(r *runner.Result) float64 { return r.Summary.Waste }),
+			mean(func(r *runner.Result) float64 { return r.LatencyMs[2] }),
 			s.Broken,
 		)
 	}
@@ -216,68 +216,68 @@
 }
 
 func runCommand() *cobra.Command {
-	var m many
+	var m runOptions
 	var policies []string
 	var luck uint64
 	var asJSON, sockets bool
-	var real socketRun
+	var real socketRunner
 	var trace, record, replay string
-	c := &cobra.Command{Use: "run SCENARIO", Args: exactly(1),
+	c := &cobra.Command{Use: "run SCENARIO", Args: exactArgs(1),
 		Short: "Play a scenario, in virtual time or on loopback sockets, a run on each seed, and report it",
 		RunE: func(c *cobra.Command, args []string) error {
 			day, err := scenarios.Find(args[0])
 			if err == nil {
-				err = m.check()
+				err = m.validate()
 			}
 			if err != nil {
 				return err
 			}
-			f, err := report.New("run", commandLine(c, args), day)
+			f, err := report.NewFile("run", commandLine(c, args), day)
 			if err != nil {
 				return err
 			}
-			policies = apart(policies)
+			policies = splitPolicies(policies)
 			if sockets {
-				if err := real.play(c.Context(), f, day, &m); err != nil {
+				if err := real.runSeeds(c.Context(), f, day, &m); err != nil {
 					return err
 				}
-				if err := show(c, f); err != nil {
+				if err := printResult(c, f); err != nil {
 					return err
 				}
-				return keep(c, f, m.out)
+				return saveResult(c, f, m.out)
 			}
 			if record != "" || replay != "" {
-				return recording(c, day, f, policies[0], &m, luck, record, replay)
+				return recordOrReplay(c, day, f, policies[0], &m, luck, record, replay)
 			}
 			if trace != "" {
-				return writeTrace(trace, day, policies[0], m.first, luck)
+				return writeTrace(trace, day, policies[0], m.firstSeed, luck)
 			}
 			if luck > 0 { // one set, with chance of its own
-				s, err := set(policies[0], day, luck)
+				s, err := parseVariant(policies[0], day, luck)
 				if err != nil {
 					return err
 				}
-				r, err := run.All(
+				r, err := runner.RunAll(
 					c.Context(),
-					[]run.Set{s},
-					run.Seeds(m.first, m.seeds),
+					[]runner.Variant{s},
+					runner.Seeds(m.firstSeed, m.seeds),
 					true,
-					newProgress().tell,
+					newProgress().update,
 				)
 				if err != nil {
 					return err
 				}
 				f.Add(s.Name, r[0])
-			} else if err := play(c.Context(), f, policies, day, &m, false); err != nil {
+			} else if err := runVariants(c.Context(), f, policies, day, &m, false); err != nil {
 				return err
 			}
 			if asJSON {
 				return json.NewEncoder(c.OutOrStdout()).Encode(f)
 			}
-			if err := show(c, f); err != nil {
+			if err := printResult(c, f); err != nil {
 				return err
 			}
-			if err := keep(c, f, m.out); err != nil {
+			if err := saveResult(c, f, m.out); err != nil {
 				return err
 			}
 			for _, s := range f.Sets {
@@ -287,14 +287,14 @@
 			}
 			return nil
 		}}
-	m.flags(c)
+	m.addFlags(c)
 	c.Flags().
 		StringArrayVar(&policies, "policy", []string{"module"}, "what decides: "+strings.Join(policy.Names, ", ")+
 			"; several behind commas give our place between floor and top, KEY=VALUE changes the one before")
 	c.Flags().
 		Uint64Var(&luck, "luck", 0, "draw chance anew, with the same destinations, requests and troubles")
 	c.Flags().BoolVar(&sockets, "sockets", false, "play it in real time on loopback, with real nodes")
-	real.flags(c)
+	real.addFlags(c)
 	c.Flags().BoolVar(&asJSON, "json", false, "print the result as JSON")
 	c.Flags().
 		StringVar(&record, "record", "", "write the first seed's arrivals, and what came of them, into this file")
@@ -305,7 +305,7 @@
 }
 
 func writeTrace(name string, day *scenario.Scenario, spec string, seed, luck uint64) error {
-	s, err := set(spec, day, luck)
+	s, err := parseVariant(spec, day, luck)
 	if err != nil {
 		return err
 	}
@@ -313,21 +313,21 @@
 	if err != nil {
 		return err
 	}
-	run.One(s.Day, seed, luck, s.Launch, false, file)
+	runner.Run(s.Scenario, seed, luck, s.Launch, false, file)
 	return file.Close()
 }
 
-// recording writes a recording of a run, or plays one.
-func recording(
+// recordOrReplay writes a recordOrReplay of a run, or plays one.
+func recordOrReplay(
 	c *cobra.Command,
 	day *scenario.Scenario,
 	f *report.File,
 	spec string,
-	m *many,
+	m *runOptions,
 	luck uint64,
 	record, replay string,
 ) error {
-	s, err := set(spec, day, luck)
+	s, err := parseVariant(spec, day, luck)
 	if err != nil {
 		return err
 	}
@@ -336,14 +336,14 @@
 		if err != nil {
 			return err
 		}
-		return errors.Join(run.Record(s.Day, m.first, luck, s.Launch, file), file.Close())
+		return errors.Join(runner.Record(s.Scenario, m.firstSeed, luck, s.Launch, file), file.Close())
 	}
 	file, err := os.Open(replay)
 	if err != nil {
 		return err
 	}
 	defer file.Close()
-	r, recorded, err := run.Replay(file, m.first, luck, s.Launch, nil)
+	r, recorded, err := runner.Replay(file, m.firstSeed, luck, s.Launch, nil)
 	if err != nil {
 		return fmt.Errorf("%s: %w", replay, err)
 	}
@@ -352,17 +352,17 @@
 		return err
 	}
 	f.Scenario = string(text)
-	f.Add(s.Name, []run.Result{r})
-	if err := show(c, f); err != nil {
+	f.Add(s.Name, []runner.Result{r})
+	if err := printResult(c, f); err != nil {
 		return err
 	}
-	return keep(c, f, m.out)
+	return saveResult(c, f, m.out)
 }
 
 func compareCommand() *cobra.Command {
-	var m many
+	var m runOptions
 	var name string
-	c := &cobra.Command{Use: "compare A B", Args: exactly(2),
+	c := &cobra.Command{Use: "compare A B", Args: exactArgs(2),
 		Short: "Play two policies, settings or builds on the same seeds, and tell the difference with its interval",
 		Long: "Play two sets on the same seeds, and tell the difference with its 95% interval.\n\n" +
 			"A set is a policy (module), a policy with changed keys of the scenario (module,fleet.slots=12),\n" +
@@ -372,33 +372,33 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			day, err := scenarios.Find(name)
 			if err == nil {
-				err = m.check()
+				err = m.validate()
 			}
 			if err != nil {
 				return err
 			}
-			f, err := report.New("compare", commandLine(c, args), day)
+			f, err := report.NewFile("compare", commandLine(c, args), day)
 			if err == nil {
-				err = play(c.Context(), f, args, day, &m, true)
+				err = runVariants(c.Context(), f, args, day, &m, true)
 			}
 			if err != nil {
 				return err
 			}
-			f.Differ()
-			if err := show(c, f); err != nil {
+			f.ComputeDifferences()
+			if err := printResult(c, f); err != nil {
 				return err
 			}
-			return keep(c, f, m.out)
+			return saveResult(c, f, m.out)
 		}}
-	m.flags(c)
+	m.addFlags(c)
 	c.Flags().StringVar(&name, "scenario", "harvest", "the scenario to play")
 	return c
 }
 
 func sweepCommand() *cobra.Command {
-	var m many
+	var m runOptions
 	var name, what string
-	c := &cobra.Command{Use: "sweep KEY=A,B,C", Args: exactly(1),
+	c := &cobra.Command{Use: "sweep KEY=A,B,C", Args: exactArgs(1),
 		Short: "Play a scenario with one key of it at several values",
 		RunE: func(c *cobra.Command, args []string) error {
 			key, list, ok := strings.Cut(args[0], "=")
@@ -407,12 +407,12 @@
 			}
 			day, err := scenarios.Find(name)
 			if err == nil {
-				err = m.check()
+				err = m.validate()
 			}
 			if err != nil {
 				return err
 			}
-			f, err := report.New("sweep", commandLine(c, args), day)
+			f, err := report.NewFile("sweep", commandLine(c, args), day)
 			if err != nil {
 				return err
 			}
@@ -420,16 +420,16 @@
 			for value := range strings.SplitSeq(list, ",") {
 				specs = append(specs, what+","+key+"="+value)
 			}
-			if err := play(c.Context(), f, specs, day, &m, false); err != nil {
+			if err := runVariants(c.Context(), f, specs, day, &m, false); err != nil {
 				return err
 			}
-			f.Differ()
-			if err := show(c, f); err != nil {
+			f.ComputeDifferences()
+			if err := printResult(c, f); err != nil {
 				return err
 			}
-			return keep(c, f, m.out)
+			return saveResult(c, f, m.out)
 		}}
-	m.flags(c)
+	m.addFlags(c)
 	c.Flags().StringVar(&name, "scenario", "harvest", "the scenario to play")
 	c.Flags().StringVar(&what, "policy", "module", "what decides")
 	return c
@@ -441,7 +441,7 @@
 	var seed uint64
 	var what, out string
 	var first, asFound bool
-	c := &cobra.Command{Use: "hunt SCENARIO", Args: exactly(1),
+	c := &cobra.Command{Use: "hunt SCENARIO", Args: exactArgs(1),
 		Short: "Play random mixes of troubles; keep the worst day and any that breaks a rule, made small",
 		RunE: func(c *cobra.Command, args []string) error {
 			day, err := scenarios.Find(args[0])
@@ -461,7 +461,7 @@
 			worst, broke, played := search.Run(ctx, day, seed, most, runtime.GOMAXPROCS(0), first, launch,
 				func(played int, _ float64, broken int) {
 					brokenDays = broken
-					p.tell(played, max(most, played))
+					p.update(played, max(most, played))
 				})
 			w := c.OutOrStdout()
 			if worst == nil {
--- a/cmd/jaspersill/check.go
+++ b/cmd/jaspersill/check.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	"jaspersill/house"
+	"jaspersill/config"
 	"jaspersill/node"
 )
 
@@ -24,15 +24,15 @@
 		case strings.HasSuffix(name, ".json"):
 			var t told
 			if t, _, err = readPlatform(name); err == nil {
-				var b *house.Book
-				if b, err = house.Read("", nil, nil); err == nil {
-					_, err = b.Told(name, t.byKey(""))
+				var b *config.Config
+				if b, err = config.Parse("", nil, nil); err == nil {
+					_, err = b.WithPlatform(name, t.byKey(""))
 				}
 			}
 		case strings.HasSuffix(name, ".toml"):
 			var text []byte
 			if text, err = os.ReadFile(name); err == nil {
-				_, err = house.Read(name, text, nil)
+				_, err = config.Parse(name, text, nil)
 			}
 		default:
 			err = fmt.Errorf("%s: want a file that ends in .json or .toml", name)
@@ -59,13 +59,13 @@
 				if err != nil {
 					return err
 				}
-				return b.Show(c.OutOrStdout())
+				return b.WriteTable(c.OutOrStdout())
 			}},
 		&cobra.Command{
 			Use:   "reference",
 			Short: "Print the table of all keys as Markdown",
 			Args:  noneOf("argument"),
-			RunE:  func(c *cobra.Command, _ []string) error { return house.Reference(c.OutOrStdout()) },
+			RunE:  func(c *cobra.Command, _ []string) error { return config.WriteReference(c.OutOrStdout()) },
 		},
 	)
 }
--- a/cmd/jaspersill/commands_test.go
+++ b/cmd/jaspersill/commands_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestExitCodesAndWhatIsTold(t *testing.T) {
+func TestCommandExitCodesAndOutput(t *testing.T) {
 	folder := t.TempDir()
 	file := func(name, text string) string {
 		name = filepath.Join(folder, name)
--- a/cmd/jaspersill/main.go
+++ b/cmd/jaspersill/main.go
@@ -34,7 +34,7 @@
 	replaced := make(chan os.Signal, 1)
 	signal.Notify(replaced, syscall.SIGHUP)
 	signal.Ignore(syscall.SIGPIPE) // a collector of log lines that goes away must not take the process along
-	lines := logs.NewLines(os.Stderr)
+	lines := logs.NewAsyncWriter(os.Stderr)
 	logrus.SetOutput(lines)
 	code := execute(os.Args[1:], os.Stdout, os.Stderr, replaced)
 	lines.Flush()
@@ -64,7 +64,7 @@
 	return exitFailed
 }
 
-func commands(gate *logs.Gate, replaced <-chan os.Signal) *cobra.Command {
+func commands(gate *logs.Formatter, replaced <-chan os.Signal) *cobra.Command {
 	var file string
 	root := &cobra.Command{
 		Use:   "jaspersill",
--- a/cmd/jaspersill/main_test.go
+++ b/cmd/jaspersill/main_test.go
@@ -40,7 +40,7 @@
 	return got
 }
 
-func TestReplacedConfigurationMovesTheWatch(t *testing.T) {
+func TestReloadMovesDirectoryWatch(t *testing.T) {
 	text, err := os.ReadFile("../../example/config.json")
 	if err != nil {
 		t.Fatal(err)
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestAskedToStopWhileStartingItEndsInOrder(t *testing.T) {
+func TestSigtermDuringStartupExitsCleanly(t *testing.T) {
 	text, err := os.ReadFile("../../example/config.json")
 	if err != nil {
 		t.Fatal(err)
@@ -129,7 +129,7 @@
 	}
 }
 
-func TestBadStartsEndWithAMessage(t *testing.T) {
+func TestInvalidPlatformConfigIsReported(t *testing.T) {
 	text, err := os.ReadFile("../../example/config.json")
 	if err != nil {
 		t.Fatal(err)
@@ -162,7 +162,7 @@
 }
 
 // Guards against a start, or a reload, that ends because a file cannot be read for a moment.
-func TestAFileThatCannotBeReadForAMomentIsReadAgain(t *testing.T) {
+func TestTransientReadFailureIsRetried(t *testing.T) {
 	fails := 3
 	readFile = func(name string) ([]byte, error) {
 		if fails--; fails >= 0 {
@@ -177,7 +177,7 @@
 }
 
 // Guards against a process that ends because whoever reads its log lines has gone away.
-func TestTheProcessOutlivesTheReaderOfItsLines(t *testing.T) {
+func TestProcessSurvivesClosedLogPipe(t *testing.T) {
 	text, err := os.ReadFile("../../example/config.json")
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/jaspersill/told.go
+++ b/cmd/jaspersill/platform.go
@@ -7,9 +7,9 @@
 	"os"
 	"strconv"
 
+	"jaspersill/config"
 	"jaspersill/errclass"
-	"jaspersill/house"
-	"jaspersill/start"
+	"jaspersill/settings"
 )
 
 const (
@@ -38,7 +38,7 @@
 var readFile = os.ReadFile
 
 // readPlatform reads the platform's file and checks what it says of the node's terms.
-func readPlatform(name string) (t told, s start.Start, err error) {
+func readPlatform(name string) (t told, s settings.Settings, err error) {
 	text, err := errclass.ReadFile(readFile, name)
 	if err == nil {
 		err = json.Unmarshal(text, &t)
@@ -49,7 +49,7 @@
 	if l := t.Limits; l.Cores < 0 || l.MemoryMB < 0 || l.Sockets < 0 || l.DiskMB < 0 {
 		err = errors.New("limits: none may be under 0")
 	}
-	s, bad := start.JSON(t.Settings)
+	s, bad := settings.ParseJSON(t.Settings)
 	s.Directory.Automatic, s.Directory.RequiresWatch = !s.Directory.RequiresWatch, true // on sockets every change is asked for
 	return t, s, errors.Join(err, bad)
 }
@@ -75,7 +75,7 @@
 }
 
 // readOwn reads the installation's own file, if one is named, and the environment.
-func readOwn(name string) (*house.Book, error) {
+func readOwn(name string) (*config.Config, error) {
 	var text []byte
 	if name != "" {
 		var err error
@@ -83,24 +83,24 @@
 			return nil, err
 		}
 	}
-	return house.Read(name, text, os.Environ())
+	return config.Parse(name, text, os.Environ())
 }
 
 // read reads both files and checks them as a whole. Danger: of a bad one nothing may be used.
-func read(platform, own string) (t told, s start.Start, b *house.Book, err error) {
+func read(platform, own string) (t told, s settings.Settings, b *config.Config, err error) {
 	t, s, err = readPlatform(platform)
 	book, bad := readOwn(own)
 	if err = errors.Join(err, bad); err != nil {
 		return t, s, nil, err
 	}
-	if b, err = book.Told(platform, t.byKey(os.Getenv(stateFolder))); err != nil {
+	if b, err = book.WithPlatform(platform, t.byKey(os.Getenv(stateFolder))); err != nil {
 		return t, s, nil, err
 	}
 	for _, needed := range [][2]string{{"node.listen", "listen"}, {"node.directory", "discovery"},
 		{"node.state", stateFolder}, {"node.seed", "seed"}} {
 		if b.Text(needed[0]) == "" {
 			err = errors.Join(err, fmt.Errorf("%s: nobody told it: %s or %s is needed",
-				needed[0], needed[1], house.Variable(needed[0])))
+				needed[0], needed[1], config.EnvVar(needed[0])))
 		}
 	}
 	return t, s, b, err
--- a/house/book.go
+++ b/config/config.go
@@ -1,4 +1,4 @@
-package house
+package config
 
 import (
 	"errors"
@@ -17,8 +17,8 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Fault is one thing that is wrong with what was told.
-type Fault struct {
+// Error is one thing that is wrong with what was told.
+type Error struct {
 	File string
 	Line int // 0 where there are no lines
 	Key  string
@@ -26,7 +26,7 @@
 	Got  string
 }
 
-func (f Fault) Error() string {
+func (f Error) Error() string {
 	at := f.File
 	if f.Line > 0 {
 		at += ":" + strconv.Itoa(f.Line)
@@ -37,10 +37,10 @@
 	return fmt.Sprintf("%s: want %s, got %s", at, f.Want, f.Got)
 }
 
-// Faults is all that is wrong, in the order of the file.
-type Faults []Fault
+// Errors is all that is wrong, in the order of the file.
+type Errors []Error
 
-func (f Faults) Error() string {
+func (f Errors) Error() string {
 	lines := make([]string, len(f))
 	for i := range f {
 		lines[i] = f[i].Error()
@@ -55,18 +55,18 @@
 	from   string // default, file:line, environment, platform
 }
 
-// Book holds what is in force for each key. It does not change once it was handed out.
-type Book struct {
+// Config holds what is in force for each key. It does not change once it was handed out.
+type Config struct {
 	values map[string]value
 }
 
-// Read reads a file's text, checks it as a whole and lays the environment over it. The error is Faults, with
+// Parse reads a file's text, checks it as a whole and lays the environment over it. The error is Faults, with
 // everything that is wrong. An empty file name stands for no file.
-func Read(file string, text []byte, environ []string) (*Book, error) {
-	b := &Book{values: make(map[string]value)}
-	var faults Faults
+func Parse(file string, text []byte, environ []string) (*Config, error) {
+	b := &Config{values: make(map[string]value)}
+	var faults Errors
 	for _, k := range Keys {
-		if k.Default != "" || k.Kind == Text || k.Kind == Address || k.Kind == Word {
+		if k.Default != "" || k.Kind == Text || k.Kind == Address || k.Kind == Enum {
 			v, _ := k.parse(k.Default)
 			v.from = "default"
 			b.values[k.Name] = v
@@ -76,7 +76,7 @@
 		faults = b.readFile(file, text)
 	}
 	for _, k := range Keys {
-		name := Variable(k.Name) + "="
+		name := EnvVar(k.Name) + "="
 		for _, pair := range environ {
 			if got, ok := strings.CutPrefix(pair, name); ok {
 				faults = b.set("environment", 0, k, got, "environment", faults)
@@ -93,27 +93,27 @@
 }
 
 // agree checks what must fit together.
-func (b *Book) agree(file string) (faults Faults) {
+func (b *Config) agree(file string) (faults Errors) {
 	for _, pair := range [][2]string{{"drain.door", "drain.choose"}, {"drain.choose", "drain.end"}} {
-		if b.Span(pair[0]) > b.Span(pair[1]) {
-			faults = append(faults, Fault{File: file, Key: pair[1],
+		if b.Duration(pair[0]) > b.Duration(pair[1]) {
+			faults = append(faults, Error{File: file, Key: pair[1],
 				Want: fmt.Sprintf("no less than %s, which is %s", pair[0], b.Text(pair[0])),
-				Got:  fmt.Sprintf("%s (%s)", b.Text(pair[1]), b.From(pair[1]))})
+				Got:  fmt.Sprintf("%s (%s)", b.Text(pair[1]), b.Source(pair[1]))})
 		}
 	}
 	return faults
 }
 
-func (b *Book) readFile(file string, text []byte) (faults Faults) {
+func (b *Config) readFile(file string, text []byte) (faults Errors) {
 	var all map[string]any
 	if err := toml.Unmarshal(text, &all); err != nil {
-		f := Fault{File: file, Want: "TOML", Got: err.Error()}
+		f := Error{File: file, Want: "TOML", Got: err.Error()}
 		var at *toml.DecodeError
 		if errors.As(err, &at) {
 			f.Line, _ = at.Position()
 			f.Key = strings.Join(at.Key(), ".")
 		}
-		return Faults{f}
+		return Errors{f}
 	}
 	var p unstable.Parser
 	p.Reset(text)
@@ -127,7 +127,7 @@
 				name, line := path(&p, nil, e)
 				faults = append(
 					faults,
-					Fault{file, line, strings.Join(name, "."), "a table", "a list of tables"},
+					Error{file, line, strings.Join(name, "."), "a table", "a list of tables"},
 				)
 			}
 		case unstable.KeyValue:
@@ -148,7 +148,7 @@
 	return name, line
 }
 
-func (b *Book) pair(p *unstable.Parser, file string, table []string, e *unstable.Node, faults Faults) Faults {
+func (b *Config) pair(p *unstable.Parser, file string, table []string, e *unstable.Node, faults Errors) Errors {
 	parts, line := path(p, table, e)
 	v, name := e.Value(), strings.Join(parts, ".")
 	if v.Kind == unstable.InlineTable {
@@ -163,27 +163,27 @@
 		if near := nearest(name); near != "" {
 			want = near + ", or another key of `jaspersill config reference`"
 		}
-		return append(faults, Fault{file, line, name, want, "no such key"})
+		return append(faults, Error{file, line, name, want, "no such key"})
 	}
 	got := string(v.Data)
 	quoted := v.Kind == unstable.String
 	if number := v.Kind == unstable.Integer || v.Kind == unstable.Float; (!quoted && !number) ||
-		quoted == (k.Kind == Count || k.Kind == Share) {
+		quoted == (k.Kind == Int || k.Kind == Float) {
 		if quoted {
 			got = strconv.Quote(got)
 		}
-		return append(faults, Fault{file, line, name, k.Kind.form(), got})
+		return append(faults, Error{file, line, name, k.Kind.form(), got})
 	}
 	return b.set(file, line, *k, got, file+":"+strconv.Itoa(line), faults)
 }
 
-func (b *Book) set(file string, line int, k Key, got, from string, faults Faults) Faults {
+func (b *Config) set(file string, line int, k Key, got, from string, faults Errors) Errors {
 	v, want := k.parse(got)
 	if want != "" {
 		if k.Name == "node.seed" {
 			got = "something else" // danger: who knows where chance starts knows where events go
 		}
-		return append(faults, Fault{file, line, k.Name, want, strconv.Quote(got)})
+		return append(faults, Error{file, line, k.Name, want, strconv.Quote(got)})
 	}
 	v.from = from
 	b.values[k.Name] = v
@@ -198,9 +198,9 @@
 	}
 	var err error
 	switch k.Kind {
-	case Word:
-		if !slices.Contains(k.Words, text) {
-			return v, "one of " + strings.Join(k.Words, ", ")
+	case Enum:
+		if !slices.Contains(k.Allowed, text) {
+			return v, "one of " + strings.Join(k.Allowed, ", ")
 		}
 	case Address:
 		var port string
@@ -220,11 +220,11 @@
 	if err != nil {
 		return v, k.Kind.form()
 	}
-	if k.Least != "" {
-		least, _ := number(k.Kind, k.Least)
-		most, _ := number(k.Kind, k.Most)
+	if k.Min != "" {
+		least, _ := number(k.Kind, k.Min)
+		most, _ := number(k.Kind, k.Max)
 		if v.number < least || v.number > most {
-			return v, k.Least + " to " + k.Most
+			return v, k.Min + " to " + k.Max
 		}
 	}
 	return v, ""
@@ -234,7 +234,7 @@
 
 func number(kind Kind, text string) (float64, error) {
 	switch kind {
-	case Span:
+	case Duration:
 		d, err := time.ParseDuration(text)
 		return float64(d), err
 	case Size:
@@ -243,7 +243,7 @@
 		}
 		n, err := units.ParseStrictBytes(text)
 		return float64(n), err
-	case Count:
+	case Int:
 		n, err := strconv.ParseInt(text, 0, 64)
 		return float64(n), err
 	}
@@ -254,14 +254,14 @@
 	return f, err
 }
 
-// Told is the book with what the platform tells laid over it, by key, written as in the file. An empty text
+// WithPlatform is the book with what the platform tells laid over it, by key, written as in the file. An empty text
 // stands for nothing told.
-func (b *Book) Told(by string, told map[string]string) (*Book, error) {
-	over := &Book{values: make(map[string]value, len(b.values))}
+func (b *Config) WithPlatform(by string, told map[string]string) (*Config, error) {
+	over := &Config{values: make(map[string]value, len(b.values))}
 	for name, v := range b.values {
 		over.values[name] = v
 	}
-	var faults Faults
+	var faults Errors
 	for _, k := range Keys {
 		if text := told[k.Name]; text != "" {
 			faults = over.set(by, 0, k, text, "platform", faults)
@@ -273,31 +273,31 @@
 	return over, nil
 }
 
-// Span is a time in force; it is for keys of that kind, as are the methods below for theirs.
-func (b *Book) Span(name string) time.Duration { return time.Duration(b.values[name].number) }
+// Duration is a time in force; it is for keys of that kind, as are the methods below for theirs.
+func (b *Config) Duration(name string) time.Duration { return time.Duration(b.values[name].number) }
 
 // Bytes is a size in force.
-func (b *Book) Bytes(name string) int64 { return int64(b.values[name].number) }
+func (b *Config) Bytes(name string) int64 { return int64(b.values[name].number) }
 
-// Count is a whole number in force.
-func (b *Book) Count(name string) int { return int(b.values[name].number) }
+// Int is a whole number in force.
+func (b *Config) Int(name string) int { return int(b.values[name].number) }
 
-// Share is a number in force.
-func (b *Book) Share(name string) float64 { return b.values[name].number }
+// Float is a number in force.
+func (b *Config) Float(name string) float64 { return b.values[name].number }
 
 // Text is what is in force as it was written, of any kind.
-func (b *Book) Text(name string) string { return b.values[name].text }
+func (b *Config) Text(name string) string { return b.values[name].text }
 
-// From tells who said what is in force: default, environment, platform, or a file and line.
-func (b *Book) From(name string) string { return b.values[name].from }
+// Source tells who said what is in force: default, environment, platform, or a file and line.
+func (b *Config) Source(name string) string { return b.values[name].from }
 
-// Changes tells the keys in which two books differ, those that may change under way and those that may not.
-func (b *Book) Changes(next *Book) (live, restart []string) {
+// Diff tells the keys in which two books differ, those that may change under way and those that may not.
+func (b *Config) Diff(next *Config) (live, restart []string) {
 	for _, k := range Keys {
 		if k.Name == "node.seed" || b.values[k.Name].text == next.values[k.Name].text {
 			continue // the platform tells a new seed each time; it is for the next start
 		}
-		if k.Live {
+		if k.Reloadable {
 			live = append(live, k.Name)
 		} else {
 			restart = append(restart, k.Name)
@@ -306,8 +306,8 @@
 	return live, restart
 }
 
-// Show writes what is in force, with who said so.
-func (b *Book) Show(w io.Writer) error {
+// WriteTable writes what is in force, with who said so.
+func (b *Config) WriteTable(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	for _, k := range Keys {
 		text := b.Text(k.Name)
@@ -317,17 +317,17 @@
 		case k.Name == "node.seed":
 			text = "(told)"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", k.Name, text, k.Kind, b.From(k.Name))
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", k.Name, text, k.Kind, b.Source(k.Name))
 	}
 	return t.Flush()
 }
 
-// With is the book with another's live keys: what is in force after those were applied.
-func (b *Book) With(next *Book) *Book {
-	now := &Book{values: make(map[string]value, len(b.values))}
+// WithReloadable is the book with another's live keys: what is in force after those were applied.
+func (b *Config) WithReloadable(next *Config) *Config {
+	now := &Config{values: make(map[string]value, len(b.values))}
 	for _, k := range Keys {
 		from := b
-		if k.Live {
+		if k.Reloadable {
 			from = next
 		}
 		if v, ok := from.values[k.Name]; ok {
--- a/house/house_test.go
+++ b/config/config_test.go
@@ -1,4 +1,4 @@
-package house
+package config
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 	"time"
 )
 
-func TestAllFaultsOfAFileAreToldAtOnce(t *testing.T) {
+func TestAllErrorsReportedAtOnce(t *testing.T) {
 	text := `[drain]
 dor = "1s"
 choose = 2
@@ -27,13 +27,13 @@
 listen = "127.0.0.1"
 [[drain]]
 `
-	if _, err := Read("a.toml", []byte(text), nil); err == nil ||
+	if _, err := Parse("a.toml", []byte(text), nil); err == nil ||
 		!strings.Contains(err.Error(), "a.toml:16") {
 		t.Errorf("a table that is also a list: %v", err)
 	}
 	text = strings.Replace(text, "[[drain]]", "", 1)
-	_, err := Read("a.toml", []byte(text), []string{"JASPERSILL_LOG_FORMAT=xml"})
-	var faults Faults
+	_, err := Parse("a.toml", []byte(text), []string{"JASPERSILL_LOG_FORMAT=xml"})
+	var faults Errors
 	if !errors.As(err, &faults) {
 		t.Fatalf("got %v", err)
 	}
@@ -64,61 +64,61 @@
 	}
 }
 
-func TestSyntaxIsToldWithItsLine(t *testing.T) {
+func TestSyntaxErrorHasLineNumber(t *testing.T) {
 	for _, text := range []string{
 		"[log]\nlevel = \"info", "[log]\nlevel = \"info\"\nlevel = \"info\"", "\n[log",
 	} {
-		if _, err := Read("a.toml", []byte(text), nil); err == nil ||
+		if _, err := Parse("a.toml", []byte(text), nil); err == nil ||
 			!strings.HasPrefix(err.Error(), "a.toml:") {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
-	if _, err := Read("a.toml", []byte("[drain]\nchoose = \"5s\""), nil); err == nil ||
+	if _, err := Parse("a.toml", []byte("[drain]\nchoose = \"5s\""), nil); err == nil ||
 		!strings.Contains(err.Error(), "no less than drain.choose") {
 		t.Errorf("a drain that ends before it begins: %v", err)
 	}
 }
 
-func TestWhoSpeaksLastWins(t *testing.T) {
+func TestSourcePrecedence(t *testing.T) {
 	text := []byte("[limits]\nmemory = \"64MiB\"\ndescriptors = 300\n[drain]\nend = \"9s\"\n[log.parts]\n")
-	if _, err := Read("a.toml", text, nil); err != nil { // an empty table of levels is none
+	if _, err := Parse("a.toml", text, nil); err != nil { // an empty table of levels is none
 		t.Error(err)
 	}
-	b, err := Read("a.toml", text, []string{"JASPERSILL_DRAIN_END=8s", "JASPERSILL_LOG_PARTS_CLIENTS=debug"})
+	b, err := Parse("a.toml", text, []string{"JASPERSILL_DRAIN_END=8s", "JASPERSILL_LOG_PARTS_CLIENTS=debug"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	over, err := b.Told("c.json", map[string]string{"limits.memory": "1000B"})
+	over, err := b.WithPlatform("c.json", map[string]string{"limits.memory": "1000B"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if over.Bytes("limits.memory") != 1000 || over.From("limits.memory") != "platform" ||
-		b.Bytes("limits.memory") != 64<<20 || b.From("limits.memory") != "a.toml:2" ||
-		over.Span("drain.end") != 8*time.Second || over.From("drain.end") != "environment" ||
-		over.Count("limits.descriptors") != 300 || over.From("drain.door") != "default" ||
+	if over.Bytes("limits.memory") != 1000 || over.Source("limits.memory") != "platform" ||
+		b.Bytes("limits.memory") != 64<<20 || b.Source("limits.memory") != "a.toml:2" ||
+		over.Duration("drain.end") != 8*time.Second || over.Source("drain.end") != "environment" ||
+		over.Int("limits.descriptors") != 300 || over.Source("drain.door") != "default" ||
 		over.Text("log.parts.clients") != "debug" {
 		var all bytes.Buffer
-		over.Show(&all)
+		over.WriteTable(&all)
 		t.Errorf("in force:\n%s", &all)
 	}
-	next, _ := Read("a.toml", []byte("[drain]\nend = \"7s\"\n[limits]\nmemory = \"64MiB\"\n"), nil)
-	live, restart := b.Changes(next)
+	next, _ := Parse("a.toml", []byte("[drain]\nend = \"7s\"\n[limits]\nmemory = \"64MiB\"\n"), nil)
+	live, restart := b.Diff(next)
 	if strings.Join(live, " ") != "drain.end log.parts.clients" ||
 		strings.Join(restart, " ") != "limits.descriptors" {
 		t.Errorf("live %v, restart %v", live, restart)
 	}
-	if now := b.With(next); now.Span("drain.end") != 7*time.Second || now.Count("limits.descriptors") != 300 {
+	if now := b.WithReloadable(next); now.Duration("drain.end") != 7*time.Second || now.Int("limits.descriptors") != 300 {
 		t.Error("what needs a restart was put in force, or what does not was not")
 	}
 }
 
-func TestThePageOfKeysIsTheTable(t *testing.T) {
+func TestReferencePageMatchesKeys(t *testing.T) {
 	page, err := os.ReadFile("../docs/configuration.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var want bytes.Buffer
-	Reference(&want)
+	WriteReference(&want)
 	if !bytes.Equal(page, want.Bytes()) {
 		t.Error("docs/configuration.md: want what `jaspersill config reference` prints")
 	}
--- a/door/door.go
+++ b/idmap/idmap.go
@@ -1,5 +1,5 @@
 // Package door maps ids from outside to small dense indices, which are given out again once released.
-package door
+package idmap
 
 // Table maps the ids of one kind. The zero value is empty and ready.
 type Table[K comparable] struct {
@@ -8,14 +8,14 @@
 	free []int32
 }
 
-// Find returns the index of an id that was taken.
-func (t *Table[K]) Find(id K) (int32, bool) {
+// Lookup returns the index of an id that was taken.
+func (t *Table[K]) Lookup(id K) (int32, bool) {
 	i, ok := t.of[id]
 	return i, ok
 }
 
-// Take returns the index of an id and whether it was given out by this call.
-func (t *Table[K]) Take(id K) (i int32, fresh bool) {
+// Acquire returns the index of an id and whether it was given out by this call.
+func (t *Table[K]) Acquire(id K) (i int32, fresh bool) {
 	if i, ok := t.of[id]; ok {
 		return i, false
 	}
--- a/lab/loopback/directory.go
+++ b/lab/emulator/directory.go
@@ -1,4 +1,4 @@
-package loopback
+package emulator
 
 import (
 	"bufio"
@@ -26,19 +26,19 @@
 	Born   int64   `json:"born_ms"`
 }
 
-type list struct {
+type hostList struct {
 	Seq   int    `json:"seq"`
 	Whole bool   `json:"whole"`
 	Hosts []host `json:"hosts"`
 }
 
-// entry is an endpoint as the directory tells it.
-func (s *Stage) entry(ep int32, state delivery.EndpointState) host {
-	e := &s.partners.Endpoints[ep]
-	p := &s.day.DestinationKinds[e.Kind]
+// hostEntry is an endpoint as the directory tells it.
+func (s *Emulator) hostEntry(ep int32, state delivery.EndpointState) host {
+	e := &s.destinations.Endpoints[ep]
+	p := &s.scenario.DestinationKinds[e.Kind]
 	h := host{
 		Host:   fmt.Sprintf("e%d", ep),
-		Dial:   s.doors[ep].address,
+		Dial:   s.listeners[ep].address,
 		Site:   "here",
 		Class:  p.Name,
 		Block:  e.Dest,
@@ -51,15 +51,15 @@
 	return h
 }
 
-// whole is the list as it was told last; the lock is held.
-func (s *Stage) whole() list {
-	l := list{Seq: len(s.changes) + 1, Whole: true}
-	states := make([]delivery.EndpointState, len(s.partners.Endpoints))
+// fullList is the list as it was told last; the lock is held.
+func (s *Emulator) fullList() hostList {
+	l := hostList{Seq: len(s.changes) + 1, Whole: true}
+	states := make([]delivery.EndpointState, len(s.destinations.Endpoints))
 	for ep := range states {
 		states[ep] = delivery.Ready
 	}
-	for ep := range s.partners.Endpoints { // those that came later are not there before they were told
-		if s.late(int32(ep)) {
+	for ep := range s.destinations.Endpoints { // those that came later are not there before they were told
+		if s.addedLater(int32(ep)) {
 			states[ep] = delivery.Gone
 		}
 	}
@@ -68,23 +68,23 @@
 	}
 	for ep, state := range states {
 		if state != delivery.Gone {
-			l.Hosts = append(l.Hosts, s.entry(int32(ep), state))
+			l.Hosts = append(l.Hosts, s.hostEntry(int32(ep), state))
 		}
 	}
 	return l
 }
 
-// late tells whether an endpoint was added during the day.
-func (s *Stage) late(ep int32) bool {
+// addedLater tells whether an endpoint was added during the day.
+func (s *Emulator) addedLater(ep int32) bool {
 	first := 0
-	for _, p := range s.day.DestinationKinds {
+	for _, p := range s.scenario.DestinationKinds {
 		first += p.Destinations * p.Endpoints
 	}
 	return int(ep) >= first
 }
 
-// tellChange has the directory tell a change after its delay, and later while it stands still or is down.
-func (s *Stage) tellChange(ep int32, state delivery.EndpointState) {
+// scheduleDirectoryChange has the directory tell a change after its delay, and later while it stands still or is down.
+func (s *Emulator) scheduleDirectoryChange(ep int32, state delivery.EndpointState) {
 	var tell func()
 	tell = func() {
 		s.mu.Lock()
@@ -92,32 +92,32 @@
 		if s.stopped {
 			return
 		}
-		if s.dirDown > 0 || s.dirStill > 0 {
+		if s.directoryDown > 0 || s.directoryFrozen > 0 {
 			time.AfterFunc(100*time.Millisecond, tell)
 			return
 		}
-		s.changes = append(s.changes, change{ep, state})
-		close(s.bell)
-		s.bell = make(chan struct{})
+		s.changes = append(s.changes, endpointChange{ep, state})
+		close(s.directoryChanged)
+		s.directoryChanged = make(chan struct{})
 	}
-	time.AfterFunc(time.Duration(s.day.Fleet.DirectoryDelay), tell)
+	time.AfterFunc(time.Duration(s.scenario.Fleet.DirectoryDelay), tell)
 }
 
-// told notes what a node was told to leave.
-func (s *Stage) told(node int32, changes []change) {
+// recordDrains notes what a node was recordDrains to leave.
+func (s *Emulator) recordDrains(node int32, changes []endpointChange) {
 	for _, c := range changes {
 		if c.state != delivery.Ready {
 			time.AfterFunc(drainGrace, func() {
 				s.mu.Lock()
 				defer s.mu.Unlock()
-				s.ledger.RecordDrain(s.now(), node, c.ep)
+				s.checker.RecordDrain(s.now(), node, c.ep)
 			})
 		}
 	}
 }
 
-// directory serves one node's directory and takes its notices.
-func (s *Stage) directory(node int32, l net.Listener) {
+// serveDirectory serves one node's serveDirectory and takes its notices.
+func (s *Emulator) serveDirectory(node int32, l net.Listener) {
 	defer s.wg.Done()
 	for {
 		c, err := l.Accept()
@@ -139,12 +139,12 @@
 				s.mu.Unlock()
 				c.Close()
 			}()
-			s.listen(node, c)
+			s.serveDirectoryConnection(node, c)
 		}()
 	}
 }
 
-func (s *Stage) listen(node int32, c net.Conn) {
+func (s *Emulator) serveDirectoryConnection(node int32, c net.Conn) {
 	in := bufio.NewReaderSize(c, 4096)
 	var r fasthttp.Request
 	for {
@@ -153,13 +153,13 @@
 		}
 		switch path := string(r.URI().Path()); {
 		case path == "/v1/outcomes" && r.Header.IsPost():
-			s.notices(string(r.Body()))
+			s.handleNotices(string(r.Body()))
 			if writeStatus(c, 204, "") != nil {
 				return
 			}
 		case path == "/discovery/hosts":
 			s.mu.Lock()
-			down := s.dirDown > 0
+			down := s.directoryDown > 0
 			s.mu.Unlock()
 			if down {
 				writeStatus(c, 503, "")
@@ -170,7 +170,7 @@
 				return
 			}
 			s.mu.Lock()
-			text, _ := json.Marshal(s.whole())
+			text, _ := json.Marshal(s.fullList())
 			s.mu.Unlock()
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s\n", len(text)+1, text)
 		default:
@@ -180,7 +180,7 @@
 }
 
 // watch tells a node the list and what changes in it.
-func (s *Stage) watch(node int32, c net.Conn) {
+func (s *Emulator) watch(node int32, c net.Conn) {
 	if _, err := c.Write([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")); err != nil {
 		return
 	}
@@ -189,8 +189,8 @@
 		return err
 	}
 	s.mu.Lock()
-	at, bell, all := len(s.changes), s.bell, s.whole()
-	s.told(node, s.changes)
+	at, bell, all := len(s.changes), s.directoryChanged, s.fullList()
+	s.recordDrains(node, s.changes)
 	s.mu.Unlock()
 	text, _ := json.Marshal(all)
 	if line(text) != nil {
@@ -199,19 +199,19 @@
 	for {
 		select {
 		case <-bell:
-		case <-time.After(aliveEvery):
+		case <-time.After(watchKeepAlive):
 		}
 		s.mu.Lock()
-		if s.stopped || s.dirDown > 0 {
+		if s.stopped || s.directoryDown > 0 {
 			s.mu.Unlock()
 			return
 		}
 		news := s.changes[at:]
-		l := list{Seq: len(s.changes) + 1}
+		l := hostList{Seq: len(s.changes) + 1}
 		for _, n := range news {
-			l.Hosts = append(l.Hosts, s.entry(n.ep, n.state))
+			l.Hosts = append(l.Hosts, s.hostEntry(n.ep, n.state))
 		}
-		at, bell = len(s.changes), s.bell
+		at, bell = len(s.changes), s.directoryChanged
 		s.mu.Unlock()
 		text = nil
 		if len(news) > 0 {
@@ -221,13 +221,13 @@
 			return
 		}
 		s.mu.Lock()
-		s.told(node, news)
+		s.recordDrains(node, news)
 		s.mu.Unlock()
 	}
 }
 
-// notices takes the ends of events that were taken on and not delivered.
-func (s *Stage) notices(body string) {
+// handleNotices takes the ends of events that were taken on and not delivered.
+func (s *Emulator) handleNotices(body string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for text := range strings.SplitSeq(strings.TrimSpace(body), "\n") {
@@ -239,26 +239,26 @@
 			continue
 		}
 		e := s.events[n.ID]
-		if s.anyone && e == nil {
-			s.tell("notice: event %s %s", n.ID, n.Status)
+		if s.acceptUnknown && e == nil {
+			s.logf("notice: event %s %s", n.ID, n.Status)
 		}
 		if e == nil || e.ended { // one for an event that is over does no harm
 			continue
 		}
 		e.ended = true
-		s.tell("notice: event %s %s", n.ID, n.Status)
-		if e.left {
-			s.settle(e)
+		s.logf("notice: event %s %s", n.ID, n.Status)
+		if e.abandoned {
+			s.releaseIfDone(e)
 			continue
 		}
 		end := checker.Discarded
 		if n.Status == "deferred" {
 			end = checker.Declined
-			if e.again != nil {
-				e.again(n.Again * 1e6)
+			if e.retry != nil {
+				e.retry(n.Again * 1e6)
 			}
 		}
-		s.ledger.RecordEnd(s.now(), e.number, end)
-		s.settle(e)
+		s.checker.RecordEnd(s.now(), e.index, end)
+		s.releaseIfDone(e)
 	}
 }
--- a/lab/loopback/loopback_test.go
+++ b/lab/emulator/loopback_test.go
@@ -1,4 +1,4 @@
-package loopback
+package emulator
 
 import (
 	"context"
@@ -18,15 +18,15 @@
 	"jaspersill/lab/workload"
 )
 
-var program string
+var nodeProgram string
 
 // TestMain builds the delivery node that the days are played with.
 func TestMain(m *testing.M) {
 	folder, err := os.MkdirTemp("", "lab-")
 	if err == nil {
-		program = filepath.Join(folder, "jaspersill")
+		nodeProgram = filepath.Join(folder, "jaspersill")
 		var out []byte
-		build := exec.Command("go", "build", "-o", program, "jaspersill/cmd/jaspersill")
+		build := exec.Command("go", "build", "-o", nodeProgram, "jaspersill/cmd/jaspersill")
 		if out, err = build.CombinedOutput(); err != nil {
 			err = fmt.Errorf("%w: %s", err, out)
 		}
@@ -40,7 +40,7 @@
 	os.Exit(code)
 }
 
-func day(t *testing.T, text string) *scenario.Scenario {
+func loadScenario(t *testing.T, text string) *scenario.Scenario {
 	t.Helper()
 	name := filepath.Join(t.TempDir(), "day.toml")
 	if err := os.WriteFile(name, []byte("like = \"farm\"\nname = \"day\"\n"+text), 0o600); err != nil {
@@ -53,26 +53,26 @@
 	return d
 }
 
-// play plays a day with real nodes.
-func play(t *testing.T, d *scenario.Scenario) checker.Summary {
+// runScenario plays a day with real nodes.
+func runScenario(t *testing.T, d *scenario.Scenario) checker.Summary {
 	t.Helper()
 	s, err := Open(d, 3, 0, t.Logf)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	n, err := Configure(s, t.TempDir(), "", 0, 1)
+	n, err := ConfigureNodes(s, t.TempDir(), "", 0, 1)
 	if err == nil {
-		err = n.Start(context.Background(), program)
+		err = n.Start(context.Background(), nodeProgram)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer n.Stop()
-	return s.Play(context.Background(), n, workload.NewGenerator(d, 3), 3)
+	return s.Run(context.Background(), n, workload.NewGenerator(d, 3), 3)
 }
 
-const brief = `
+const shortScenario = `
 length = "7s"
 [fleet]
 nodes = 2
@@ -97,8 +97,8 @@
 late_utility = 0.5
 `
 
-func TestARoughDayOnSocketsKeepsTheRules(t *testing.T) {
-	d := day(t, brief+`
+func TestNodesKeepRulesUnderFaults(t *testing.T) {
+	d := loadScenario(t, shortScenario+`
 [[trouble]]
 kind = "kill"
 at = "1500ms"
@@ -134,7 +134,7 @@
 destinations = 4
 share = 0.1
 `)
-	sum := play(t, d)
+	sum := runScenario(t, d)
 	for _, b := range sum.Violations {
 		t.Error(b)
 	}
@@ -144,8 +144,8 @@
 }
 
 // A node that sends all it gets twice must be caught, on sockets as in virtual time.
-func TestAScriptedNodeThatSendsTwiceIsCaught(t *testing.T) {
-	d := day(t, strings.Replace(brief, "7s", "1s", 1))
+func TestNodeThatSendsTwiceIsDetected(t *testing.T) {
+	d := loadScenario(t, strings.Replace(shortScenario, "7s", "1s", 1))
 	d.Fleet.Nodes = 1
 	s, err := Open(d, 3, 0, nil)
 	if err != nil {
@@ -157,7 +157,7 @@
 		var dest int32
 		fmt.Sscanf(r.Header.Get("X-Envelope"), "dest=%d", &dest)
 		for range 2 {
-			out, _ := http.NewRequest("POST", "http://"+s.doors[s.partners.ByDest[dest][0]].address+"/inbox",
+			out, _ := http.NewRequest("POST", "http://"+s.listeners[s.destinations.ByDest[dest][0]].address+"/inbox",
 				strings.NewReader(string(body)))
 			out.Header.Set("Req-Id", r.Header.Get("Req-Id"))
 			if answer, err := http.DefaultClient.Do(out); err == nil {
@@ -166,21 +166,21 @@
 		}
 		w.WriteHeader(http.StatusAccepted)
 	})}
-	address, err := free("tcp")
+	address, err := freeAddress("tcp")
 	if err != nil {
 		t.Fatal(err)
 	}
 	node.Addr = address
 	go node.ListenAndServe()
 	defer node.Close()
-	n := &Nodes{stage: s, list: []*process{{name: "n0", listen: address, up: true}}}
+	n := &Nodes{emulator: s, processes: []*process{{name: "n0", address: address, serving: true}}}
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if r, err := http.Get("http://" + address + "/up"); err == nil {
 			r.Body.Close()
 			break
 		}
 	}
-	sum := s.Play(context.Background(), n, workload.NewGenerator(d, 3), 3)
+	sum := s.Run(context.Background(), n, workload.NewGenerator(d, 3), 3)
 	rules := map[checker.Rule]int{}
 	for _, b := range sum.Violations {
 		rules[b.Rule]++
@@ -190,16 +190,16 @@
 	}
 }
 
-func TestANodeThatCannotStartIsTold(t *testing.T) {
-	d := day(t, brief)
+func TestNodeStartFailureIsReported(t *testing.T) {
+	d := loadScenario(t, shortScenario)
 	s, err := Open(d, 3, 0, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	n, err := Configure(s, t.TempDir(), "127.0.0.1:1x", 0, 1)
+	n, err := ConfigureNodes(s, t.TempDir(), "127.0.0.1:1x", 0, 1)
 	if err == nil {
-		err = n.Start(context.Background(), program)
+		err = n.Start(context.Background(), nodeProgram)
 	}
 	if err == nil || !strings.Contains(err.Error(), "n0 ended at its start") {
 		t.Errorf("got %v", err)
--- a/lab/loopback/node_bench_test.go
+++ b/lab/emulator/node_bench_test.go
@@ -1,4 +1,4 @@
-package loopback
+package emulator
 
 import (
 	"context"
@@ -6,11 +6,11 @@
 	"testing"
 	"time"
 
-	"jaspersill/lab/load"
+	"jaspersill/lab/loadgen"
 	"jaspersill/lab/scenarios"
 	"jaspersill/node"
 	"jaspersill/scheduler"
-	"jaspersill/start"
+	"jaspersill/settings"
 )
 
 // BenchmarkNodeUnderLoad has a node in this process, so that its profiles show where its time and its memory
@@ -26,31 +26,31 @@
 		b.Fatal(err)
 	}
 	defer s.Close()
-	s.Anyone()
-	text, err := json.Marshal(Told(day, 0))
+	s.AcceptUnknownEvents()
+	text, err := json.Marshal(NodeSettings(day, 0))
 	if err != nil {
 		b.Fatal(err)
 	}
-	told, err := start.JSON(text)
+	told, err := settings.ParseJSON(text)
 	if err != nil {
 		b.Fatal(err)
 	}
 	told.Directory.RequiresWatch = true
-	listen, err := free("tcp")
+	listen, err := freeAddress("tcp")
 	if err != nil {
 		b.Fatal(err)
 	}
 	module := scheduler.New(
 		1,
-		told.Types,
-		told.Partners,
-		told.Room,
+		told.StreamTypes,
+		told.DestinationKinds,
+		told.Limits,
 		told.Recovery,
 		told.Directory,
-		told.Fleet,
+		told.Cluster,
 		0,
 	)
-	n, err := node.Open(node.Config{Listen: listen, Directory: s.Directory(0), StateFolder: b.TempDir()},
+	n, err := node.Open(node.Config{Listen: listen, Directory: s.DirectoryAddress(0), StateFolder: b.TempDir()},
 		node.Limits{DiskMB: 64, Sockets: 4096}, node.ClientTimeouts{}, told, module)
 	if err != nil {
 		b.Fatal(err)
@@ -60,30 +60,30 @@
 	ended := make(chan error, 1)
 	go func() { ended <- n.Run(ctx) }()
 	time.Sleep(500 * time.Millisecond)
-	var mix []load.Request
+	var mix []loadgen.Request
 	var weights []float64
 	for i, t := range day.Types {
 		for dest := range day.DestinationKinds[0].Destinations {
 			mix = append(
 				mix,
-				load.Request{Kind: t.Name, Owner: "all", Dest: dest, Left: time.Duration(t.MaxAge),
-					Marked: t.Safety == "deduplicated", Body: make([]byte, 300)},
+				loadgen.Request{Kind: t.Name, Owner: "all", Dest: dest, Timeout: time.Duration(t.MaxAge),
+					HasIdempotencyKey: t.Safety == "deduplicated", Body: make([]byte, 300)},
 			)
 			weights = append(weights, float64(len(weights)+1+i))
 		}
 	}
 	const rate = 3000
 	b.ResetTimer()
-	plan := &load.Plan{
-		Address: listen,
-		Rate:    rate,
-		For:     time.Duration(float64(b.N) / rate * 1e9),
-		Conns:   64,
-		Mix:     mix,
-		Weights: weights,
-		Seed:    7,
+	plan := &loadgen.Plan{
+		Address:           listen,
+		Rate:              rate,
+		Duration:          time.Duration(float64(b.N) / rate * 1e9),
+		Connections:       64,
+		Mix:               mix,
+		CumulativeWeights: weights,
+		Seed:              7,
 	}
-	l, err := load.Run(context.Background(), plan)
+	l, err := loadgen.Run(context.Background(), plan)
 	b.StopTimer()
 	if err != nil {
 		b.Fatal(err)
--- a/lab/loopback/nodes.go
+++ b/lab/emulator/nodes.go
@@ -1,4 +1,4 @@
-package loopback
+package emulator
 
 import (
 	"context"
@@ -20,33 +20,33 @@
 )
 
 const (
-	readyMost = 20 * time.Second        // a node that does not serve by then failed to start
-	drainMost = 3700 * time.Millisecond // from SIGTERM to SIGKILL: the platform's
+	startTimeout = 20 * time.Second        // a node that does not serve by then failed to start
+	drainTimeout = 3700 * time.Millisecond // from SIGTERM to SIGKILL: the platform's
 )
 
 // Nodes are delivery nodes that run as processes beside a stage.
 type Nodes struct {
-	stage   *Stage
-	program string
-	folder  string
-	list    []*process
+	emulator  *Emulator
+	program   string
+	folder    string
+	processes []*process
 }
 
 // process is one delivery node.
 type process struct {
-	name, listen, peer, state, config string
+	name, address, peerAddress, stateFolder, configFile string
 
 	mu      sync.Mutex
-	command *exec.Cmd
-	ended   chan struct{}
-	up      bool
+	cmd     *exec.Cmd
+	exited  chan struct{}
+	serving bool
 	stopped bool
 }
 
-// free finds an address of the loopback that nobody listens on. Danger: until the node listens there, a
+// freeAddress finds an address of the loopback that nobody listens on. Danger: until the node listens there, a
 // connection that goes out from 127.0.0.1 may be given the same port; so another address of the loopback is
 // taken where the system has them all.
-func free(network string) (string, error) {
+func freeAddress(network string) (string, error) {
 	ip := net.IPv4(127, byte(1+rand.IntN(250)), byte(rand.IntN(256)), byte(1+rand.IntN(250)))
 	for _, at := range []string{net.JoinHostPort(ip.String(), "0"), "127.0.0.1:0"} {
 		if network == "udp" {
@@ -62,52 +62,52 @@
 	return "", errors.New("no address of the loopback is free")
 }
 
-// Configure writes the configuration of each of a scenario's nodes into a folder, and makes their state
+// ConfigureNodes writes the configuration of each of a scenario's nodes into a folder, and makes their state
 // folders. memory in MB and cores are told to each, 0 for no limit; listen is where the first one's clients
 // connect, or empty.
-func Configure(s *Stage, folder, listen string, memory, cores float64) (*Nodes, error) {
-	n := &Nodes{stage: s, folder: folder}
+func ConfigureNodes(s *Emulator, folder, listen string, memory, cores float64) (*Nodes, error) {
+	n := &Nodes{emulator: s, folder: folder}
 	var peers, relays []string
-	for i := range s.day.Fleet.Nodes {
-		p := &process{name: "n" + strconv.Itoa(i), listen: listen}
+	for i := range s.scenario.Fleet.Nodes {
+		p := &process{name: "n" + strconv.Itoa(i), address: listen}
 		var err error
 		if i > 0 || listen == "" {
-			p.listen, err = free("tcp")
+			p.address, err = freeAddress("tcp")
 		}
 		if err == nil {
-			p.peer, err = free("udp")
+			p.peerAddress, err = freeAddress("udp")
 		}
 		if err != nil {
 			return nil, err
 		}
-		peers = append(peers, p.peer)
-		n.list = append(n.list, p)
+		peers = append(peers, p.peerAddress)
+		n.processes = append(n.processes, p)
 	}
-	for i := range n.list {
-		if s.day.Fleet.PeerMessages && len(peers) > 1 {
-			address, err := s.relay(i, peers)
+	for i := range n.processes {
+		if s.scenario.Fleet.PeerMessages && len(peers) > 1 {
+			address, err := s.relayPeerMessages(i, peers)
 			if err != nil {
 				return nil, err
 			}
 			relays = append(relays, address)
 		}
 	}
-	for i, p := range n.list {
-		p.state = filepath.Join(folder, p.name)
-		p.config = filepath.Join(folder, p.name+".json")
-		if err := os.MkdirAll(p.state, 0o755); err != nil {
+	for i, p := range n.processes {
+		p.stateFolder = filepath.Join(folder, p.name)
+		p.configFile = filepath.Join(folder, p.name+".json")
+		if err := os.MkdirAll(p.stateFolder, 0o755); err != nil {
 			return nil, err
 		}
-		told := map[string]any{"name": p.name, "listen": p.listen, "discovery": s.Directory(i),
+		told := map[string]any{"name": p.name, "listen": p.address, "discovery": s.DirectoryAddress(i),
 			"seed":   fmt.Sprintf("%016x", rand.Uint64()),
 			"limits": map[string]any{"cores": cores, "memory_mb": memory, "sockets": 8192, "disk_mb": 64},
-			"known":  map[string]any{"seq": 0, "whole": true, "hosts": []any{}}, "settings": Told(s.day, i)}
+			"known":  map[string]any{"seq": 0, "whole": true, "hosts": []any{}}, "settings": NodeSettings(s.scenario, i)}
 		if len(relays) > 0 {
-			told["peer_listen"], told["peers"], told["peers_all"] = p.peer, relays, relays[i]
+			told["peer_listen"], told["peers"], told["peers_all"] = p.peerAddress, relays, relays[i]
 		}
 		text, err := json.MarshalIndent(told, "", " ")
 		if err == nil {
-			err = os.WriteFile(p.config, text, 0o600)
+			err = os.WriteFile(p.configFile, text, 0o600)
 		}
 		if err != nil {
 			return nil, err
@@ -119,14 +119,14 @@
 // Start starts the configured nodes as processes of a program and waits until all serve.
 func (n *Nodes) Start(ctx context.Context, program string) error {
 	n.program = program
-	for i := range n.list {
-		if err := n.start(i); err != nil {
+	for i := range n.processes {
+		if err := n.startProcess(i); err != nil {
 			n.Stop()
 			return err
 		}
 	}
-	for i := range n.list {
-		if err := n.ready(ctx, i); err != nil {
+	for i := range n.processes {
+		if err := n.waitReady(ctx, i); err != nil {
 			n.Stop()
 			return err
 		}
@@ -134,8 +134,8 @@
 	return nil
 }
 
-// Told is what a node is told of a scenario, in the platform's names.
-func Told(day *scenario.Scenario, me int) map[string]any {
+// NodeSettings is what a node is told of a scenario, in the platform's names.
+func NodeSettings(day *scenario.Scenario, me int) map[string]any {
 	ms := func(s scenario.Duration) float64 { return float64(s) / 1e6 }
 	var services, projects []any
 	for _, t := range day.Types {
@@ -191,9 +191,9 @@
 	}
 }
 
-// start starts one node's process.
-func (n *Nodes) start(i int) error {
-	p := n.list[i]
+// startProcess starts one node's process.
+func (n *Nodes) startProcess(i int) error {
+	p := n.processes[i]
 	log, err := os.OpenFile(
 		filepath.Join(n.folder, p.name+".log"),
 		os.O_CREATE|os.O_APPEND|os.O_WRONLY,
@@ -204,7 +204,7 @@
 	}
 	defer log.Close()
 	c := exec.Command(n.program, "serve")
-	c.Env = append(os.Environ(), "RELAY_CONFIG="+p.config, "RELAY_STATE="+p.state)
+	c.Env = append(os.Environ(), "RELAY_CONFIG="+p.configFile, "RELAY_STATE="+p.stateFolder)
 	c.Stdout, c.Stderr = log, log
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -215,7 +215,7 @@
 		return err
 	}
 	ended := make(chan struct{})
-	p.command, p.ended = c, ended
+	p.cmd, p.exited = c, ended
 	go func() {
 		c.Wait()
 		close(ended)
@@ -223,22 +223,22 @@
 	return nil
 }
 
-// ready waits until a node serves.
-func (n *Nodes) ready(ctx context.Context, i int) error {
-	p := n.list[i]
+// waitReady waits until a node serves.
+func (n *Nodes) waitReady(ctx context.Context, i int) error {
+	p := n.processes[i]
 	p.mu.Lock()
-	ended := p.ended
+	ended := p.exited
 	p.mu.Unlock()
-	for end := time.Now().Add(readyMost); time.Now().Before(end); {
-		if r, err := http.Get("http://" + p.listen + "/up"); err == nil {
+	for end := time.Now().Add(startTimeout); time.Now().Before(end); {
+		if r, err := http.Get("http://" + p.address + "/up"); err == nil {
 			r.Body.Close()
 			if r.StatusCode == http.StatusOK {
 				p.mu.Lock()
-				p.up = true
+				p.serving = true
 				p.mu.Unlock()
-				n.stage.mu.Lock()
-				n.stage.ledger.RecordNodeServing(n.stage.now(), int32(i))
-				n.stage.mu.Unlock()
+				n.emulator.mu.Lock()
+				n.emulator.checker.RecordNodeServing(n.emulator.now(), int32(i))
+				n.emulator.mu.Unlock()
 				return nil
 			}
 		}
@@ -250,17 +250,19 @@
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
-	return fmt.Errorf("%s does not serve after %v", p.name, readyMost)
+	return fmt.Errorf("%s does not serve after %v", p.name, startTimeout)
 }
 
 // Files are a node's configuration and its state folder.
-func (n *Nodes) Files(i int) (config, state string) { return n.list[i].config, n.list[i].state }
+func (n *Nodes) Files(i int) (config, state string) {
+	return n.processes[i].configFile, n.processes[i].stateFolder
+}
 
-// Up lists the nodes that serve.
-func (n *Nodes) Up() (up []int) {
-	for i, p := range n.list {
+// Serving lists the nodes that serve.
+func (n *Nodes) Serving() (up []int) {
+	for i, p := range n.processes {
 		p.mu.Lock()
-		if p.up {
+		if p.serving {
 			up = append(up, i)
 		}
 		p.mu.Unlock()
@@ -269,81 +271,81 @@
 }
 
 // Address is where a node's clients connect.
-func (n *Nodes) Address(i int) string { return n.list[i].listen }
+func (n *Nodes) Address(i int) string { return n.processes[i].address }
 
-// Pid is a node's process.
-func (n *Nodes) Pid(i int) int {
-	p := n.list[i]
+// PID is a node's process.
+func (n *Nodes) PID(i int) int {
+	p := n.processes[i]
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.command.Process.Pid
+	return p.cmd.Process.Pid
 }
 
-// down marks a node as one that clients do not go to.
-func (n *Nodes) down(i int) (*exec.Cmd, chan struct{}) {
-	p := n.list[i]
+// markDown marks a node as one that clients do not go to.
+func (n *Nodes) markDown(i int) (*exec.Cmd, chan struct{}) {
+	p := n.processes[i]
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.up = false
-	return p.command, p.ended
+	p.serving = false
+	return p.cmd, p.exited
 }
 
-// again starts a node that ended, after the day's restart time.
-func (n *Nodes) again(i int) {
-	time.AfterFunc(time.Duration(n.stage.day.Fleet.RestartTime), func() {
-		if err := n.start(i); err != nil {
-			n.stage.tell("%s does not start again: %v", n.list[i].name, err)
+// restart starts a node that ended, after the day's restart time.
+func (n *Nodes) restart(i int) {
+	time.AfterFunc(time.Duration(n.emulator.scenario.Fleet.RestartTime), func() {
+		if err := n.startProcess(i); err != nil {
+			n.emulator.logf("%s does not start again: %v", n.processes[i].name, err)
 			return
 		}
-		if err := n.ready(context.Background(), i); err != nil {
-			n.stage.tell("%v", err)
+		if err := n.waitReady(context.Background(), i); err != nil {
+			n.emulator.logf("%v", err)
 		}
 	})
 }
 
-// died tells the ledger that a node's process is gone.
-func (n *Nodes) died(i int) {
-	n.stage.mu.Lock()
-	defer n.stage.mu.Unlock()
-	n.stage.ledger.RecordNodeDied(n.stage.now(), int32(i))
+// recordDeath tells the ledger that a node's process is gone.
+func (n *Nodes) recordDeath(i int) {
+	n.emulator.mu.Lock()
+	defer n.emulator.mu.Unlock()
+	n.emulator.checker.RecordNodeDied(n.emulator.now(), int32(i))
 }
 
 // Kill ends a node's process at once; it starts again.
 func (n *Nodes) Kill(i int) {
-	c, ended := n.down(i)
-	n.stage.mu.Lock()
-	n.stage.ledger.RecordNodeStopping(int32(i))
-	n.stage.mu.Unlock()
+	c, ended := n.markDown(i)
+	n.emulator.mu.Lock()
+	n.emulator.checker.RecordNodeStopping(int32(i))
+	n.emulator.mu.Unlock()
 	c.Process.Kill()
 	<-ended
-	n.died(i)
-	n.again(i)
+	n.recordDeath(i)
+	n.restart(i)
 }
 
 // Drain asks a node to stop, and starts it again.
 func (n *Nodes) Drain(i int) {
-	c, ended := n.down(i)
-	n.stage.mu.Lock()
-	n.stage.ledger.RecordNodeStopping(int32(i))
-	n.stage.mu.Unlock()
+	c, ended := n.markDown(i)
+	n.emulator.mu.Lock()
+	n.emulator.checker.RecordNodeStopping(int32(i))
+	n.emulator.mu.Unlock()
 	c.Process.Signal(syscall.SIGTERM)
 	go func() {
 		select {
 		case <-ended:
-		case <-time.After(drainMost):
+		case <-time.After(drainTimeout):
 			c.Process.Kill()
 			<-ended
 		}
-		n.died(i)
-		n.again(i)
+		n.recordDeath(i)
+		n.restart(i)
 	}()
 }
 
 // Freeze has a node stand still for a time.
 func (n *Nodes) Freeze(i int, long time.Duration) {
-	p := n.list[i]
+	p := n.processes[i]
 	p.mu.Lock()
-	c := p.command
+	c := p.cmd
 	p.mu.Unlock()
 	c.Process.Signal(syscall.SIGSTOP)
 	time.AfterFunc(long, func() { c.Process.Signal(syscall.SIGCONT) })
@@ -351,10 +353,10 @@
 
 // Stop ends all nodes that this has started.
 func (n *Nodes) Stop() {
-	for _, p := range n.list {
+	for _, p := range n.processes {
 		p.mu.Lock()
-		p.stopped, p.up = true, false
-		c, ended := p.command, p.ended
+		p.stopped, p.serving = true, false
+		c, ended := p.cmd, p.exited
 		p.mu.Unlock()
 		if c == nil {
 			continue
@@ -363,16 +365,16 @@
 		c.Process.Signal(syscall.SIGTERM)
 		select {
 		case <-ended:
-		case <-time.After(drainMost):
+		case <-time.After(drainTimeout):
 			c.Process.Kill()
 			<-ended
 		}
 	}
 }
 
-// relay passes the notes of one node on to the others, or loses them, as the network of the day does. What a
+// relayPeerMessages passes the notes of one node on to the others, or loses them, as the network of the day does. What a
 // node sends to the address returned comes to its peers from there, which is how they know the sender.
-func (s *Stage) relay(from int, to []string) (string, error) {
+func (s *Emulator) relayPeerMessages(from int, to []string) (string, error) {
 	c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return "", err
@@ -402,10 +404,10 @@
 			}
 			for _, at := range peers {
 				s.mu.Lock()
-				lost := s.chance.Float64() < s.day.Fleet.PeerMessageLoss
-				for _, i := range s.troubles {
+				lost := s.random.Float64() < s.scenario.Fleet.PeerMessageLoss
+				for _, i := range s.activeFaults {
 					lost = lost ||
-						(s.day.Faults[i].Kind == "notes-lost" && s.chance.Float64() < s.day.Faults[i].Share)
+						(s.scenario.Faults[i].Kind == "notes-lost" && s.random.Float64() < s.scenario.Faults[i].Share)
 				}
 				s.mu.Unlock()
 				if !lost && err == nil {
--- a/lab/loopback/wire.go
+++ b/lab/emulator/protocol.go
@@ -1,4 +1,4 @@
-package loopback
+package emulator
 
 import (
 	"bufio"
@@ -15,56 +15,56 @@
 	"github.com/valyala/fasthttp"
 
 	"jaspersill/delivery"
-	"jaspersill/lab/partner"
+	"jaspersill/lab/destination"
 )
 
-// request is one call of one event or of several.
-type request struct {
+// callRequest is one call of one event or of several.
+type callRequest struct {
 	ids  []string
 	bulk bool
 }
 
-var errCall = errors.New("not a call")
+var errInvalidCall = errors.New("not a call")
 
 // readCall reads a call as an endpoint does.
-func readCall(in *bufio.Reader) (*request, error) {
+func readCall(in *bufio.Reader) (*callRequest, error) {
 	var r fasthttp.Request
-	if err := r.ReadLimitBody(in, readMost+4096); err != nil {
+	if err := r.ReadLimitBody(in, maxBodySize+4096); err != nil {
 		return nil, err
 	}
 	switch string(r.URI().Path()) {
 	case "/inbox":
 		id := string(r.Header.Peek("Req-Id"))
 		if id == "" {
-			return nil, errCall
+			return nil, errInvalidCall
 		}
-		return &request{ids: []string{id}}, nil
+		return &callRequest{ids: []string{id}}, nil
 	case "/inbox/bulk":
-		q := &request{bulk: true}
+		q := &callRequest{bulk: true}
 		body := r.Body()
 		for len(body) > 0 {
 			line, rest, ok := bytes.Cut(body, []byte("\r\n"))
 			words := strings.Fields(string(line))
 			if !ok || len(words) != 3 {
-				return nil, errCall
+				return nil, errInvalidCall
 			}
 			size, err := strconv.Atoi(words[2])
 			if err != nil || size < 0 || size+2 > len(rest) {
-				return nil, errCall
+				return nil, errInvalidCall
 			}
 			q.ids = append(q.ids, words[0])
 			body = rest[size+2:]
 		}
 		if len(q.ids) == 0 {
-			return nil, errCall
+			return nil, errInvalidCall
 		}
 		return q, nil
 	}
-	return nil, errCall
+	return nil, errInvalidCall
 }
 
-// open tells whether the other side still holds the connection open, and has sent nothing.
-func open(c net.Conn, in *bufio.Reader) bool {
+// stillOpen tells whether the other side still holds the connection stillOpen, and has sent nothing.
+func stillOpen(c net.Conn, in *bufio.Reader) bool {
 	c.SetReadDeadline(time.Now().Add(50 * time.Microsecond))
 	_, err := in.Peek(1)
 	return errors.Is(err, os.ErrDeadlineExceeded)
@@ -81,13 +81,13 @@
 	return err
 }
 
-// answer writes a call's answer; false ends the connection.
-func answer(c net.Conn, r *request, f partner.Fate) bool {
+// writeAnswer writes a call's writeAnswer; false ends the connection.
+func writeAnswer(c net.Conn, r *callRequest, f destination.CallResult) bool {
 	heads := ""
 	if f.Limit > 0 {
-		heads = fmt.Sprintf("Srv-Load: x0=%.3f,x1=%g\r\n", f.Left, f.Limit)
+		heads = fmt.Sprintf("Srv-Load: x0=%.3f,x1=%g\r\n", f.LimitLeft, f.Limit)
 	}
-	switch f.How {
+	switch f.Outcome {
 	case delivery.Acked:
 		if !r.bulk {
 			return writeStatus(c, 200, heads) == nil
@@ -107,8 +107,8 @@
 	case delivery.Errored:
 		return writeStatus(c, 500, heads) == nil
 	case delivery.Refused:
-		if f.Wait > 0 {
-			return writeStatus(c, 429, heads+fmt.Sprintf("Retry-After: %.3f\r\n", float64(f.Wait)/1e9)) == nil
+		if f.RetryAfter > 0 {
+			return writeStatus(c, 429, heads+fmt.Sprintf("Retry-After: %.3f\r\n", float64(f.RetryAfter)/1e9)) == nil
 		}
 		return writeStatus(c, 503, heads) == nil
 	case delivery.Unreadable:
@@ -116,6 +116,6 @@
 		time.Sleep(time.Second)
 		return false
 	}
-	reset(c)
+	resetConnection(c)
 	return false
 }
--- a/lab/faultproxy/datagrams.go
+++ b/lab/faultproxy/datagrams.go
@@ -9,8 +9,8 @@
 
 const maxDatagram = 2048
 
-// Datagrams forwards the datagrams of one sender to all receivers, from an address that stands for that sender.
-type Datagrams struct {
+// DatagramProxy forwards the datagrams of one sender to all receivers, from an address that stands for that sender.
+type DatagramProxy struct {
 	socket *net.UDPConn
 
 	mu        sync.Mutex
@@ -21,38 +21,38 @@
 }
 
 // ListenDatagrams opens a forwarder for one sender on loopback.
-func ListenDatagrams(seed uint64) (*Datagrams, error) {
+func ListenDatagrams(seed uint64) (*DatagramProxy, error) {
 	socket, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return nil, err
 	}
-	d := &Datagrams{socket: socket, random: rand.New(rand.NewPCG(seed, 0xda7a))}
+	d := &DatagramProxy{socket: socket, random: rand.New(rand.NewPCG(seed, 0xda7a))}
 	go d.run()
 	return d, nil
 }
 
 // Address is where the sender sends to, and what receivers know it by.
-func (d *Datagrams) Address() string { return d.socket.LocalAddr().String() }
+func (d *DatagramProxy) Address() string { return d.socket.LocalAddr().String() }
 
-// SendTo has all that comes go to these receivers from now on.
-func (d *Datagrams) SendTo(receivers []*net.UDPAddr) {
+// SetReceivers has all that comes go to these receivers from now on.
+func (d *DatagramProxy) SetReceivers(receivers []*net.UDPAddr) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.receivers = receivers
 }
 
-// Disturb has a share of the datagrams repeated, and as many dropped; delays are drawn up to most, so that later ones
+// SetFaults has a share of the datagrams repeated, and as many dropped; delays are drawn up to most, so that later ones
 // overtake.
-func (d *Datagrams) Disturb(share float64, most time.Duration) {
+func (d *DatagramProxy) SetFaults(share float64, most time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.share, d.most = share, most
 }
 
 // Close ends the forwarding.
-func (d *Datagrams) Close() { d.socket.Close() }
+func (d *DatagramProxy) Close() { d.socket.Close() }
 
-func (d *Datagrams) run() {
+func (d *DatagramProxy) run() {
 	buffer := make([]byte, maxDatagram)
 	for {
 		n, _, err := d.socket.ReadFromUDP(buffer)
@@ -72,7 +72,7 @@
 }
 
 // delays draws when copies of a datagram go out: none for one that is dropped.
-func (d *Datagrams) delays() (list []time.Duration) {
+func (d *DatagramProxy) delays() (list []time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delay := func() time.Duration {
--- a/lab/faultproxy/faultproxy.go
+++ b/lab/faultproxy/faultproxy.go
@@ -24,39 +24,41 @@
 
 // The kinds of faults.
 const (
-	Repeat   Kind = "repeat"   // the piece goes out a second time, after the delay
-	Hold     Kind = "hold"     // the piece goes out after the delay, and so do those behind it
-	Split    Kind = "split"    // the piece goes out in two, the second after the delay
-	Merge    Kind = "merge"    // the piece waits for the next one for as long as the delay, and goes out with it
-	Truncate Kind = "truncate" // only a part of the piece goes out, and the direction ends
-	Drip     Kind = "drip"     // the piece goes out byte by byte, over the delay
-	Alter    Kind = "alter"    // a byte of the piece is changed
-	Reset    Kind = "reset"    // the connection is reset in place of the piece
-	EndOne   Kind = "end-one"  // the piece goes out, and then the direction ends while the other goes on
+	Repeat    Kind = "repeat"   // the piece goes out a second time, after the delay
+	Hold      Kind = "hold"     // the piece goes out after the delay, and so do those behind it
+	Split     Kind = "split"    // the piece goes out in two, the second after the delay
+	Merge     Kind = "merge"    // the piece waits for the next one for as long as the delay, and goes out with it
+	Truncate  Kind = "truncate" // only a part of the piece goes out, and the direction ends
+	Drip      Kind = "drip"     // the piece goes out byte by byte, over the delay
+	Alter     Kind = "alter"    // a byte of the piece is changed
+	Reset     Kind = "reset"    // the connection is reset in place of the piece
+	HalfClose Kind = "end-one"  // the piece goes out, and then the direction ends while the other goes on
 )
 
 // Kinds lists the kinds of faults.
-func Kinds() []Kind { return []Kind{Repeat, Hold, Split, Merge, Truncate, Drip, Alter, Reset, EndOne} }
+func Kinds() []Kind {
+	return []Kind{Repeat, Hold, Split, Merge, Truncate, Drip, Alter, Reset, HalfClose}
+}
 
 // Direction is a direction of a connection, seen from the side that connects.
 type Direction uint8
 
 // The directions.
 const (
-	Requests Direction = iota // from the connecting side to the target
-	Answers                   // from the target
+	Requests  Direction = iota // from the connecting side to the target
+	Responses                  // from the target
 )
 
 // Fault is one kind of fault and when it strikes.
 type Fault struct {
-	Kind        Kind
-	Direction   Direction
-	Share       float64       // of the pieces, 0 to 1
-	Least, Most time.Duration // the delay is drawn from this range
-	Until       time.Time     // the fault ends then; zero for never
-
-	// After strikes only from this piece of a connection's direction on, counted from 1; 0 for any.
-	After int
+	Kind               Kind
+	Direction          Direction
+	Probability        float64       // of the pieces, 0 to 1
+	MinDelay, MaxDelay time.Duration // the delay is drawn from this range
+	Until              time.Time     // the fault ends then; zero for never
+
+	// FirstChunk strikes only from this piece of a connection's direction on, counted from 1; 0 for any.
+	FirstChunk int
 }
 
 // maxPiece is the most that one read takes: a request or an answer of the largest size goes through in one piece.
@@ -99,22 +101,22 @@
 	p.faults = append(p.faults, f)
 }
 
-// SeenAs finds an open connection by the address from which the target sees it, nil for none.
-func (p *Proxy) SeenAs(address net.Addr) *Connection {
+// ConnToTarget finds an open connection by the address from which the target sees it, nil for none.
+func (p *Proxy) ConnToTarget(address net.Addr) *Connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.seen[address.String()]
 }
 
-// From finds the newest connection by its client's address. It is nil for one that the target has not taken.
-func (p *Proxy) From(address net.Addr) *Connection {
+// ConnFromClient finds the newest connection by its client's address. It is nil for one that the target has not taken.
+func (p *Proxy) ConnFromClient(address net.Addr) *Connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.from[address.String()]
 }
 
-// Struck is how many pieces faults have struck.
-func (p *Proxy) Struck() int {
+// FaultCount is how many pieces faults have struck.
+func (p *Proxy) FaultCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.struck
@@ -159,7 +161,7 @@
 	}
 	var directions sync.WaitGroup
 	directions.Go(func() { (&stream{connection: c, direction: Requests, from: c.near, to: c.far}).run() })
-	directions.Go(func() { (&stream{connection: c, direction: Answers, from: c.far, to: c.near}).run() })
+	directions.Go(func() { (&stream{connection: c, direction: Responses, from: c.far, to: c.near}).run() })
 	directions.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -189,13 +191,13 @@
 	defer p.mu.Unlock()
 	now := time.Now()
 	for _, f := range p.faults {
-		if f.Direction != d || piece < f.After || (!f.Until.IsZero() && now.After(f.Until)) || p.random.Float64() >= f.Share {
+		if f.Direction != d || piece < f.FirstChunk || (!f.Until.IsZero() && now.After(f.Until)) || p.random.Float64() >= f.Probability {
 			continue
 		}
 		p.struck++
-		delay = f.Least
-		if f.Most > f.Least {
-			delay += time.Duration(p.random.Int64N(int64(f.Most - f.Least)))
+		delay = f.MinDelay
+		if f.MaxDelay > f.MinDelay {
+			delay += time.Duration(p.random.Int64N(int64(f.MaxDelay - f.MinDelay)))
 		}
 		return f, delay, true
 	}
@@ -303,7 +305,7 @@
 	case Reset:
 		s.connection.reset()
 		return false
-	case EndOne:
+	case HalfClose:
 		s.write(piece)
 		s.end()
 		return false
@@ -356,7 +358,7 @@
 		s.connection.reset()
 		return false
 	}
-	if s.direction == Answers && s.connection.requestsEnded.Load() && isReset(s.to) {
+	if s.direction == Responses && s.connection.requestsEnded.Load() && isReset(s.to) {
 		s.connection.reset() // the client has closed: the answer reached nobody
 		return false
 	}
--- a/lab/faultproxy/faultproxy_test.go
+++ b/lab/faultproxy/faultproxy_test.go
@@ -12,16 +12,16 @@
 func TestEachFaultDoesWhatItSays(t *testing.T) {
 	const sent = "0123456789"
 	for kind, want := range map[Kind]func(got []byte) bool{
-		"":       func(got []byte) bool { return string(got) == sent },
-		Repeat:   func(got []byte) bool { return string(got) == sent+sent },
-		Hold:     func(got []byte) bool { return string(got) == sent },
-		Split:    func(got []byte) bool { return string(got) == sent },
-		Merge:    func(got []byte) bool { return string(got) == sent },
-		Drip:     func(got []byte) bool { return string(got) == sent },
-		EndOne:   func(got []byte) bool { return string(got) == sent },
-		Truncate: func(got []byte) bool { return len(got) < len(sent) && bytes.HasPrefix([]byte(sent), got) },
-		Alter:    func(got []byte) bool { return len(got) == len(sent) && string(got) != sent },
-		Reset:    func(got []byte) bool { return len(got) == 0 },
+		"":        func(got []byte) bool { return string(got) == sent },
+		Repeat:    func(got []byte) bool { return string(got) == sent+sent },
+		Hold:      func(got []byte) bool { return string(got) == sent },
+		Split:     func(got []byte) bool { return string(got) == sent },
+		Merge:     func(got []byte) bool { return string(got) == sent },
+		Drip:      func(got []byte) bool { return string(got) == sent },
+		HalfClose: func(got []byte) bool { return string(got) == sent },
+		Truncate:  func(got []byte) bool { return len(got) < len(sent) && bytes.HasPrefix([]byte(sent), got) },
+		Alter:     func(got []byte) bool { return len(got) == len(sent) && string(got) != sent },
+		Reset:     func(got []byte) bool { return len(got) == 0 },
 	} {
 		target, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -42,7 +42,7 @@
 			t.Fatal(err)
 		}
 		if kind != "" {
-			p.Add(Fault{Kind: kind, Direction: Answers, Share: 1, Least: 5 * time.Millisecond, Most: 10 * time.Millisecond})
+			p.Add(Fault{Kind: kind, Direction: Responses, Probability: 1, MinDelay: 5 * time.Millisecond, MaxDelay: 10 * time.Millisecond})
 		}
 		conn, err := net.Dial("tcp", p.Address())
 		if err != nil {
@@ -53,7 +53,7 @@
 		if !want(got) {
 			t.Errorf("%q: got %q", kind, got)
 		}
-		if disturbed := p.From(conn.LocalAddr()).Disturbed(); disturbed != (kind != "") {
+		if disturbed := p.ConnFromClient(conn.LocalAddr()).Disturbed(); disturbed != (kind != "") {
 			t.Errorf("%q: disturbed: %v", kind, disturbed)
 		}
 		conn.Close()
@@ -74,8 +74,8 @@
 		t.Fatal(err)
 	}
 	defer d.Close()
-	d.SendTo([]*net.UDPAddr{receiver.LocalAddr().(*net.UDPAddr)})
-	d.Disturb(0.5, time.Millisecond)
+	d.SetReceivers([]*net.UDPAddr{receiver.LocalAddr().(*net.UDPAddr)})
+	d.SetFaults(0.5, time.Millisecond)
 	sender, err := net.Dial("udp", d.Address())
 	if err != nil {
 		t.Fatal(err)
--- a/lab/load/knee.go
+++ b/lab/loadgen/knee.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"context"
@@ -8,38 +8,38 @@
 	"jaspersill/lab/report"
 )
 
-func sqrt(x float64) float64 { return math.Sqrt(max(0, x)) }
+func nonNegativeSqrt(x float64) float64 { return math.Sqrt(max(0, x)) }
 
 const (
-	kneeClose = 1.05 // the search ends when the rates that hold and that do not are so close
-	kneeMost  = 40   // steps at most
-	kneeRest  = 500 * time.Millisecond
+	kneeTolerance = 1.05 // the search ends when the rates that hold and that do not are so close
+	kneeMaxSteps  = 40   // steps at most
+	kneePause     = 500 * time.Millisecond
 )
 
-// Holds tells whether a step of the search was borne: what was offered was sent, nothing failed or was
+// Sustained tells whether a step of the search was borne: what was offered was sent, nothing failed or was
 // declined, and p99 stayed under the bound.
-func Holds(l *report.Load, p99 time.Duration) bool {
+func Sustained(l *report.LoadResult, p99 time.Duration) bool {
 	return l.Failed == 0 && l.Declined == 0 && l.Sent > 0.98*l.Offered && l.Millis[2] <= float64(p99)/1e6
 }
 
-// Knee searches the highest rate that is borne with p99 under a bound: it doubles from the plan's rate until
+// FindKnee searches the highest rate that is borne with p99 under a bound: it doubles from the plan's rate until
 // one is not, and then halves the gap. All steps are returned; also is asked after each whether all else
 // holds, and may be nil.
-func Knee(
+func FindKnee(
 	ctx context.Context,
 	p Plan,
 	p99 time.Duration,
 	also func() bool,
-) (best float64, steps []report.Load, err error) {
+) (best float64, steps []report.LoadResult, err error) {
 	good, bad := 0.0, 0.0
-	for range kneeMost {
-		p.To = 0
+	for range kneeMaxSteps {
+		p.EndRate = 0
 		l, err := Run(ctx, &p)
 		if err != nil {
 			return good, steps, err
 		}
 		steps = append(steps, l)
-		if Holds(&l, p99) && (also == nil || also()) {
+		if Sustained(&l, p99) && (also == nil || also()) {
 			good = p.Rate
 		} else {
 			bad = p.Rate
@@ -51,15 +51,15 @@
 			return 0, steps, nil
 		case good == 0:
 			p.Rate = bad / 2
-		case bad/good <= kneeClose:
+		case bad/good <= kneeTolerance:
 			return good, steps, nil
 		default:
 			p.Rate = math.Sqrt(good * bad)
 		}
-		if p.Rate > mostRate {
+		if p.Rate > maxRate {
 			return good, steps, nil
 		}
-		time.Sleep(kneeRest)
+		time.Sleep(kneePause)
 	}
 	return good, steps, nil
 }
--- a/lab/policy/policy.go
+++ b/lab/policy/policy.go
@@ -287,7 +287,7 @@
 		}
 	}
 	careful := t.Safety == delivery.NonIdempotent && e.deadline-p.now > t.MaxAge/2
-	best := p.sim.Destinations().Best(p.now, e.dest, p.sim.WorkTime(p.node, evt), careful,
+	best := p.sim.Destinations().BestEndpoint(p.now, e.dest, p.sim.WorkTime(p.node, evt), careful,
 		func(ep int32) bool { return p.sim.HasIdleConnection(p.node, ep) })
 	if best < 0 {
 		return -1
--- a/lab/report/page.go
+++ b/lab/report/page.go
@@ -17,26 +17,26 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 
 	"jaspersill/lab/checker"
-	"jaspersill/lab/run"
+	"jaspersill/lab/runner"
 	"jaspersill/lab/scenario"
 )
 
 const (
-	chartWide = 22 * vg.Centimeter
-	chartHigh = 7 * vg.Centimeter
+	chartWidth  = 22 * vg.Centimeter
+	chartHeight = 7 * vg.Centimeter
 )
 
-var shade = color.NRGBA{R: 200, G: 80, B: 40, A: 36}
+var faultColor = color.NRGBA{R: 200, G: 80, B: 40, A: 36}
 
-// line is one line of a chart.
-type line struct {
+// series is one series of a chart.
+type series struct {
 	name   string
 	points plotter.XYs
 	dashed bool
 }
 
-// chart draws lines over the seconds of a run, with the troubles as shaded spans, as SVG.
-func chart(title, y string, day *scenario.Scenario, lines []line) (template.HTML, error) {
+// renderChart draws lines over the seconds of a run, with the troubles as shaded spans, as SVG.
+func renderChart(title, y string, day *scenario.Scenario, lines []series) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds of the run", y
 	p.Legend.Top, p.Legend.Left = true, true
@@ -62,7 +62,7 @@
 			if err != nil {
 				return "", err
 			}
-			box.Color, box.LineStyle.Width = shade, 0
+			box.Color, box.LineStyle.Width = faultColor, 0
 			p.Add(box)
 		}
 	}
@@ -82,7 +82,7 @@
 		p.Legend.Add(l.name, drawn)
 	}
 	p.X.Min, p.X.Max, p.Y.Min, p.Y.Max = 0, end, 0, top*1.15
-	c := vgsvg.New(chartWide, chartHigh)
+	c := vgsvg.New(chartWidth, chartHeight)
 	p.Draw(draw.New(c))
 	var b bytes.Buffer
 	if _, err := c.WriteTo(&b); err != nil {
@@ -95,34 +95,34 @@
 	return template.HTML(svg), nil
 }
 
-func points(seconds []run.Second, of func(*run.Second) float64) (xys plotter.XYs) {
+func secondSeries(seconds []runner.SecondStats, of func(*runner.SecondStats) float64) (xys plotter.XYs) {
 	for i := range seconds {
 		if v := of(&seconds[i]); !math.IsNaN(v) && !math.IsInf(v, 0) {
-			xys = append(xys, plotter.XY{X: float64(seconds[i].At), Y: v})
+			xys = append(xys, plotter.XY{X: float64(seconds[i].Start), Y: v})
 		}
 	}
 	return xys
 }
 
-// charts draws what the sets' detailed runs show.
-func (f *File) charts() (charts []template.HTML, err error) {
-	day, err := scenario.Read(scenarioName, []byte(f.Scenario), nil)
+// renderCharts draws what the sets' detailed runs show.
+func (f *File) renderCharts() (charts []template.HTML, err error) {
+	day, err := scenario.Read(scenarioFile, []byte(f.Scenario), nil)
 	if err != nil {
 		return nil, err
 	}
-	add := func(title, y string, lines []line) {
+	add := func(title, y string, lines []series) {
 		if err == nil {
 			var c template.HTML
-			if c, err = chart(title, y, day, lines); err == nil {
+			if c, err = renderChart(title, y, day, lines); err == nil {
 				charts = append(charts, c)
 			}
 		}
 	}
-	var utility []line
+	var utility []series
 	for _, s := range f.Sets {
 		if len(s.Results) > 0 && len(s.Results[0].Seconds) > 0 {
-			utility = append(utility, line{name: s.Name, points: points(s.Results[0].Seconds,
-				func(x *run.Second) float64 { return x.Utility })})
+			utility = append(utility, series{name: s.Name, points: secondSeries(s.Results[0].Seconds,
+				func(x *runner.SecondStats) float64 { return x.Utility })})
 		}
 	}
 	if len(utility) > 0 {
@@ -133,29 +133,29 @@
 			continue
 		}
 		seconds := s.Results[0].Seconds
-		var latency []line
-		for n, p := range run.Percentiles[:3] {
-			latency = append(latency, line{name: fmt.Sprintf("p%g", p), points: points(seconds,
-				func(x *run.Second) float64 { return x.Latency[n] })})
+		var latency []series
+		for n, p := range runner.Percentiles[:3] {
+			latency = append(latency, series{name: fmt.Sprintf("p%g", p), points: secondSeries(seconds,
+				func(x *runner.SecondStats) float64 { return x.LatencyMs[n] })})
 		}
 		add(s.Name+": time from the asking to the delivery", "ms", latency)
-		var outcomes []line
+		var outcomes []series
 		for n, name := range checker.OutcomeNames {
-			l := line{
+			l := series{
 				name:   name,
-				points: points(seconds, func(x *run.Second) float64 { return float64(x.Outcomes[n]) }),
+				points: secondSeries(seconds, func(x *runner.SecondStats) float64 { return float64(x.Outcomes[n]) }),
 			}
-			if has(l.points) {
+			if anyPositive(l.points) {
 				outcomes = append(outcomes, l)
 			}
 		}
 		add(s.Name+": sends by outcome", "a second", outcomes)
-		var load []line
+		var load []series
 		for n, p := range day.DestinationKinds {
-			load = append(load, line{name: p.Name + " offered", points: points(seconds,
-				func(x *run.Second) float64 { return float64(x.Offered[n]) })})
-			if refused := (line{name: p.Name + " refused", points: points(seconds,
-				func(x *run.Second) float64 { return float64(x.Refused[n]) })}); has(refused.points) {
+			load = append(load, series{name: p.Name + " offered", points: secondSeries(seconds,
+				func(x *runner.SecondStats) float64 { return float64(x.Offered[n]) })})
+			if refused := (series{name: p.Name + " refused", points: secondSeries(seconds,
+				func(x *runner.SecondStats) float64 { return float64(x.Refused[n]) })}); anyPositive(refused.points) {
 				load = append(load, refused)
 			}
 			if p.Limit > 0 {
@@ -163,30 +163,30 @@
 				if p.LimitPerEndpoint {
 					most *= float64(p.Endpoints)
 				}
-				load = append(load, line{name: p.Name + " limit", dashed: true, points: points(seconds,
-					func(*run.Second) float64 { return most })})
+				load = append(load, series{name: p.Name + " limit", dashed: true, points: secondSeries(seconds,
+					func(*runner.SecondStats) float64 { return most })})
 			}
 		}
 		add(s.Name+": calls offered to each kind of partner, beside its limit", "calls a second", load)
 	}
 	if len(f.Loads) > 0 {
-		var lines []line
-		for n, p := range run.Percentiles {
-			l := line{name: fmt.Sprintf("p%g", p)}
+		var lines []series
+		for n, p := range runner.Percentiles {
+			l := series{name: fmt.Sprintf("p%g", p)}
 			for _, at := range f.Loads {
 				l.points = append(l.points, plotter.XY{X: at.Offered, Y: at.Millis[n]})
 			}
 			lines = append(lines, l)
 		}
 		var c template.HTML
-		if c, err = chart("Latency by offered events a second (on the x axis)", "ms", nil, lines); err == nil {
+		if c, err = renderChart("Latency by offered events a second (on the x axis)", "ms", nil, lines); err == nil {
 			charts = append(charts, c)
 		}
 	}
 	return charts, err
 }
 
-func has(xys plotter.XYs) bool {
+func anyPositive(xys plotter.XYs) bool {
 	for _, xy := range xys {
 		if xy.Y > 0 {
 			return true
@@ -198,13 +198,13 @@
 //go:embed page.html
 var pageHTML string
 
-var pageText = template.Must(template.New("page").Funcs(template.FuncMap{
+var pageTemplate = template.Must(template.New("page").Funcs(template.FuncMap{
 	"f3":   func(v float64) string { return fmt.Sprintf("%.3f", v) },
 	"when": func(t time.Time) string { return t.Format("2006-01-02 15:04:05 UTC") },
-	"mean": func(results []run.Result, what string) string {
+	"mean": func(results []runner.Result, what string) string {
 		total := 0.0
 		for i := range results {
-			s := &results[i].Sum
+			s := &results[i].Summary
 			switch what {
 			case "whole":
 				total += s.Overall
@@ -215,9 +215,9 @@
 			case "waste":
 				total += s.Waste
 			case "p50":
-				total += results[i].Latency[0]
+				total += results[i].LatencyMs[0]
 			case "p99":
-				total += results[i].Latency[2]
+				total += results[i].LatencyMs[2]
 			case "acked":
 				total += float64(s.Acked)
 			case "declined":
@@ -230,18 +230,18 @@
 	},
 }).Parse(pageHTML))
 
-// page is the report as one HTML page that needs nothing else.
-func (f *File) page() ([]byte, error) {
-	charts, err := f.charts()
+// renderPage is the report as one HTML renderPage that needs nothing else.
+func (f *File) renderPage() ([]byte, error) {
+	charts, err := f.renderCharts()
 	if err != nil {
 		return nil, err
 	}
-	day, err := scenario.Read(scenarioName, []byte(f.Scenario), nil)
+	day, err := scenario.Read(scenarioFile, []byte(f.Scenario), nil)
 	if err != nil {
 		return nil, err
 	}
 	var b bytes.Buffer
-	err = pageText.Execute(&b, map[string]any{"File": f, "Charts": charts, "Title": f.Kind + " " + day.Name,
+	err = pageTemplate.Execute(&b, map[string]any{"File": f, "Charts": charts, "Title": f.Kind + " " + day.Name,
 		"Hard": "Hard for: " + day.Challenge})
 	return b.Bytes(), err
 }
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"jaspersill/lab/checker"
-	"jaspersill/lab/run"
+	"jaspersill/lab/runner"
 	"jaspersill/lab/scenario"
 	"jaspersill/lab/stat"
 )
@@ -22,13 +22,13 @@
 // Version is the version of result.json; a file of another is refused.
 const Version = 1
 
-// Set is what one policy, version or value gave.
-type Set struct {
-	Name    string        `json:"name"`
-	Results []run.Result  `json:"results"`
-	G       stat.Interval `json:"g"`
-	Broken  int           `json:"broken"`
-	Place   float64       `json:"place"` // between floor and top, where both were played; else 0
+// VariantResult is what one policy, version or value gave.
+type VariantResult struct {
+	Name    string          `json:"name"`
+	Results []runner.Result `json:"results"`
+	G       stat.Interval   `json:"g"`
+	Broken  int             `json:"broken"`
+	Place   float64         `json:"place"` // between floor and top, where both were played; else 0
 }
 
 // Difference is what one set makes beside the first.
@@ -38,8 +38,8 @@
 	By     stat.Interval `json:"by"`
 }
 
-// Load is what the load tool measured, beside or without runs.
-type Load struct {
+// LoadResult is what the load tool measured, beside or without runs.
+type LoadResult struct {
 	Offered  float64   `json:"offered"` // events a second, as intended
 	Sent     float64   `json:"sent"`
 	Acked    int64     `json:"taken"`
@@ -51,19 +51,19 @@
 
 // File is one folder's result.json.
 type File struct {
-	Version     int          `json:"version"`
-	Kind        string       `json:"kind"` // run, compare, sweep, hunt or load
-	At          time.Time    `json:"at"`
-	Command     string       `json:"command"`
-	Scenario    string       `json:"scenario"` // its text
-	Sets        []Set        `json:"sets,omitempty"`
-	Differences []Difference `json:"differences,omitempty"`
-	Loads       []Load       `json:"loads,omitempty"`
-	Notes       []string     `json:"notes,omitempty"`
+	Version     int             `json:"version"`
+	Kind        string          `json:"kind"` // run, compare, sweep, hunt or load
+	At          time.Time       `json:"at"`
+	Command     string          `json:"command"`
+	Scenario    string          `json:"scenario"` // its text
+	Sets        []VariantResult `json:"sets,omitempty"`
+	Differences []Difference    `json:"differences,omitempty"`
+	Loads       []LoadResult    `json:"loads,omitempty"`
+	Notes       []string        `json:"notes,omitempty"`
 }
 
-// New begins a file for a scenario.
-func New(kind, command string, day *scenario.Scenario) (*File, error) {
+// NewFile begins a file for a scenario.
+func NewFile(kind, command string, day *scenario.Scenario) (*File, error) {
 	text, err := day.Write()
 	return &File{
 		Version:  Version,
@@ -75,17 +75,17 @@
 }
 
 // Add adds a set's results.
-func (f *File) Add(name string, results []run.Result) {
-	broken, first := run.Broken(results)
-	f.Sets = append(f.Sets, Set{Name: name, Results: results, Broken: broken,
-		G: stat.MeanInterval(run.Figure(results, run.G), 1)})
+func (f *File) Add(name string, results []runner.Result) {
+	broken, first := runner.CountViolations(results)
+	f.Sets = append(f.Sets, VariantResult{Name: name, Results: results, Broken: broken,
+		G: stat.MeanInterval(runner.MetricValues(results, runner.G), 1)})
 	if broken > 0 {
 		f.Notes = append(f.Notes, fmt.Sprintf("%s: %d broken rules; the first: %s", name, broken, first))
 	}
 }
 
-// set finds a set by its name.
-func (f *File) set(name string) *Set {
+// findVariant finds a findVariant by its name.
+func (f *File) findVariant(name string) *VariantResult {
 	for i := range f.Sets {
 		if f.Sets[i].Name == name {
 			return &f.Sets[i]
@@ -94,10 +94,10 @@
 	return nil
 }
 
-// Placed tells where each set stands between the floor, one try for each event, and the top, the policy that
+// ComputePlaces tells where each set stands between the floor, one try for each event, and the top, the policy that
 // sees everything; where both were played.
-func (f *File) Placed() {
-	floor, top := f.set("once"), f.set("informed")
+func (f *File) ComputePlaces() {
+	floor, top := f.findVariant("once"), f.findVariant("informed")
 	if floor == nil || top == nil || top.G.Mean <= floor.G.Mean {
 		return
 	}
@@ -106,37 +106,37 @@
 	}
 }
 
-// Differ notes the difference of each set to the first, in G and in what it is made of.
-func (f *File) Differ() {
+// ComputeDifferences notes the difference of each set to the first, in G and in what it is made of.
+func (f *File) ComputeDifferences() {
 	if len(f.Sets) < 2 {
 		return
 	}
 	for _, s := range f.Sets[1:] {
-		for _, figure := range figures {
+		for _, figure := range metrics {
 			f.Differences = append(f.Differences, Difference{s.Name, figure.name,
-				run.Compare(f.Sets[0].Results, s.Results, figure.of)})
+				runner.PairedDifference(f.Sets[0].Results, s.Results, figure.of)})
 		}
 	}
 }
 
-// figures are what sets are compared by.
-var figures = []struct {
+// metrics are what sets are compared by.
+var metrics = []struct {
 	name string
-	of   func(*run.Result) float64
+	of   func(*runner.Result) float64
 }{
-	{"G", run.G},
-	{"whole", func(r *run.Result) float64 { return r.Sum.Overall }},
-	{"worst 10 s", func(r *run.Result) float64 { return r.Sum.WorstWindow }},
-	{"worst type", func(r *run.Result) float64 { return r.Sum.WorstType }},
-	{"waste", func(r *run.Result) float64 { return r.Sum.Waste }},
-	{"p99, ms", func(r *run.Result) float64 { return r.Latency[2] }},
-	{"broken rules", func(r *run.Result) float64 { return float64(r.Sum.ViolationCount) }},
+	{"G", runner.G},
+	{"whole", func(r *runner.Result) float64 { return r.Summary.Overall }},
+	{"worst 10 s", func(r *runner.Result) float64 { return r.Summary.WorstWindow }},
+	{"worst type", func(r *runner.Result) float64 { return r.Summary.WorstType }},
+	{"waste", func(r *runner.Result) float64 { return r.Summary.Waste }},
+	{"p99, ms", func(r *runner.Result) float64 { return r.LatencyMs[2] }},
+	{"broken rules", func(r *runner.Result) float64 { return float64(r.Summary.ViolationCount) }},
 }
 
 const (
-	resultName   = "result.json"
-	reportName   = "report.html"
-	scenarioName = "scenario.toml"
+	resultFile   = "result.json"
+	reportFile   = "report.html"
+	scenarioFile = "scenario.toml"
 )
 
 // Write writes a folder: it is made if need be, and files of a former result in it are replaced.
@@ -148,12 +148,12 @@
 	if err != nil {
 		return err
 	}
-	page, err := f.page()
+	page, err := f.renderPage()
 	if err != nil {
 		return err
 	}
-	for name, text := range map[string][]byte{resultName: append(text, '\n'), scenarioName: []byte(f.Scenario),
-		"runs.csv": f.runs(), "seconds.csv": f.seconds(), "differences.csv": f.differences(), reportName: page} {
+	for name, text := range map[string][]byte{resultFile: append(text, '\n'), scenarioFile: []byte(f.Scenario),
+		"runs.csv": f.runsCSV(), "seconds.csv": f.secondsCSV(), "differences.csv": f.differencesCSV(), reportFile: page} {
 		if err := os.WriteFile(filepath.Join(folder, name), text, 0o644); err != nil {
 			return err
 		}
@@ -163,7 +163,7 @@
 
 // Read reads a folder's result.
 func Read(folder string) (*File, error) {
-	name := filepath.Join(folder, resultName)
+	name := filepath.Join(folder, resultFile)
 	text, err := os.ReadFile(name)
 	if err != nil {
 		return nil, err
@@ -178,8 +178,8 @@
 	return &f, nil
 }
 
-// Rewrite makes the tables and the page of a folder anew from its result.
-func Rewrite(folder string) error {
+// Regenerate makes the tables and the page of a folder anew from its result.
+func Regenerate(folder string) error {
 	f, err := Read(folder)
 	if err != nil {
 		return err
@@ -187,7 +187,7 @@
 	return f.Write(folder)
 }
 
-func table(head []string, rows func(add func(...any))) []byte {
+func csvTable(head []string, rows func(add func(...any))) []byte {
 	var b bytes.Buffer
 	w := csv.NewWriter(&b)
 	w.Write(head)
@@ -207,7 +207,7 @@
 	return b.Bytes()
 }
 
-func (f *File) runs() []byte {
+func (f *File) runsCSV() []byte {
 	head := []string{
 		"set",
 		"seed",
@@ -228,44 +228,44 @@
 		"p99_ms",
 		"p999_ms",
 	}
-	return table(head, func(add func(...any)) {
+	return csvTable(head, func(add func(...any)) {
 		for _, s := range f.Sets {
 			for _, r := range s.Results {
 				add(
 					s.Name,
 					r.Seed,
-					r.Sum.G,
-					r.Sum.Overall,
-					r.Sum.WorstWindow,
-					r.Sum.WorstType,
-					r.Sum.Waste,
-					r.Sum.Arrivals,
-					r.Sum.Acked,
-					r.Sum.Declined,
-					r.Sum.Discarded,
-					r.Sum.Sends,
-					r.Sum.ViolationCount,
-					r.Falls,
-					r.Latency[0],
-					r.Latency[1],
-					r.Latency[2],
-					r.Latency[3],
+					r.Summary.G,
+					r.Summary.Overall,
+					r.Summary.WorstWindow,
+					r.Summary.WorstType,
+					r.Summary.Waste,
+					r.Summary.Arrivals,
+					r.Summary.Acked,
+					r.Summary.Declined,
+					r.Summary.Discarded,
+					r.Summary.Sends,
+					r.Summary.ViolationCount,
+					r.Overloads,
+					r.LatencyMs[0],
+					r.LatencyMs[1],
+					r.LatencyMs[2],
+					r.LatencyMs[3],
 				)
 			}
 		}
 	})
 }
 
-func (f *File) seconds() []byte {
+func (f *File) secondsCSV() []byte {
 	head := []string{"set", "seed", "second", "utility", "held", "p50_ms", "p99_ms", "offered", "refused"}
 	for _, o := range checker.OutcomeNames {
 		head = append(head, o)
 	}
-	return table(head, func(add func(...any)) {
+	return csvTable(head, func(add func(...any)) {
 		for _, s := range f.Sets {
 			for _, r := range s.Results {
 				for _, at := range r.Seconds {
-					row := []any{s.Name, r.Seed, at.At, at.Utility, at.Held, at.Latency[0], at.Latency[2],
+					row := []any{s.Name, r.Seed, at.Start, at.Utility, at.ActiveEvents, at.LatencyMs[0], at.LatencyMs[2],
 						sum(at.Offered), sum(at.Refused)}
 					for _, n := range at.Outcomes {
 						row = append(row, n)
@@ -277,8 +277,8 @@
 	})
 }
 
-func (f *File) differences() []byte {
-	return table([]string{"set", "figure", "by", "least", "most", "pairs"}, func(add func(...any)) {
+func (f *File) differencesCSV() []byte {
+	return csvTable([]string{"set", "figure", "by", "least", "most", "pairs"}, func(add func(...any)) {
 		for _, d := range f.Differences {
 			add(d.Name, d.Figure, d.By.Mean, d.By.Least, d.By.Most, d.By.N)
 		}
@@ -292,9 +292,9 @@
 	return total
 }
 
-// List tells the folders below one that hold a result.
-func List(folder string) (folders []string, err error) {
-	if _, err := os.Stat(filepath.Join(folder, resultName)); err == nil {
+// FindResults tells the folders below one that hold a result.
+func FindResults(folder string) (folders []string, err error) {
+	if _, err := os.Stat(filepath.Join(folder, resultFile)); err == nil {
 		return []string{folder}, nil
 	}
 	entries, err := os.ReadDir(folder)
@@ -302,7 +302,7 @@
 		return nil, err
 	}
 	for _, e := range entries {
-		if _, err := os.Stat(filepath.Join(folder, e.Name(), resultName)); err == nil {
+		if _, err := os.Stat(filepath.Join(folder, e.Name(), resultFile)); err == nil {
 			folders = append(folders, filepath.Join(folder, e.Name()))
 		}
 	}
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -8,30 +8,30 @@
 	"strings"
 	"testing"
 
-	"jaspersill/lab/run"
+	"jaspersill/lab/runner"
 	"jaspersill/lab/scenario"
 	"jaspersill/lab/scenarios"
 )
 
-func TestAResultIsKeptReadAndRefused(t *testing.T) {
+func TestWriteReadAndReject(t *testing.T) {
 	day, err := scenarios.Find("silence")
 	if err != nil {
 		t.Fatal(err)
 	}
 	day.Length = scenario.Duration(20e9)
-	var sets []run.Set
+	var sets []runner.Variant
 	for _, name := range []string{"once", "module", "informed", "module+deaf"} {
-		s, err := run.Named(name, day, 0)
+		s, err := runner.NewVariant(name, day, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
 		sets = append(sets, s)
 	}
-	results, err := run.All(context.Background(), sets, run.Seeds(1, 2), true, nil)
+	results, err := runner.RunAll(context.Background(), sets, runner.Seeds(1, 2), true, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := New("compare", "a command <script>", day)
+	f, err := NewFile("compare", "a command <script>", day)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,13 +39,13 @@
 		f.Add(s.Name, results[i])
 	}
 	f.Sets[0].Broken, f.Notes = 1, append(f.Notes, "once: 1 broken rules; the first: <b>")
-	f.Placed()
-	f.Differ()
+	f.ComputePlaces()
+	f.ComputeDifferences()
 	folder := filepath.Join(t.TempDir(), "result")
 	if err := f.Write(folder); err != nil {
 		t.Fatal(err)
 	}
-	page, err := os.ReadFile(filepath.Join(folder, reportName))
+	page, err := os.ReadFile(filepath.Join(folder, reportFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,20 +57,20 @@
 	}
 	again, err := Read(folder)
 	if err != nil || len(again.Sets) != 4 || again.Sets[2].Place != 1 ||
-		len(again.Differences) != 3*len(figures) {
+		len(again.Differences) != 3*len(metrics) {
 		t.Fatalf("read back as %+v, %v", again, err)
 	}
-	if err := Rewrite(folder); err != nil {
+	if err := Regenerate(folder); err != nil {
 		t.Fatal(err)
 	}
-	if list, err := List(filepath.Dir(folder)); err != nil || len(list) != 1 {
+	if list, err := FindResults(filepath.Dir(folder)); err != nil || len(list) != 1 {
 		t.Errorf("%v, %v", list, err)
 	}
-	name := filepath.Join(folder, resultName)
+	name := filepath.Join(folder, resultFile)
 	text, _ := os.ReadFile(name)
 	for _, c := range []struct{ old, new, want string }{
 		{`"version": 1`, `"version": 2`, "version: want 1, got 2"},
-		{"{", "[", resultName},
+		{"{", "[", resultFile},
 	} {
 		if err := os.WriteFile(name, bytes.Replace(text, []byte(c.old), []byte(c.new), 1), 0o600); err != nil {
 			t.Fatal(err)
@@ -79,7 +79,7 @@
 			t.Errorf("%s: %v", c.new, err)
 		}
 	}
-	if _, err := List(t.TempDir()); err == nil {
+	if _, err := FindResults(t.TempDir()); err == nil {
 		t.Error("a folder without a result passes for one")
 	}
 }
--- a/lab/run/record.go
+++ b/lab/runner/recording.go
@@ -1,4 +1,4 @@
-package run
+package runner
 
 import (
 	"cmp"
@@ -48,6 +48,6 @@
 		return Result{}, nil, err
 	}
 	defer r.Close()
-	result := one(r.Scenario, seed, luck, launch, true, trace, r)
+	result := runWithSource(r.Scenario, seed, luck, launch, true, trace, r)
 	return result, r.Scenario, r.Err
 }
--- a/lab/run/run.go
+++ b/lab/runner/run.go
@@ -1,5 +1,5 @@
 // Package run plays scenarios many times and gathers what came of them.
-package run
+package runner
 
 import (
 	"bytes"
@@ -22,46 +22,46 @@
 )
 
 const (
-	latencyLeast  = int64(1e5)  // ns, the finest latency told apart
-	latencyMost   = int64(1e12) // ns
+	minLatency    = int64(1e5)  // ns, the finest latency told apart
+	maxLatency    = int64(1e12) // ns
 	latencyDigits = 3
 )
 
 // Percentiles are the latencies that reports tell, from a client's first asking to the delivery.
 var Percentiles = []float64{50, 90, 99, 99.9}
 
-// Second is one second of a run.
-type Second struct {
-	At       int64     `json:"at"`      // s
-	Utility  float64   `json:"utility"` // share delivered of what was asked for in it
-	Outcomes [9]int64  `json:"outcomes"`
-	Offered  []int64   `json:"offered"` // calls, by kind of partner
-	Refused  []int64   `json:"refused"`
-	Held     int       `json:"held"`
-	Latency  []float64 `json:"latency_ms,omitempty"` // by Percentiles, of what was delivered in it
+// SecondStats is one second of a run.
+type SecondStats struct {
+	Start        int64     `json:"at"`      // s
+	Utility      float64   `json:"utility"` // share delivered of what was asked for in it
+	Outcomes     [9]int64  `json:"outcomes"`
+	Offered      []int64   `json:"offered"` // calls, by kind of partner
+	Refused      []int64   `json:"refused"`
+	ActiveEvents int       `json:"held"`
+	LatencyMs    []float64 `json:"latency_ms,omitempty"` // by Percentiles, of what was delivered in it
 }
 
 // Result is one run.
 type Result struct {
-	Seed    uint64          `json:"seed"`
-	Luck    uint64          `json:"luck"`
-	Sum     checker.Summary `json:"sum"`
-	Stats   simulator.Stats `json:"stats"`
-	Falls   int             `json:"falls"`
-	Latency []float64       `json:"latency_ms"` // by Percentiles
-	Seconds []Second        `json:"seconds,omitempty"`
-	Trace   string          `json:"trace,omitempty"` // SHA-256 of the trace, where one was kept
+	Seed      uint64          `json:"seed"`
+	NoiseSeed uint64          `json:"luck"`
+	Summary   checker.Summary `json:"sum"`
+	Stats     simulator.Stats `json:"stats"`
+	Overloads int             `json:"falls"`
+	LatencyMs []float64       `json:"latency_ms"` // by Percentiles
+	Seconds   []SecondStats   `json:"seconds,omitempty"`
+	TraceHash string          `json:"trace,omitempty"` // SHA-256 of the trace, where one was kept
 }
 
-// One plays one run. With detail it keeps each second; trace may be nil.
-func One(
+// Run plays one run. With detail it keeps each second; trace may be nil.
+func Run(
 	day *scenario.Scenario, seed, luck uint64, launch simulator.SchedulerFactory, detail bool, trace io.Writer,
 ) Result {
-	return one(day, seed, luck, launch, detail, trace, nil)
+	return runWithSource(day, seed, luck, launch, detail, trace, nil)
 }
 
-// one is One with arrivals from a source, or drawn where it is nil.
-func one(
+// runWithSource is One with arrivals from a source, or drawn where it is nil.
+func runWithSource(
 	day *scenario.Scenario, seed, luck uint64, launch simulator.SchedulerFactory, detail bool, trace io.Writer,
 	source workload.Source,
 ) Result {
@@ -69,21 +69,21 @@
 	if source != nil {
 		w.SetSource(source)
 	}
-	all := hdrhistogram.New(latencyLeast, latencyMost, latencyDigits)
-	now := hdrhistogram.New(latencyLeast, latencyMost, 2)
+	all := hdrhistogram.New(minLatency, maxLatency, latencyDigits)
+	now := hdrhistogram.New(minLatency, maxLatency, 2)
 	l := w.Checker()
 	l.OnDelivery = func(typ int, took int64) {
-		all.RecordValue(max(took, latencyLeast))
+		all.RecordValue(max(took, minLatency))
 		if detail {
-			now.RecordValue(max(took, latencyLeast))
+			now.RecordValue(max(took, minLatency))
 		}
 	}
-	r := Result{Seed: seed, Luck: luck}
+	r := Result{Seed: seed, NoiseSeed: luck}
 	if detail {
 		var how [9]int64
 		offered, refused := make([]int64, len(day.DestinationKinds)), make([]int64, len(day.DestinationKinds))
 		w.OnSecond(func(w *simulator.Simulation) {
-			s := Second{At: w.Now()/1e9 - 1, Held: w.EventsHeld(), Latency: percentiles(now)}
+			s := SecondStats{Start: w.Now()/1e9 - 1, ActiveEvents: w.EventsHeld(), LatencyMs: percentiles(now)}
 			now.Reset()
 			for i := range how {
 				s.Outcomes[i], how[i] = l.OutcomeCounts[i]-how[i], l.OutcomeCounts[i]
@@ -96,8 +96,8 @@
 			r.Seconds = append(r.Seconds, s)
 		})
 	}
-	r.Sum = w.Run()
-	r.Stats, r.Falls, r.Latency = w.Stats, len(w.Destinations().Falls), percentiles(all)
+	r.Summary = w.Run()
+	r.Stats, r.Overloads, r.LatencyMs = w.Stats, len(w.Destinations().Overloads), percentiles(all)
 	for i, u := range l.UtilityPerSecond() {
 		if i < len(r.Seconds) {
 			r.Seconds[i].Utility = u
@@ -113,33 +113,33 @@
 	return ms
 }
 
-// TraceOf plays one run and returns its trace's SHA-256.
-func TraceOf(day *scenario.Scenario, seed, luck uint64, launch simulator.SchedulerFactory) string {
+// TraceHash plays one run and returns its trace's SHA-256.
+func TraceHash(day *scenario.Scenario, seed, luck uint64, launch simulator.SchedulerFactory) string {
 	h := sha256.New()
-	One(day, seed, luck, launch, false, h)
+	Run(day, seed, luck, launch, false, h)
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// Set is a policy or version to play.
-type Set struct {
-	Name   string
-	Day    *scenario.Scenario
-	Launch simulator.SchedulerFactory
-	Luck   uint64
+// Variant is a policy or version to play.
+type Variant struct {
+	Name      string
+	Scenario  *scenario.Scenario
+	Launch    simulator.SchedulerFactory
+	NoiseSeed uint64
 }
 
-// Named is a policy played on a scenario.
-func Named(name string, day *scenario.Scenario, luck uint64) (Set, error) {
+// NewVariant is a policy played on a scenario.
+func NewVariant(name string, day *scenario.Scenario, luck uint64) (Variant, error) {
 	launch, err := policy.Find(name)
-	return Set{Name: name, Day: day, Launch: launch, Luck: luck}, err
+	return Variant{Name: name, Scenario: day, Launch: launch, NoiseSeed: luck}, err
 }
 
-// All plays each set on each seed, on as many cores as there are, and hands the results back in order. Each
+// RunAll plays each set on each seed, on as many cores as there are, and hands the results back in order. Each
 // run is one goroutine's alone, so cores change nothing but the time. progress may be nil; it is called one
 // at a time.
-func All(
+func RunAll(
 	ctx context.Context,
-	sets []Set,
+	sets []Variant,
 	seeds []uint64,
 	detail bool,
 	progress func(done, of int),
@@ -159,7 +159,7 @@
 			defer wg.Done()
 			for j := range jobs {
 				s := &sets[j.set]
-				r := One(s.Day, seeds[j.seed], s.Luck, s.Launch, detail && j.seed == 0, nil)
+				r := Run(s.Scenario, seeds[j.seed], s.NoiseSeed, s.Launch, detail && j.seed == 0, nil)
 				mu.Lock()
 				results[j.set][j.seed] = r
 				if done++; progress != nil {
@@ -194,8 +194,8 @@
 	return seeds
 }
 
-// Figure takes one figure of each result.
-func Figure(results []Result, of func(*Result) float64) (values []float64) {
+// MetricValues takes one figure of each result.
+func MetricValues(results []Result, of func(*Result) float64) (values []float64) {
 	for i := range results {
 		values = append(values, of(&results[i]))
 	}
@@ -203,28 +203,28 @@
 }
 
 // G is the figure that runs are compared by.
-func G(r *Result) float64 { return r.Sum.G }
+func G(r *Result) float64 { return r.Summary.G }
 
-// Broken counts the broken rules of some results and tells the first.
-func Broken(results []Result) (n int, first string) {
+// CountViolations counts the broken rules of some results and tells the first.
+func CountViolations(results []Result) (n int, first string) {
 	for i := range results {
-		n += results[i].Sum.ViolationCount
-		if first == "" && len(results[i].Sum.Violations) > 0 {
-			first = fmt.Sprintf("seed %d: %s", results[i].Seed, results[i].Sum.Violations[0])
+		n += results[i].Summary.ViolationCount
+		if first == "" && len(results[i].Summary.Violations) > 0 {
+			first = fmt.Sprintf("seed %d: %s", results[i].Seed, results[i].Summary.Violations[0])
 		}
 	}
 	return n, first
 }
 
-// Compare is the difference that b makes beside a, pair by pair.
-func Compare(a, b []Result, of func(*Result) float64) stat.Interval {
-	return stat.PairedDifference(Figure(a, of), Figure(b, of), 1)
+// PairedDifference is the difference that b makes beside a, pair by pair.
+func PairedDifference(a, b []Result, of func(*Result) float64) stat.Interval {
+	return stat.PairedDifference(MetricValues(a, of), MetricValues(b, of), 1)
 }
 
-// Same plays a run twice and tells whether both traces are the same, byte for byte.
-func Same(day *scenario.Scenario, seed uint64, launch simulator.SchedulerFactory) bool {
+// IsReproducible plays a run twice and tells whether both traces are the same, byte for byte.
+func IsReproducible(day *scenario.Scenario, seed uint64, launch simulator.SchedulerFactory) bool {
 	var a, b bytes.Buffer
-	One(day, seed, 0, launch, false, &a)
-	One(day, seed, 0, launch, false, &b)
+	Run(day, seed, 0, launch, false, &a)
+	Run(day, seed, 0, launch, false, &b)
 	return bytes.Equal(a.Bytes(), b.Bytes())
 }
--- a/lab/run/run_test.go
+++ b/lab/runner/run_test.go
@@ -1,4 +1,4 @@
-package run
+package runner
 
 import (
 	"bytes"
@@ -21,7 +21,7 @@
 	"jaspersill/lab/workload"
 )
 
-func find(t testing.TB, name string) *scenario.Scenario {
+func findScenario(t testing.TB, name string) *scenario.Scenario {
 	t.Helper()
 	day, err := scenarios.Find(name)
 	if err != nil {
@@ -30,27 +30,27 @@
 	return day
 }
 
-// long tells whether the measurements that docs/lab.md states are made, rather than their short forms.
-func long() bool { return os.Getenv("JASPERSILL_LONG") != "" }
+// fullLength tells whether the measurements that docs/lab.md states are made, rather than their short forms.
+func fullLength() bool { return os.Getenv("JASPERSILL_LONG") != "" }
 
-func TestASeedGivesOneTrace(t *testing.T) {
+func TestTraceDependsOnlyOnSeeds(t *testing.T) {
 	for _, name := range []string{"harvest", "ordered", "replaced", "seldom"} {
-		day := find(t, name)
+		day := findScenario(t, name)
 		day.Length = scenario.Duration(30e9)
 		before := runtime.GOMAXPROCS(1)
-		one := TraceOf(day, 7, 3, policy.Module)
+		one := TraceHash(day, 7, 3, policy.Module)
 		runtime.GOMAXPROCS(max(2, before))
-		if two := TraceOf(day, 7, 3, policy.Module); one != two {
+		if two := TraceHash(day, 7, 3, policy.Module); one != two {
 			t.Errorf("%s: two traces of one seed: %s and %s", name, one, two)
 		}
 		runtime.GOMAXPROCS(before)
-		if other := TraceOf(day, 7, 4, policy.Module); other == one {
+		if other := TraceHash(day, 7, 4, policy.Module); other == one {
 			t.Errorf("%s: two lucks have one trace", name)
 		}
 	}
 }
 
-func TestEachRuleBrokenOnPurposeIsCaught(t *testing.T) {
+func TestDefectivePoliciesViolateTheirRules(t *testing.T) {
 	for _, c := range []struct {
 		weak, scenario string
 		rule           checker.Rule
@@ -64,7 +64,7 @@
 		{"disorderly", "ordered", checker.RuleKeyOrder},
 		{"deaf", "refusals", checker.RuleRetryAfter},
 	} {
-		day := find(t, c.scenario)
+		day := findScenario(t, c.scenario)
 		if c.weak == "forgetful" { // a window so short that repeats past it come often
 			for i := range day.Types {
 				if day.Types[i].DedupWindow > 0 {
@@ -78,7 +78,7 @@
 		}
 		caught := false
 		for seed := range uint64(3) {
-			for _, b := range One(day, seed, 0, launch, false, nil).Sum.Violations {
+			for _, b := range Run(day, seed, 0, launch, false, nil).Summary.Violations {
 				evidence := b.Event > 0 && b.At > 0 &&
 					(len(b.Sends) > 0 || c.weak == "lossy" || c.weak == "deaf" ||
 						c.weak == "undrained" || c.weak == "disorderly") ||
@@ -91,8 +91,8 @@
 				}
 				caught = true
 			}
-			if r := One(day, seed, 0, policy.Module, false, nil); r.Sum.ViolationCount > 0 && c.weak != "forgetful" {
-				t.Errorf("%s: false alarm on the module as it is: %s", c.scenario, r.Sum.Violations[0])
+			if r := Run(day, seed, 0, policy.Module, false, nil); r.Summary.ViolationCount > 0 && c.weak != "forgetful" {
+				t.Errorf("%s: false alarm on the module as it is: %s", c.scenario, r.Summary.Violations[0])
 			}
 		}
 		if !caught {
@@ -101,24 +101,24 @@
 	}
 }
 
-func TestNoFalseAlarmOnCalmSeeds(t *testing.T) {
-	day := find(t, "farm")
+func TestNoViolationsWithoutFaults(t *testing.T) {
+	day := findScenario(t, "farm")
 	n := 40
-	if long() {
+	if fullLength() {
 		n = 200
 	} else {
 		day.Length = scenario.Duration(20e9)
 	}
-	sets := []Set{{Name: "module", Day: day, Launch: policy.Module}}
-	results, err := All(context.Background(), sets, Seeds(1, n), false, nil)
+	sets := []Variant{{Name: "module", Scenario: day, Launch: policy.Module}}
+	results, err := RunAll(context.Background(), sets, Seeds(1, n), false, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if broken, first := Broken(results[0]); broken > 0 {
+	if broken, first := CountViolations(results[0]); broken > 0 {
 		t.Errorf("%d alarms over %d calm seeds: %s", broken, n, first)
 	}
 	for i := range results[0] {
-		if s := &results[0][i].Sum; s.Arrivals == 0 || s.G < 0.99 || s.Effects != s.Acked {
+		if s := &results[0][i].Summary; s.Arrivals == 0 || s.G < 0.99 || s.Effects != s.Acked {
 			t.Errorf("seed %d is not calm: %+v", results[0][i].Seed, s)
 		}
 	}
@@ -126,26 +126,26 @@
 
 // A version beside itself: with the same requests and troubles, and chance drawn anew, the interval must hold
 // 0 as often as it says.
-func TestAVersionBesideItself(t *testing.T) {
-	day := find(t, "refusals")
+func TestSelfComparisonIntervalCoverage(t *testing.T) {
+	day := findScenario(t, "refusals")
 	comparisons, seeds := 40, 12
 	least, most := 0.85, 1.0
-	if long() {
+	if fullLength() {
 		comparisons, seeds, least, most = 400, 30, 0.92, 0.98
 	}
 	day.Length = scenario.Duration(20e9)
 	day.LoadChanges[0].Start, day.LoadChanges[0].Duration = scenario.Duration(5e9), scenario.Duration(8e9)
 	holds := 0
 	for c := range comparisons {
-		sets := []Set{
-			{Day: day, Launch: policy.Module, Luck: uint64(2*c + 1)},
-			{Day: day, Launch: policy.Module, Luck: uint64(2*c + 2)},
+		sets := []Variant{
+			{Scenario: day, Launch: policy.Module, NoiseSeed: uint64(2*c + 1)},
+			{Scenario: day, Launch: policy.Module, NoiseSeed: uint64(2*c + 2)},
 		}
-		r, err := All(context.Background(), sets, Seeds(uint64(1+c*seeds), seeds), false, nil)
+		r, err := RunAll(context.Background(), sets, Seeds(uint64(1+c*seeds), seeds), false, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if Compare(r[0], r[1], G).Contains(0) {
+		if PairedDifference(r[0], r[1], G).Contains(0) {
 			holds++
 		}
 	}
@@ -156,21 +156,21 @@
 	}
 }
 
-func TestADifferenceShows(t *testing.T) {
-	day := find(t, "silence")
-	a, _ := Named("module", day, 0)
-	b, _ := Named("once", day, 0)
-	r, err := All(context.Background(), []Set{a, b}, Seeds(1, 8), false, nil)
+func TestPairedDifferenceDetectsWorsePolicy(t *testing.T) {
+	day := findScenario(t, "silence")
+	a, _ := NewVariant("module", day, 0)
+	b, _ := NewVariant("once", day, 0)
+	r, err := RunAll(context.Background(), []Variant{a, b}, Seeds(1, 8), false, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d := Compare(r[0], r[1], G); d.Most >= 0 {
+	if d := PairedDifference(r[0], r[1], G); d.Most >= 0 {
 		t.Errorf("one try for each event is not seen to be worse: %+v", d)
 	}
 }
 
 // The interval's own promise, on values whose mean is known.
-func TestIntervalsHoldTheMeanAsOftenAsTheySay(t *testing.T) {
+func TestBootstrapIntervalCoverage(t *testing.T) {
 	chance := rand.New(rand.NewPCG(5, 5))
 	for name, draw := range map[string]func() float64{
 		"even": chance.Float64, "normal": chance.NormFloat64,
@@ -194,10 +194,10 @@
 }
 
 // What a run holds after its first minute must not grow with its length.
-func TestMemoryStaysFlat(t *testing.T) {
-	day := find(t, "harvest")
+func TestMemoryDoesNotGrowWithRunLength(t *testing.T) {
+	day := findScenario(t, "harvest")
 	minutes := 3
-	if long() {
+	if fullLength() {
 		minutes = 10
 	}
 	day.Length = scenario.Duration(minutes) * 60e9
@@ -222,7 +222,7 @@
 	}
 }
 
-func TestBadScenariosAreNamed(t *testing.T) {
+func TestScenarioErrorsAndRoundTrip(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"name = \"x\"\nlenght = \"3s\"", "x.toml:2: lenght: unknown key"},
 		{"name = \"x\"\nlength = 3", "length: want 1s to"},
@@ -246,7 +246,7 @@
 		}
 	}
 	for _, name := range scenarios.Names() { // what is written is read back, and plays the same
-		day := find(t, name)
+		day := findScenario(t, name)
 		text, err := day.Write()
 		if err != nil {
 			t.Fatal(err)
@@ -257,7 +257,7 @@
 			continue
 		}
 		day.Length, again.Length = scenario.Duration(6e9), scenario.Duration(6e9)
-		if TraceOf(day, 1, 0, policy.Module) != TraceOf(again, 1, 0, policy.Module) {
+		if TraceHash(day, 1, 0, policy.Module) != TraceHash(again, 1, 0, policy.Module) {
 			t.Errorf("%s: written and read back it plays another run", name)
 		}
 	}
@@ -272,7 +272,7 @@
 		{"200-endpoints", 50, 200}, {"1000-endpoints", 100, 1000},
 	} {
 		b.Run(size.name, func(b *testing.B) {
-			day := find(b, "farm")
+			day := findScenario(b, "farm")
 			day.Fleet.Nodes, day.Length = size.nodes, scenario.Duration(30e9)
 			rate := 0.0
 			for i := range day.Types {
@@ -283,7 +283,7 @@
 			day.DestinationKinds[1].Destinations = size.endpoints - 3*day.DestinationKinds[0].Destinations
 			events := int64(0)
 			for b.Loop() {
-				events += One(day, 1, 0, policy.Module, false, nil).Sum.Arrivals
+				events += Run(day, 1, 0, policy.Module, false, nil).Summary.Arrivals
 			}
 			b.ReportMetric(float64(events)/b.Elapsed().Seconds(), "events/s")
 		})
@@ -291,8 +291,8 @@
 }
 
 // What a recording plays again must be the run that it was made of, to the byte.
-func TestARecordingPlaysTheRunAgain(t *testing.T) {
-	day := find(t, "clumps")
+func TestReplayReproducesRecordedRun(t *testing.T) {
+	day := findScenario(t, "clumps")
 	day.Length = scenario.Duration(20e9)
 	var file bytes.Buffer
 	if err := Record(day, 5, 1, policy.Module, &file); err != nil {
@@ -304,8 +304,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, want := hex.EncodeToString(h.Sum(nil)), TraceOf(recorded, 5, 1, policy.Module); got != want {
-		t.Errorf("trace %s, want %s; %d asked for", got, want, r.Sum.Arrivals)
+	if got, want := hex.EncodeToString(h.Sum(nil)), TraceHash(recorded, 5, 1, policy.Module); got != want {
+		t.Errorf("trace %s, want %s; %d asked for", got, want, r.Summary.Arrivals)
 	}
 	in, err := workload.Open(bytes.NewReader(text))
 	if err != nil {
@@ -316,8 +316,8 @@
 	for _, more := in.Next(); more; _, more = in.Next() {
 		n++
 	}
-	if in.Err != nil || n != r.Sum.Arrivals {
-		t.Errorf("%d arrivals recorded, %d asked for: %v", n, r.Sum.Arrivals, in.Err)
+	if in.Err != nil || n != r.Summary.Arrivals {
+		t.Errorf("%d arrivals recorded, %d asked for: %v", n, r.Summary.Arrivals, in.Err)
 	}
 	for cut := 0; cut < len(text); cut += len(text)/60 + 1 { // it must say so, and not panic
 		in, err := workload.Open(bytes.NewReader(text[:cut]))
--- a/lab/search/search.go
+++ b/lab/search/search.go
@@ -9,7 +9,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"jaspersill/lab/run"
+	"jaspersill/lab/runner"
 	"jaspersill/lab/scenario"
 	"jaspersill/lab/simulator"
 )
@@ -80,10 +80,10 @@
 
 // evaluate plays a day and tells what it shows.
 func evaluate(day *scenario.Scenario, seed uint64, launch simulator.SchedulerFactory) Finding {
-	r := run.One(day, seed, 0, launch, false, nil)
-	f := Finding{Scenario: day, Seed: seed, G: r.Sum.G, ViolationCount: r.Sum.ViolationCount}
-	if len(r.Sum.Violations) > 0 {
-		f.Violation, f.rule = r.Sum.Violations[0].String(), int(r.Sum.Violations[0].Rule)
+	r := runner.Run(day, seed, 0, launch, false, nil)
+	f := Finding{Scenario: day, Seed: seed, G: r.Summary.G, ViolationCount: r.Summary.ViolationCount}
+	if len(r.Summary.Violations) > 0 {
+		f.Violation, f.rule = r.Summary.Violations[0].String(), int(r.Summary.Violations[0].Rule)
 	}
 	return f
 }
--- a/lab/search/search_test.go
+++ b/lab/search/search_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"jaspersill/lab/policy"
-	"jaspersill/lab/run"
+	"jaspersill/lab/runner"
 	"jaspersill/lab/scenario"
 	"jaspersill/lab/scenarios"
 )
@@ -41,8 +41,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r := run.One(again, small.Seed, 0, launch, false, nil); r.Sum.ViolationCount != small.ViolationCount {
-			t.Errorf("%s: played again it shows %d broken rules, not %d", weak, r.Sum.ViolationCount, small.ViolationCount)
+		if r := runner.Run(again, small.Seed, 0, launch, false, nil); r.Summary.ViolationCount != small.ViolationCount {
+			t.Errorf("%s: played again it shows %d broken rules, not %d", weak, r.Summary.ViolationCount, small.ViolationCount)
 		}
 	}
 }
--- a/lab/simulator/calls.go
+++ b/lab/simulator/calls.go
@@ -3,7 +3,7 @@
 import (
 	"jaspersill/delivery"
 	"jaspersill/lab/checker"
-	"jaspersill/lab/partner"
+	"jaspersill/lab/destination"
 )
 
 // allocateCall creates a call from a node to an endpoint and returns its number.
@@ -26,7 +26,7 @@
 		inUse:           true,
 	}
 	sim.Stats.Calls++
-	sim.destinations.Coming(ep, 1)
+	sim.destinations.AddInTransit(ep, 1)
 	return i
 }
 
@@ -60,16 +60,16 @@
 	}
 	sim.Stats.Connections++
 	switch sim.destinations.Connect(sim.now, c.ep) {
-	case partner.Connected:
+	case destination.Connected:
 		c.connected, c.epoch = true, p.Epoch
 		sim.scheduleCall(sim.now+3*delay+int64(sim.scenario.DestinationKinds[p.Kind].Handshake), simCallReached, i)
-	case partner.NotConnected:
-		sim.destinations.Coming(c.ep, -1)
-		c.result = partner.Fate{How: delivery.ConnectFailed}
+	case destination.ConnectRefused:
+		sim.destinations.AddInTransit(c.ep, -1)
+		c.result = destination.CallResult{Outcome: delivery.ConnectFailed}
 		sim.scheduleCall(sim.now+2*delay, simResponse, i)
-	case partner.NoSign:
-		sim.destinations.Coming(c.ep, -1)
-		c.result = partner.Fate{How: delivery.ConnectFailed}
+	case destination.ConnectUnanswered:
+		sim.destinations.AddInTransit(c.ep, -1)
+		c.result = destination.CallResult{Outcome: delivery.ConnectFailed}
 		sim.scheduleCall(sim.now+connectTimeout, simResponse, i)
 	}
 }
@@ -78,13 +78,13 @@
 func (sim *Simulation) callReached(i int32) {
 	c := &sim.calls[i]
 	c.scheduled--
-	sim.destinations.Coming(c.ep, -1)
+	sim.destinations.AddInTransit(c.ep, -1)
 	if c.closed { // it was cancelled on the way: closed before its last byte arrived, it did not run
 		sim.freeCall(i)
 		return
 	}
 	if c.epoch != sim.destinations.Endpoints[c.ep].Epoch { // the endpoint's process died meanwhile
-		c.result, c.reached = partner.Fate{How: delivery.Reset}, true
+		c.result, c.reached = destination.CallResult{Outcome: delivery.Reset}, true
 		sim.scheduleCall(sim.now+int64(sim.scenario.Fleet.NetworkDelay), simResponse, i)
 		return
 	}
@@ -95,38 +95,38 @@
 	}
 	c.reachedAt = sim.now
 	work += work / 4 * int64(len(c.sends)-1) // a batch takes less time than its events one by one
-	overloads := len(sim.destinations.Falls)
-	result := sim.destinations.Arrive(
+	overloads := len(sim.destinations.Overloads)
+	result := sim.destinations.StartCall(
 		sim.now,
 		c.ep,
-		sim.nodes[c.node].sawOutage(sim.destinations.LaneOf(c.ep)),
+		sim.nodes[c.node].sawOutage(sim.destinations.GroupOf(c.ep)),
 		work,
 		len(c.sends),
 	)
 	c = &sim.calls[i]
 	c.result, c.takesEffect = result, result.Ran
-	if len(sim.destinations.Falls) > overloads {
+	if len(sim.destinations.Overloads) > overloads {
 		c.takesEffect = false
-		sim.destinationOverloaded(sim.destinations.Falls[len(sim.destinations.Falls)-1])
+		sim.destinationOverloaded(sim.destinations.Overloads[len(sim.destinations.Overloads)-1])
 		return
 	}
 	switch {
-	case !c.result.Answers(): // no answer: the call lasts until its node abandons it
-	case c.result.Ran || c.result.Done > sim.now:
+	case !c.result.Answered(): // no answer: the call lasts until its node abandons it
+	case c.result.Ran || c.result.DoneAt > sim.now:
 		for n := range c.sends {
 			c.sends[n].duplicate = c.result.Ran && sim.checker.RecordCallReceived(sim.now, c.sends[n].evt)
 		}
-		sim.scheduleCall(c.result.Done, simCallDone, i)
+		sim.scheduleCall(c.result.DoneAt, simCallDone, i)
 	default:
 		sim.scheduleCall(sim.now+int64(sim.scenario.Fleet.NetworkDelay), simResponse, i)
 	}
 }
 
 // destinationOverloaded tells the checker that a cold destination was overloaded, and resets its connections.
-func (sim *Simulation) destinationOverloaded(f partner.Fall) {
+func (sim *Simulation) destinationOverloaded(f destination.Overload) {
 	sim.checker.RecordOverload(sim.now, f.Dest, f.Offered, f.Informed, f.Allowed)
 	sim.traceEntry("fell", -1, f.Dest, int64(f.Offered))
-	sim.resetCalls(func(c *call) bool { return sim.destinations.LaneOf(c.ep) == f.Lane })
+	sim.resetCalls(func(c *call) bool { return sim.destinations.GroupOf(c.ep) == f.Group })
 }
 
 // resetCalls resets the connections of the open calls for which the function returns true.
@@ -134,7 +134,7 @@
 	for i := range sim.calls {
 		c := &sim.calls[i]
 		if c.inUse && !c.closed && c.connected && which(c) {
-			c.result = partner.Fate{How: delivery.Reset}
+			c.result = destination.CallResult{Outcome: delivery.Reset}
 			c.reached = true
 			c.epoch = ^uint32(0)
 			sim.scheduleCall(sim.now+int64(sim.scenario.Fleet.NetworkDelay), simResponse, int32(i))
@@ -146,7 +146,7 @@
 func (sim *Simulation) callDone(i int32) {
 	c := &sim.calls[i]
 	c.scheduled--
-	runs, leaves := sim.destinations.Finish(c.ep, c.epoch)
+	runs, leaves := sim.destinations.FinishCall(c.ep, c.epoch)
 	if c.takesEffect {
 		for _, o := range c.sends {
 			sim.checker.RecordCallDone(sim.now, c.reachedAt, o.evt, runs, o.duplicate)
@@ -154,7 +154,7 @@
 		}
 	}
 	if leaves && !c.closed && runs {
-		sim.scheduleCall(sim.now+c.result.After+int64(sim.scenario.Fleet.NetworkDelay), simResponse, i)
+		sim.scheduleCall(sim.now+c.result.AnswerDelay+int64(sim.scenario.Fleet.NetworkDelay), simResponse, i)
 		return
 	}
 	sim.freeCall(i)
@@ -176,12 +176,12 @@
 	}
 	c.closed = true
 	f := &c.result
-	lane := sim.destinations.LaneOf(c.ep)
-	s.recordFailure(lane, c.startedAt, f.How)
-	if f.How == delivery.Refused && f.Wait > 0 {
-		sim.checker.RecordRetryAfter(sim.now, c.node, lane, f.Wait)
+	lane := sim.destinations.GroupOf(c.ep)
+	s.recordFailure(lane, c.startedAt, f.Outcome)
+	if f.Outcome == delivery.Refused && f.RetryAfter > 0 {
+		sim.checker.RecordRetryAfter(sim.now, c.node, lane, f.RetryAfter)
 	}
-	if c.connected && (f.How == delivery.Acked || f.How == delivery.Errored || f.How == delivery.Refused) &&
+	if c.connected && (f.Outcome == delivery.Acked || f.Outcome == delivery.Errored || f.Outcome == delivery.Refused) &&
 		c.epoch == sim.destinations.Endpoints[c.ep].Epoch {
 		s.idleConnections[c.localEp] = append(s.idleConnections[c.localEp], idleConnection{sim.now, c.epoch})
 	} else {
@@ -192,13 +192,13 @@
 		if e := &sim.events[o.evt]; e.incarnation != o.incarnation {
 			continue
 		} else if o.abandoned {
-			if f.How == delivery.Acked && e.end == checker.Open {
+			if f.Outcome == delivery.Acked && e.end == checker.Open {
 				s.endEvent(o.evt, checker.Acked, 0)
 				s.enqueue(input{kind: inputWithdrawn, evt: o.evt})
 			}
 			continue
 		}
-		sim.reportOutcome(s, c, o, f.How, f.Wait, f.Left, f.Limit)
+		sim.reportOutcome(s, c, o, f.Outcome, f.RetryAfter, f.LimitLeft, f.Limit)
 	}
 	sim.freeCall(i)
 }
@@ -283,7 +283,7 @@
 				outcome = delivery.Unsent
 			}
 		}
-		s.recordFailure(sim.destinations.LaneOf(c.ep), c.startedAt, outcome)
+		s.recordFailure(sim.destinations.GroupOf(c.ep), c.startedAt, outcome)
 		sim.reportOutcome(s, c, o, outcome, 0, 0, 0)
 		sim.freeCall(i)
 		return
--- a/lab/simulator/faults.go
+++ b/lab/simulator/faults.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 
 	"jaspersill/delivery"
-	"jaspersill/lab/partner"
+	"jaspersill/lab/destination"
 	"jaspersill/lab/scenario"
 )
 
@@ -16,12 +16,12 @@
 }
 
 // faultModes maps the fault kinds that put an endpoint into a mode.
-var faultModes = map[string]partner.Mode{
-	"refuse": partner.Refusing,
-	"silent": partner.Silent,
-	"hang":   partner.Hung,
-	"shut":   partner.Shut,
-	"fail":   partner.Failing,
+var faultModes = map[string]destination.Mode{
+	"refuse": destination.Down,
+	"silent": destination.Unreachable,
+	"hang":   destination.Hanging,
+	"shut":   destination.Unavailable,
+	"fail":   destination.Failing,
 }
 
 // FaultTargetStream is the random stream from which fault targets are drawn.
@@ -167,8 +167,8 @@
 }
 
 // CombineFaults merges the active ones of a scenario's faults into their joint effect on an endpoint.
-func CombineFaults(faults []scenario.Fault, active []int) partner.Trouble {
-	p := partner.Trouble{Slow: 1, Late: 1}
+func CombineFaults(faults []scenario.Fault, active []int) destination.Faults {
+	p := destination.Faults{SlowFactor: 1, LateFactor: 1}
 	for _, i := range active {
 		fault := &faults[i]
 		share, factor := fault.Share, fault.Factor
@@ -179,20 +179,20 @@
 			factor = 1
 		}
 		p.Mode = max(p.Mode, faultModes[fault.Kind])
-		p.Warm = p.Warm || fault.ReturnsWarm
+		p.ReturnsWarm = p.ReturnsWarm || fault.ReturnsWarm
 		switch fault.Kind {
 		case "shut":
-			p.Opens = max(p.Opens, int64(fault.Start+fault.Duration))
+			p.AvailableAt = max(p.AvailableAt, int64(fault.Start+fault.Duration))
 		case "fail":
-			p.Fail = max(p.Fail, share)
+			p.FailShare = max(p.FailShare, share)
 		case "slow":
-			p.Slow *= factor
+			p.SlowFactor *= factor
 		case "lose":
-			p.Lose = 1 - (1-p.Lose)*(1-share)
+			p.LoseShare = 1 - (1-p.LoseShare)*(1-share)
 		case "spoil":
-			p.Spoil = 1 - (1-p.Spoil)*(1-share)
+			p.UnreadableShare = 1 - (1-p.UnreadableShare)*(1-share)
 		case "late":
-			p.LateMost, p.Late = max(p.LateMost, share), max(p.Late, factor)
+			p.LateShare, p.LateFactor = max(p.LateShare, share), max(p.LateFactor, factor)
 		}
 	}
 	return p
@@ -200,7 +200,7 @@
 
 // applyFaults applies the joint effect of all active faults to an endpoint.
 func (sim *Simulation) applyFaults(ep int32) {
-	if sim.destinations.Meet(sim.now, ep, CombineFaults(sim.scenario.Faults, sim.faultsByEndpoint[ep])) {
+	if sim.destinations.SetFaults(sim.now, ep, CombineFaults(sim.scenario.Faults, sim.faultsByEndpoint[ep])) {
 		sim.resetCalls(func(c *call) bool { return c.ep == ep })
 	}
 }
--- a/lab/simulator/node.go
+++ b/lab/simulator/node.go
@@ -2,7 +2,7 @@
 
 import (
 	"jaspersill/delivery"
-	"jaspersill/door"
+	"jaspersill/idmap"
 	"jaspersill/lab/checker"
 )
 
@@ -36,7 +36,7 @@
 	freeIndexes     []int32
 	endedEvents     []int32 // events whose index is freed after this round
 	heldEvents      int
-	endpoints       door.Table[int32]
+	endpoints       idmap.Table[int32]
 	idleConnections [][]idleConnection // by the node's own endpoint index, the most recently used last
 	seenOutage      []int64            // by lane: start of the last outage that the node noticed
 	openCalls       []int32            // calls opened in this round
@@ -128,7 +128,7 @@
 		case inputListFailed:
 			to.ListFailed()
 		case inputPeerHealthy:
-			if ep, listed := s.endpoints.Find(p.ep); listed {
+			if ep, listed := s.endpoints.Lookup(p.ep); listed {
 				to.PeerReportedHealthy(int(p.peer), ep)
 			}
 		}
@@ -138,7 +138,7 @@
 // deliverEndpoint passes one endpoint's entry in the directory's list to the scheduler.
 func (s *simNode) deliverEndpoint(to delivery.Handler, ep int32, state delivery.EndpointState) {
 	e := &s.sim.destinations.Endpoints[ep]
-	localEp, _ := s.endpoints.Take(ep)
+	localEp, _ := s.endpoints.Acquire(ep)
 	for int(localEp) >= len(s.idleConnections) {
 		s.idleConnections = append(s.idleConnections, nil)
 	}
@@ -246,7 +246,7 @@
 	e.inFlight++
 	e.currentSend = number
 	e.refs++
-	sim.checker.RecordSend(sim.now, evt, ep, sim.destinations.LaneOf(ep))
+	sim.checker.RecordSend(sim.now, evt, ep, sim.destinations.GroupOf(ep))
 	sim.traceEntry("send", s.index, evt, int64(ep))
 	maxEvents := sim.scenario.DestinationKinds[sim.destinations.Endpoints[ep].Kind].MaxEventsPerCall
 	c := int32(-1)
--- a/lab/simulator/simulation.go
+++ b/lab/simulator/simulation.go
@@ -13,9 +13,9 @@
 	"strconv"
 
 	"jaspersill/delivery"
-	"jaspersill/door"
+	"jaspersill/idmap"
 	"jaspersill/lab/checker"
-	"jaspersill/lab/partner"
+	"jaspersill/lab/destination"
 	"jaspersill/lab/scenario"
 	"jaspersill/lab/workload"
 )
@@ -65,7 +65,7 @@
 	activeSends       int // sends that have not been abandoned
 	startedAt         int64
 	epoch             uint32
-	result            partner.Fate
+	result            destination.CallResult
 	connected         bool // it holds a connection
 	reached           bool
 	takesEffect       bool  // it takes effect if the endpoint's process lives until the work is done
@@ -94,7 +94,7 @@
 	now          int64
 	end          int64
 	queue        eventQueue
-	destinations *partner.Model
+	destinations *destination.Model
 	checker      *checker.Checker
 	nodes        []*simNode
 
@@ -149,7 +149,7 @@
 		scenario:     scn,
 		newScheduler: newScheduler,
 		end:          int64(scn.Length),
-		destinations: partner.New(scn, seed, luck),
+		destinations: destination.New(scn, seed, luck),
 		checker:      checker.New(scn),
 		source:       workload.NewGenerator(scn, seed),
 		faultRandom:  rand.New(rand.NewPCG(seed, FaultTargetStream)),
@@ -181,7 +181,7 @@
 func (sim *Simulation) Checker() *checker.Checker { return sim.checker }
 
 // Destinations returns the model of the destinations with their true state.
-func (sim *Simulation) Destinations() *partner.Model { return sim.destinations }
+func (sim *Simulation) Destinations() *destination.Model { return sim.destinations }
 
 // Now returns the virtual time in ns.
 func (sim *Simulation) Now() int64 { return sim.now }
@@ -198,7 +198,7 @@
 // LocalEndpoint maps an endpoint's number in the model to the node's own index for it, or to -1 if the node does
 // not know the endpoint.
 func (sim *Simulation) LocalEndpoint(node int, ep int32) int32 {
-	if localEp, ok := sim.nodes[node].endpoints.Find(ep); ok {
+	if localEp, ok := sim.nodes[node].endpoints.Lookup(ep); ok {
 		return localEp
 	}
 	return -1
@@ -206,7 +206,7 @@
 
 // HasIdleConnection reports whether a node has an idle connection to an endpoint, given by its number in the model.
 func (sim *Simulation) HasIdleConnection(node int, ep int32) bool {
-	localEp, ok := sim.nodes[node].endpoints.Find(ep)
+	localEp, ok := sim.nodes[node].endpoints.Lookup(ep)
 	return ok && len(sim.nodes[node].idleConnections[localEp]) > 0
 }
 
@@ -318,7 +318,7 @@
 			s.scheduleRound(sim.now)
 		}
 	case simEndpointGone:
-		sim.destinations.Leave(ev.a)
+		sim.destinations.Remove(ev.a)
 		sim.resetCalls(func(c *call) bool { return c.ep == ev.a })
 		sim.scheduleDirectoryChange(ev.a, delivery.Gone)
 	case simSecond:
@@ -354,7 +354,7 @@
 	s.eventByIndex, s.freeIndexes, s.inputs, s.nextRound, s.wakeAt =
 		s.eventByIndex[:0], s.freeIndexes[:0], s.inputs[:0], 0, 0
 	s.endpoints, s.idleConnections, s.seenOutage, s.watching, s.watchPending =
-		door.Table[int32]{}, nil, nil, false, false
+		idmap.Table[int32]{}, nil, nil, false, false
 	s.lastRound = sim.now - int64(sim.scenario.Fleet.Tick)
 	sim.routable[s.index] = true
 	sim.checker.RecordNodeServing(sim.now, s.index)
--- a/lab/soak/judge.go
+++ b/lab/soak/checks.go
@@ -44,7 +44,7 @@
 		}
 		in.refused++
 		if in.refused >= mostRefusedInARow && r.heard-in.since >= mostRefusing {
-			l.violate(RuleRecovers, r.heard, r, "node %d refused %d requests on end for %v", r.node, in.refused, r.heard-in.since)
+			l.violate(RuleRecovery, r.heard, r, "node %d refused %d requests on end for %v", r.node, in.refused, r.heard-in.since)
 			rows[r.node] = &row{}
 		}
 	}
--- a/lab/soak/client.go
+++ b/lab/soak/client.go
@@ -97,7 +97,7 @@
 		c.handDisturbed(r, status, err)
 		return
 	}
-	if errors.Is(err, errUnread) && c.path.From(c.conn.LocalAddr()) == nil { // the node refuses connections
+	if errors.Is(err, errUnread) && c.path.ConnFromClient(c.conn.LocalAddr()) == nil { // the node refuses connections
 		c.drop()
 		c.ledger.hears(r, 0, "")
 		return
@@ -110,7 +110,7 @@
 			return
 		}
 		status, err = c.exchange(text)
-		if errors.Is(err, errUnread) && c.path.From(c.conn.LocalAddr()) == nil {
+		if errors.Is(err, errUnread) && c.path.ConnFromClient(c.conn.LocalAddr()) == nil {
 			c.drop()
 			c.ledger.hears(r, 0, "")
 			return
@@ -135,7 +135,7 @@
 
 // disturbed tells whether a fault has struck the connection on its way.
 func (c *client) disturbed() bool {
-	return c.conn != nil && c.path.From(c.conn.LocalAddr()).Disturbed()
+	return c.conn != nil && c.path.ConnFromClient(c.conn.LocalAddr()).Disturbed()
 }
 
 // handDisturbed notes what came of a request on a connection that was disturbed, and uses it no more: which answer
--- a/lab/soak/discovery.go
+++ b/lab/soak/discovery.go
@@ -178,7 +178,7 @@
 
 // told notes which endpoints a node knows by now to be draining.
 func (d *discovery) told(node int, conn net.Conn) {
-	by := d.paths.discovery[node].SeenAs(conn.RemoteAddr())
+	by := d.paths.discovery[node].ConnToTarget(conn.RemoteAddr())
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for number := range d.draining {
--- a/lab/soak/endpoint.go
+++ b/lab/soak/endpoint.go
@@ -154,7 +154,7 @@
 // path is the connection through a proxy that a call came on.
 func (e *endpoint) path(conn net.Conn) *faultproxy.Connection {
 	for _, proxy := range e.paths {
-		if c := proxy.SeenAs(conn.RemoteAddr()); c != nil {
+		if c := proxy.ConnToTarget(conn.RemoteAddr()); c != nil {
 			return c
 		}
 	}
@@ -372,7 +372,7 @@
 		}
 	}
 	if w, told := e.toldUntil[node]; told && !w.by.Disturbed() && now > w.from+waitGrace && now < w.to-socketGrace {
-		e.ledger.broke(RuleWait, "node %d sent to endpoint %d %v before the wait that it was told is over", node, e.number,
+		e.ledger.broke(RuleRetryAfter, "node %d sent to endpoint %d %v before the wait that it was told is over", node, e.number,
 			w.to-now)
 	}
 }
--- a/lab/soak/ledger.go
+++ b/lab/soak/history.go
@@ -38,17 +38,17 @@
 
 // The rules. Those that say nothing else are the protocol's.
 const (
-	RuleAnswer    Rule = "answer"     // a request that was read gets one complete answer of its protocol
-	RuleFinal     Rule = "final"      // an accepted request is delivered or ended by a notice in time
-	RuleAfterEnd  Rule = "after-end"  // nothing is sent for a request that has its final answer
-	RuleRepeat    Rule = "repeat"     // no second effect
-	RuleDrain     Rule = "drain"      // nothing new for an endpoint that drains
-	RuleSlowStart Rule = "slow-start" // an endpoint that returns gets few calls
-	RuleWait      Rule = "retry-after"
-	RuleUntried   Rule = "untried"  // what a restart finds untried is tried
-	RuleCrash     Rule = "crash"    // no process ends unasked or is not ready in time
-	RuleRecovers  Rule = "recovers" // no node refuses everything for long
-	RuleInternal  Rule = "internal" // no node counts a violation of its own
+	RuleAnswer     Rule = "answer"     // a request that was read gets one complete answer of its protocol
+	RuleFinal      Rule = "final"      // an accepted request is delivered or ended by a notice in time
+	RuleAfterEnd   Rule = "after-end"  // nothing is sent for a request that has its final answer
+	RuleRepeat     Rule = "repeat"     // no second effect
+	RuleDrain      Rule = "drain"      // nothing new for an endpoint that drains
+	RuleSlowStart  Rule = "slow-start" // an endpoint that returns gets few calls
+	RuleRetryAfter Rule = "retry-after"
+	RuleUntried    Rule = "untried"  // what a restart finds untried is tried
+	RuleCrash      Rule = "crash"    // no process ends unasked or is not ready in time
+	RuleRecovery   Rule = "recovers" // no node refuses everything for long
+	RuleInternal   Rule = "internal" // no node counts a violation of its own
 )
 
 // attempt is one call of a request that an endpoint read whole.
--- a/lab/soak/paths.go
+++ b/lab/soak/paths.go
@@ -15,7 +15,7 @@
 	endpoints [][]*faultproxy.Proxy // by node and endpoint
 	discovery []*faultproxy.Proxy   // by node
 	clients   []*faultproxy.Proxy   // by node
-	peers     []*faultproxy.Datagrams
+	peers     []*faultproxy.DatagramProxy
 }
 
 // openPaths opens a proxy for each pair of ends. Clients reach nodes, and nodes reach all else, only through them.
@@ -71,7 +71,7 @@
 			}
 			others = append(others, address)
 		}
-		datagrams.SendTo(others)
+		datagrams.SetReceivers(others)
 	}
 	return nil
 }
@@ -84,7 +84,7 @@
 // struck is how many pieces were disturbed.
 func (p *paths) struck() (total int) {
 	for _, proxy := range p.proxies() {
-		total += proxy.Struck()
+		total += proxy.FaultCount()
 	}
 	return total
 }
@@ -134,14 +134,14 @@
 		r.ledger.did("%.0f of 100 answers come twice, after %v to %v; to notices: %v", 100*share, delay.least, delay.most, notices)
 		for node := range nodes {
 			if notices {
-				r.paths.discovery[node].Add(faultproxy.Fault{Kind: faultproxy.Repeat, Direction: faultproxy.Answers, Share: share,
-					Least: 2 * time.Millisecond, Most: 10 * time.Millisecond})
-				r.paths.discovery[node].Add(faultproxy.Fault{Kind: faultproxy.Reset, Direction: faultproxy.Requests, Share: share, After: 2})
+				r.paths.discovery[node].Add(faultproxy.Fault{Kind: faultproxy.Repeat, Direction: faultproxy.Responses, Probability: share,
+					MinDelay: 2 * time.Millisecond, MaxDelay: 10 * time.Millisecond})
+				r.paths.discovery[node].Add(faultproxy.Fault{Kind: faultproxy.Reset, Direction: faultproxy.Requests, Probability: share, FirstChunk: 2})
 				continue
 			}
 			for _, proxy := range r.paths.endpoints[node] {
-				proxy.Add(faultproxy.Fault{Kind: faultproxy.Repeat, Direction: faultproxy.Answers, Share: share, Least: delay.least,
-					Most: delay.most})
+				proxy.Add(faultproxy.Fault{Kind: faultproxy.Repeat, Direction: faultproxy.Responses, Probability: share, MinDelay: delay.least,
+					MaxDelay: delay.most})
 			}
 		}
 	})
@@ -152,10 +152,10 @@
 // these are left out.
 var pathKinds = map[string][]faultproxy.Kind{
 	pathEndpointRequests: {faultproxy.Hold, faultproxy.Split, faultproxy.Merge, faultproxy.Truncate, faultproxy.Drip,
-		faultproxy.Reset, faultproxy.EndOne},
+		faultproxy.Reset, faultproxy.HalfClose},
 	pathEndpointAnswers: faultproxy.Kinds(),
 	pathDiscovery: {faultproxy.Repeat, faultproxy.Hold, faultproxy.Split, faultproxy.Merge, faultproxy.Truncate, faultproxy.Drip,
-		faultproxy.Reset, faultproxy.EndOne},
+		faultproxy.Reset, faultproxy.HalfClose},
 	pathClientRequests: {faultproxy.Repeat, faultproxy.Hold, faultproxy.Split, faultproxy.Drip, faultproxy.Truncate, faultproxy.Reset},
 	pathClientAnswers:  {faultproxy.Hold, faultproxy.Split, faultproxy.Drip, faultproxy.Truncate, faultproxy.Reset},
 }
@@ -180,7 +180,7 @@
 		p.add(0, func(_ context.Context, r *run) {
 			r.ledger.did("%.0f of 100 datagrams are dropped, as many repeated, delays up to %v", 100*share, most)
 			for _, datagrams := range r.paths.peers {
-				datagrams.Disturb(share, most)
+				datagrams.SetFaults(share, most)
 			}
 		})
 	}
@@ -193,13 +193,13 @@
 	kinds := pathKinds[name]
 	at, long := p.moment(p.length*3/4), 200*time.Millisecond+p.moment(2*time.Second)
 	delay := delays[p.random.IntN(len(delays))]
-	fault := faultproxy.Fault{Kind: kinds[p.random.IntN(len(kinds))], Share: 0.05 + 0.4*p.random.Float64(), Least: delay.least,
-		Most: delay.most}
+	fault := faultproxy.Fault{Kind: kinds[p.random.IntN(len(kinds))], Probability: 0.05 + 0.4*p.random.Float64(), MinDelay: delay.least,
+		MaxDelay: delay.most}
 	answers := p.random.IntN(2) == 0
 	p.add(at, func(_ context.Context, r *run) {
 		fault.Until = time.Now().Add(long)
 		r.ledger.did("node %d: %s: %s for %v, share %.2f, delay %v to %v", node, name, fault.Kind, long.Round(time.Millisecond),
-			fault.Share, fault.Least, fault.Most)
+			fault.Probability, fault.MinDelay, fault.MaxDelay)
 		switch name {
 		case pathEndpointAnswers, pathEndpointRequests:
 			fault.Direction = directionOf(name == pathEndpointAnswers)
@@ -208,7 +208,7 @@
 			}
 		case pathDiscovery:
 			fault.Direction = directionOf(answers)
-			r.ledger.disturbsPlatform(node, long+fault.Most)
+			r.ledger.disturbsPlatform(node, long+fault.MaxDelay)
 			r.paths.discovery[node].Add(fault)
 		default:
 			fault.Direction = directionOf(name == pathClientAnswers)
@@ -219,7 +219,7 @@
 
 func directionOf(answers bool) faultproxy.Direction {
 	if answers {
-		return faultproxy.Answers
+		return faultproxy.Responses
 	}
 	return faultproxy.Requests
 }
--- a/lab/soak/paths_test.go
+++ b/lab/soak/paths_test.go
@@ -10,7 +10,7 @@
 func play(t *testing.T, o Options) {
 	t.Helper()
 	o.Program, o.Folder = program, t.TempDir()
-	report, err := Play(context.Background(), o)
+	report, err := Run(context.Background(), o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -18,12 +18,12 @@
 	if len(report.Violations) == 0 {
 		return
 	}
-	for _, event := range report.Events {
+	for _, event := range report.Actions {
 		t.Log(event)
 	}
 	for _, v := range report.Violations {
 		t.Errorf("jaspersill-lab soak --seed %d --nodes %d --length %v --only %q --paths=%v: %v", o.Seed, o.Nodes, o.Length, o.Only,
-			o.Paths, v)
+			o.PathFaults, v)
 	}
 }
 
@@ -43,5 +43,5 @@
 // held, split, merged, cut off, dripped, altered and reset.
 func TestRulesAreKeptWhilePathsAreDisturbed(t *testing.T) {
 	play(t, Options{Seed: 2, Nodes: 6, Length: 6 * time.Second, Only: onlyPaths})
-	play(t, Options{Seed: 9002, Nodes: 8, Length: 6 * time.Second, Paths: true})
+	play(t, Options{Seed: 9002, Nodes: 8, Length: 6 * time.Second, PathFaults: true})
 }
--- a/lab/soak/plan.go
+++ b/lab/soak/plan.go
@@ -79,8 +79,8 @@
 	onlyPaths   = "paths"   // bytes between all ends are disturbed
 )
 
-// Only lists the kinds of faults that can be played alone.
-func Only() []string {
+// FaultGroups lists the kinds of faults that can be played alone.
+func FaultGroups() []string {
 	return []string{onlyDisk, onlySockets, onlySlow, onlyKills, onlyCalls, onlyAnswers, onlyNotices, onlyPaths}
 }
 
@@ -115,7 +115,7 @@
 		p.drawEndpoints()
 		p.drawDiscovery(o.Nodes)
 	}
-	if o.Paths {
+	if o.PathFaults {
 		p.drawPaths(o.Nodes)
 	}
 	return p
@@ -142,7 +142,7 @@
 		}
 		fault := sysfault.Fault{Call: f.call, Errno: f.errno, Short: f.short}
 		if p.random.IntN(3) == 0 {
-			fault.Share = 0.1 + 0.6*p.random.Float64()
+			fault.Probability = 0.1 + 0.6*p.random.Float64()
 		}
 		if only == onlySlow || (only == "" && p.random.IntN(6) == 0) {
 			fault = sysfault.Fault{Call: sysfault.FileWrite, Delay: 50*time.Millisecond + p.moment(950*time.Millisecond)}
@@ -194,7 +194,7 @@
 	var faults []sysfault.Fault
 	if p.random.IntN(3) == 0 { // the start fails too, for a moment
 		f := failures[p.random.IntN(len(failures))]
-		faults = append(faults, sysfault.Fault{Call: f.call, Errno: f.errno, Share: 0.5 + 0.5*p.random.Float64()})
+		faults = append(faults, sysfault.Fault{Call: f.call, Errno: f.errno, Probability: 0.5 + 0.5*p.random.Float64()})
 	}
 	long := 100*time.Millisecond + p.moment(900*time.Millisecond)
 	switch p.random.IntN(5) {
@@ -264,15 +264,15 @@
 	if f.Delay > 0 {
 		text = fmt.Sprintf("slow by %v", f.Delay.Round(time.Millisecond))
 	}
-	r.ledger.did("node %d: %s: %s for %v, share %.2f, short %v", node, f.Call, text, long.Round(time.Millisecond), f.Share, f.Short)
+	r.ledger.did("node %d: %s: %s for %v, share %.2f, short %v", node, f.Call, text, long.Round(time.Millisecond), f.Probability, f.Short)
 	f.Until = time.Now().Add(long)
-	if f.Call == sysfault.SocketWrite && f.Share == 0 {
+	if f.Call == sysfault.SocketWrite && f.Probability == 0 {
 		r.ledger.mutes(node, long)
 	}
-	if f.Call == sysfault.SocketRead && f.Share == 0 {
+	if f.Call == sysfault.SocketRead && f.Probability == 0 {
 		r.ledger.deafens(node, long)
 	}
-	if (f.Call == sysfault.SocketOpen || f.Call == sysfault.Connect) && f.Share == 0 {
+	if (f.Call == sysfault.SocketOpen || f.Call == sysfault.Connect) && f.Probability == 0 {
 		r.ledger.sealsOff(node, long)
 	}
 	if onDisk(f.Call) {
--- a/lab/soak/process.go
+++ b/lab/soak/process.go
@@ -150,7 +150,7 @@
 	if err != nil {
 		return err
 	}
-	s.Watch(p.folder)
+	s.LimitFileFaults(p.folder)
 	for _, f := range faults {
 		s.Add(f)
 	}
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -19,13 +19,13 @@
 
 // Options is what a run is told.
 type Options struct {
-	Seed    uint64
-	Program string        // of the delivery node
-	Folder  string        // for configurations, state folders and logs
-	Nodes   int           // processes
-	Length  time.Duration // for which clients hand in requests
-	Only    string        // a kind of fault that is played alone, or empty for all
-	Paths   bool          // the bytes between the ends are disturbed beside all else
+	Seed       uint64
+	Program    string        // of the delivery node
+	Folder     string        // for configurations, state folders and logs
+	Nodes      int           // processes
+	Length     time.Duration // for which clients hand in requests
+	Only       string        // a kind of fault that is played alone, or empty for all
+	PathFaults bool          // the bytes between the ends are disturbed beside all else
 }
 
 // Report is what became of a run.
@@ -34,7 +34,7 @@
 	Requests   int
 	Counts     map[string]int
 	Violations []Violation
-	Events     []string // what was done to the system, in order
+	Actions    []string // what was done to the system, in order
 }
 
 // Summary tells the counts in one line.
@@ -69,8 +69,8 @@
 	restarts map[int][]span // by node, from the kill until it was ready again
 }
 
-// Play plays one run and judges it. The error is for a run that could not be played.
-func Play(ctx context.Context, options Options) (*Report, error) {
+// Run plays one run and judges it. The error is for a run that could not be played.
+func Run(ctx context.Context, options Options) (*Report, error) {
 	r := &run{options: options, ledger: newLedger(), restarts: map[int][]span{}}
 	r.plan = draw(options)
 	defer r.close()
@@ -109,7 +109,7 @@
 	if struck := r.paths.struck(); struck > 0 {
 		l.counts["disturbed on the way"] = struck
 	}
-	return &Report{Seed: options.Seed, Requests: len(l.order), Counts: l.counts, Violations: l.violations, Events: l.events}, nil
+	return &Report{Seed: options.Seed, Requests: len(l.order), Counts: l.counts, Violations: l.violations, Actions: l.events}, nil
 }
 
 func (r *run) open() error {
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -15,7 +15,7 @@
 
 // TestMain builds the delivery node that the runs are played with.
 func TestMain(m *testing.M) {
-	sysfault.BecomeProgramIfAsked()
+	sysfault.ExecUnderFilterIfRequested()
 	folder, err := os.MkdirTemp("", "soak-")
 	if err == nil {
 		program = filepath.Join(folder, "jaspersill")
--- a/lab/sysfault/launch.go
+++ b/lab/sysfault/launch.go
@@ -22,9 +22,9 @@
 
 const handOverDescriptor = 3 // where the launcher finds its socket to the parent
 
-// BecomeProgramIfAsked turns this process into the program in its arguments when Command started it. A program
+// ExecUnderFilterIfRequested turns this process into the program in its arguments when Command started it. A program
 // that calls Command calls this first in its main function.
-func BecomeProgramIfAsked() {
+func ExecUnderFilterIfRequested() {
 	if os.Getenv(launcherVariable) == "" {
 		return
 	}
--- a/lab/sysfault/supervisor.go
+++ b/lab/sysfault/supervisor.go
@@ -50,12 +50,12 @@
 
 // Fault is what happens to calls of one kind while it is in force.
 type Fault struct {
-	Call  Call
-	Errno syscall.Errno // 0 with Delay for a call that is only slow
-	Share float64       // of the calls, 0 for all
-	Short bool          // a write goes out in part before the next one fails
-	Delay time.Duration
-	Until time.Time
+	Call        Call
+	Errno       syscall.Errno // 0 with Delay for a call that is only slow
+	Probability float64       // of the calls, 0 for all
+	Short       bool          // a write goes out in part before the next one fails
+	Delay       time.Duration
+	Until       time.Time
 }
 
 // Supervisor decides on the calls of one child process.
@@ -69,8 +69,8 @@
 	faults []Fault
 }
 
-// Watch names the folder to whose files file faults are limited: no program can load without reading others.
-func (s *Supervisor) Watch(folder string) {
+// LimitFileFaults names the folder to whose files file faults are limited: no program can load without reading others.
+func (s *Supervisor) LimitFileFaults(folder string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.folder = folder
@@ -83,8 +83,8 @@
 	s.faults = append(s.faults, f)
 }
 
-// Failed counts the calls that were failed, shortened or delayed.
-func (s *Supervisor) Failed() int64 { return s.failed.Load() }
+// FaultCount counts the calls that were failed, shortened or delayed.
+func (s *Supervisor) FaultCount() int64 { return s.failed.Load() }
 
 // Wait returns once the child has ended.
 func (s *Supervisor) Wait() { <-s.done }
@@ -185,7 +185,7 @@
 	}
 	for i := range s.faults {
 		f := s.faults[i]
-		if f.Call == call && (f.Share == 0 || rand.Float64() < f.Share) {
+		if f.Call == call && (f.Probability == 0 || rand.Float64() < f.Probability) {
 			return &f
 		}
 	}
--- a/lifecycle/lifecycle.go
+++ b/lifecycle/lifecycle.go
@@ -50,9 +50,9 @@
 )
 
 var (
-	violations = metrics.NewFamily(violationsMetric, violationsHelp, "transition", transitionAttempt, transitionSend,
+	violations = metrics.NewCounterVec(violationsMetric, violationsHelp, "transition", transitionAttempt, transitionSend,
 		transitionOutcome, transitionReport, transitionStore, transitionClose, transitionConfirm)
-	denials      = metrics.NewFamily(denialsMetric, denialsHelp, "reason", denialDeadline, denialEnded)
+	denials      = metrics.NewCounterVec(denialsMetric, denialsHelp, "reason", denialDeadline, denialEnded)
 	denialLabels = map[*Denial]string{ErrDeadlinePassed: denialDeadline, ErrEndDecided: denialEnded}
 )
 
@@ -61,13 +61,13 @@
 
 // violation counts a violation and logs it with what it concerns.
 func violation(transition, id, reason string) error {
-	violations.With(transition).Add()
+	violations.With(transition).Inc()
 	logs.Event(logPart, id).WithFields(logrus.Fields{"transition": transition, "reason": reason}).Error("violation")
 	return fmt.Errorf("%w: %s: %s", ErrViolation, transition, reason)
 }
 
 func denied(d *Denial) error {
-	denials.With(denialLabels[d]).Add()
+	denials.With(denialLabels[d]).Inc()
 	return d
 }
 
--- a/logs/lines.go
+++ b/logs/asyncwriter.go
@@ -12,8 +12,8 @@
 	flushWithin  = 200 * time.Millisecond // for the last lines at the end of the process
 )
 
-// Lines writes lines from a goroutine of its own, so that whoever logs never waits for the reader of the log.
-type Lines struct {
+// AsyncWriter writes lines from a goroutine of its own, so that whoever logs never waits for the reader of the log.
+type AsyncWriter struct {
 	to      io.Writer
 	waiting chan line
 	dropped atomic.Int64
@@ -25,15 +25,15 @@
 	written chan<- struct{}
 }
 
-// NewLines begins to write lines, for as long as the process lasts.
-func NewLines(to io.Writer) *Lines {
-	l := &Lines{to: to, waiting: make(chan line, waitingLines)}
+// NewAsyncWriter begins to write lines, for as long as the process lasts.
+func NewAsyncWriter(to io.Writer) *AsyncWriter {
+	l := &AsyncWriter{to: to, waiting: make(chan line, waitingLines)}
 	go l.run()
 	return l
 }
 
 // Write takes a line. It never waits and never fails.
-func (l *Lines) Write(text []byte) (int, error) {
+func (l *AsyncWriter) Write(text []byte) (int, error) {
 	select {
 	case l.waiting <- line{text: append([]byte(nil), text...)}:
 	default:
@@ -42,7 +42,7 @@
 	return len(text), nil
 }
 
-func (l *Lines) run() {
+func (l *AsyncWriter) run() {
 	for next := range l.waiting {
 		if dropped := l.dropped.Swap(0); dropped > 0 {
 			fmt.Fprintf(l.to, "level=warning msg=\"lines were dropped: their reader is slow\" part=log times=%d\n", dropped)
@@ -56,7 +56,7 @@
 }
 
 // Flush waits until what was taken before is written, for a moment at most.
-func (l *Lines) Flush() {
+func (l *AsyncWriter) Flush() {
 	written := make(chan struct{})
 	late := time.After(flushWithin)
 	select {
--- a/logs/logs.go
+++ b/logs/logs.go
@@ -20,8 +20,8 @@
 	timestampFormat = "2006-01-02T15:04:05.000Z07:00"
 )
 
-// Gate decides which lines are written, and formats them. The zero value is not ready: use New.
-type Gate struct {
+// Formatter decides which lines are written, and formats them. The zero value is not ready: use New.
+type Formatter struct {
 	mu     sync.Mutex
 	inner  logrus.Formatter
 	level  logrus.Level
@@ -41,14 +41,14 @@
 }
 
 // New returns a gate that writes text, at level info.
-func New() *Gate {
-	g := &Gate{now: time.Now, kinds: make(map[string]*kind)}
-	g.Set("text", "info", nil, 20, 10*time.Second)
+func New() *Formatter {
+	g := &Formatter{now: time.Now, kinds: make(map[string]*kind)}
+	g.Configure("text", "info", nil, 20, 10*time.Second)
 	return g
 }
 
-// Set changes what is written. Unknown levels count as info. It may be called at any time.
-func (g *Gate) Set(format, level string, parts map[string]string, burst int, window time.Duration) {
+// Configure changes what is written. Unknown levels count as info. It may be called at any time.
+func (g *Formatter) Configure(format, level string, parts map[string]string, burst int, window time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.inner = &logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: timestampFormat}
@@ -61,8 +61,8 @@
 	}
 }
 
-// Least is the level below which no part's lines are written: what is under it need not be made.
-func (g *Gate) Least() logrus.Level {
+// MaxLevel is the level below which no part's lines are written: what is under it need not be made.
+func (g *Formatter) MaxLevel() logrus.Level {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	least := g.level
@@ -80,7 +80,7 @@
 }
 
 // Format implements logrus.Formatter. A line that is not to be written is nothing.
-func (g *Gate) Format(e *logrus.Entry) ([]byte, error) {
+func (g *Formatter) Format(e *logrus.Entry) ([]byte, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	part, _ := e.Data[partField].(string)
@@ -101,7 +101,7 @@
 
 // pass tells whether a line may be written, and how many of its message were held back before it.
 // Danger: a line for each event, while a partner or a disk fails, takes the CPU that the node was given.
-func (g *Gate) pass(part, message string, level logrus.Level) (held int, ok bool) {
+func (g *Formatter) pass(part, message string, level logrus.Level) (held int, ok bool) {
 	k := g.kinds[message]
 	if k == nil {
 		if len(g.kinds) >= manyKinds {
@@ -124,9 +124,9 @@
 	return held, true
 }
 
-// Tell writes how many lines were held back in windows that are over, and forgets messages that rest.
+// ReportSuppressed writes how many lines were held back in windows that are over, and forgets messages that rest.
 // Danger: what is held back last would never be told, as no line of its message follows.
-func (g *Gate) Tell(to *logrus.Logger) {
+func (g *Formatter) ReportSuppressed(to *logrus.Logger) {
 	type line struct {
 		message string
 		kind    kind
@@ -149,7 +149,7 @@
 }
 
 // Run calls Tell now and then until stop.
-func (g *Gate) Run(to *logrus.Logger, stop <-chan struct{}) {
+func (g *Formatter) Run(to *logrus.Logger, stop <-chan struct{}) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
@@ -157,7 +157,7 @@
 		case <-stop:
 			return
 		case <-tick.C:
-			g.Tell(to)
+			g.ReportSuppressed(to)
 		}
 	}
 }
@@ -170,6 +170,6 @@
 	return logrus.WithFields(logrus.Fields{partField: part, eventField: id})
 }
 
-// Debugging tells whether lines at level debug are written at all. Code that runs for every request asks before it
+// DebugEnabled tells whether lines at level debug are written at all. Code that runs for every request asks before it
 // gathers the fields of one.
-func Debugging() bool { return logrus.IsLevelEnabled(logrus.DebugLevel) }
+func DebugEnabled() bool { return logrus.IsLevelEnabled(logrus.DebugLevel) }
--- a/logs/logs_test.go
+++ b/logs/logs_test.go
@@ -12,12 +12,12 @@
 	"github.com/sirupsen/logrus"
 )
 
-func TestLinesAreHeldBackCountedAndTold(t *testing.T) {
+func TestSuppressedLinesAreCountedAndReported(t *testing.T) {
 	var out bytes.Buffer
 	g, now := New(), time.Unix(1000, 0)
 	g.now = func() time.Time { return now }
-	g.Set("json", "info", map[string]string{"clients": "debug", "journal": "error"}, 3, time.Second)
-	l := &logrus.Logger{Out: &out, Formatter: g, Hooks: logrus.LevelHooks{}, Level: g.Least()}
+	g.Configure("json", "info", map[string]string{"clients": "debug", "journal": "error"}, 3, time.Second)
+	l := &logrus.Logger{Out: &out, Formatter: g, Hooks: logrus.LevelHooks{}, Level: g.MaxLevel()}
 	in := func(part string) *logrus.Entry { return l.WithField("part", part) }
 	for range 10 {
 		in("clients").Debug("fails")
@@ -39,21 +39,21 @@
 	}
 	now = now.Add(2 * time.Second)
 	out.Reset()
-	g.Tell(l)
+	g.ReportSuppressed(l)
 	if !strings.Contains(out.String(), `"held_back":7`) ||
 		!strings.Contains(out.String(), `"part":"clients"`) {
 		t.Errorf("nobody told of the last 7: %s", &out)
 	}
-	g.Tell(l)
+	g.ReportSuppressed(l)
 	if n := strings.Count(out.String(), "held_back"); n != 1 {
 		t.Errorf("told %d times", n)
 	}
 }
 
-func TestMessagesThatAreAlwaysNewStayBounded(t *testing.T) {
+func TestDistinctMessagesStayBounded(t *testing.T) {
 	var out bytes.Buffer
 	g := New()
-	l := &logrus.Logger{Out: &out, Formatter: g, Hooks: logrus.LevelHooks{}, Level: g.Least()}
+	l := &logrus.Logger{Out: &out, Formatter: g, Hooks: logrus.LevelHooks{}, Level: g.MaxLevel()}
 	for i := range 20 * manyKinds {
 		l.Info(fmt.Sprint("message ", i))
 	}
@@ -63,9 +63,9 @@
 }
 
 // Guards against a node that stands still because the reader of its log lines does.
-func TestWhoeverLogsDoesNotWaitForTheReader(t *testing.T) {
+func TestSlowReaderDoesNotBlockLogging(t *testing.T) {
 	reader, writer := io.Pipe() // nobody reads
-	lines := NewLines(writer)
+	lines := NewAsyncWriter(writer)
 	began := time.Now()
 	for range 3 * waitingLines {
 		lines.Write([]byte("a line\n"))
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -19,11 +19,11 @@
 	counters []*Counter
 )
 
-// New registers a counter under a name.
-func New(name, help string) *Counter { return NewLabelled(name, help, "", "") }
+// NewCounter registers a counter under a name.
+func NewCounter(name, help string) *Counter { return NewLabelledCounter(name, help, "", "") }
 
-// NewLabelled registers one of several counters of a name, which a label's value tells apart.
-func NewLabelled(name, help, label, value string) *Counter {
+// NewLabelledCounter registers one of several counters of a name, which a label's value tells apart.
+func NewLabelledCounter(name, help, label, value string) *Counter {
 	c := &Counter{name: name, help: help, label: label, value: value}
 	mu.Lock()
 	defer mu.Unlock()
@@ -31,14 +31,14 @@
 	return c
 }
 
-// Add counts one more.
-func (c *Counter) Add() { c.count.Add(1) }
+// Inc counts one more.
+func (c *Counter) Inc() { c.count.Add(1) }
 
-// Count is how many there were.
-func (c *Counter) Count() int64 { return c.count.Load() }
+// Value is how many there were.
+func (c *Counter) Value() int64 { return c.count.Load() }
 
-// Write writes all counters in the text format that Prometheus reads.
-func Write(to io.Writer) error {
+// WriteText writes all counters in the text format that Prometheus reads.
+func WriteText(to io.Writer) error {
 	mu.Lock()
 	defer mu.Unlock()
 	named := map[string]bool{}
--- a/node/call.go
+++ b/node/call.go
@@ -63,7 +63,7 @@
 	recordRetryInterval = 10 * time.Millisecond // while the log cannot be written, before the next try
 )
 
-var attemptsEnded = metrics.NewFamily("jaspersill_attempts_ended_total", "Attempts that ended, by outcome.", "outcome",
+var attemptsEnded = metrics.NewCounterVec("jaspersill_attempts_ended_total", "Attempts that ended, by outcome.", "outcome",
 	delivery.Acked.String(), delivery.Errored.String(), delivery.Refused.String(), delivery.TimedOut.String(), delivery.ConnectFailed.String(),
 	delivery.Reset.String(), delivery.Cancelled.String(), delivery.Unsent.String(), delivery.Unreadable.String())
 
@@ -326,7 +326,7 @@
 		if size > 0 || errclass.Stream(err) != errclass.Transient {
 			return size == text.Len(), err
 		}
-		transientFailures.With("write").Add()
+		transientFailures.With("write").Inc()
 		c.localFailure.Store(true)
 		if !c.holdWrite() {
 			return false, err
@@ -436,7 +436,7 @@
 func (c *call) reportOutcome(s *attempt, r result) {
 	r.duration = c.pool.clock.now() - s.startedAt
 	c.logAttempt(s, "an attempt ended", logrus.Fields{"outcome": r.outcome.String(), "took_ms": r.duration / 1e6, "wait_ms": r.retryAfter / 1e6})
-	attemptsEnded.With(r.outcome.String()).Add()
+	attemptsEnded.With(r.outcome.String()).Inc()
 	if r.confirmation != nil && !r.outcome.MayHaveRun() && !r.final {
 		s.event.request.FinishUnconfirmedRefusal()
 	} else {
@@ -447,7 +447,7 @@
 
 // logAttempt writes a line about an attempt, with the connection that it goes out on.
 func (c *call) logAttempt(s *attempt, message string, fields logrus.Fields) {
-	if !logs.Debugging() {
+	if !logs.DebugEnabled() {
 		return
 	}
 	line := logs.Event("endpoints", s.event.id).WithFields(fields).
--- a/node/clientconn.go
+++ b/node/clientconn.go
@@ -56,7 +56,7 @@
 	clientCloseNotWritten clientCloseReason = "not_written" // the answer could not be written
 )
 
-var clientConnectionsClosed = metrics.NewFamily("jaspersill_client_connections_closed_total",
+var clientConnectionsClosed = metrics.NewCounterVec("jaspersill_client_connections_closed_total",
 	"Clients' connections that ended, by reason.", "reason", string(clientCloseRequested), string(clientCloseIdle), string(clientCloseByClient),
 	string(clientCloseUnreadable), string(clientCloseByHeader), string(clientCloseDraining), string(clientCloseNotWritten))
 
@@ -69,8 +69,8 @@
 
 // recordClose counts the end of the connection, and writes a line about it.
 func (g *clientConn) recordClose() {
-	clientConnectionsClosed.With(string(g.closeReason)).Add()
-	if logs.Debugging() {
+	clientConnectionsClosed.With(string(g.closeReason)).Inc()
+	if logs.DebugEnabled() {
 		logs.Part("clients").WithFields(logrus.Fields{"connection": g.id, "requests": g.requests, "reason": string(g.closeReason)}).
 			Debug("a client's connection ends")
 	}
--- a/node/clients.go
+++ b/node/clients.go
@@ -193,7 +193,7 @@
 		c.submit(ctx)
 	case path == pathMetrics && ctx.IsGet():
 		ctx.SetContentType(contentTypeMetrics)
-		metrics.Write(ctx)
+		metrics.WriteText(ctx)
 	case path == pathReady || path == pathSubmit:
 		c.rejectRequest(ctx, fasthttp.StatusMethodNotAllowed, "wrong method")
 	default:
@@ -240,7 +240,7 @@
 		recordRefusal(e.id, reason)
 		return clientResponse{status: statusDeclined, retryAfter: c.node.decisions.fullRetryAfter()}
 	}
-	if g, ok := ctx.Conn().(*clientConn); ok && logs.Debugging() {
+	if g, ok := ctx.Conn().(*clientConn); ok && logs.DebugEnabled() {
 		logs.Event("clients", e.id).WithField("connection", g.id).Debug("a request came")
 	}
 	go c.node.runEvent(e)
--- a/node/confirmation.go
+++ b/node/confirmation.go
@@ -21,9 +21,9 @@
 )
 
 var (
-	unconfirmedOutcomes = metrics.NewFamily("jaspersill_unconfirmed_outcomes_total",
+	unconfirmedOutcomes = metrics.NewCounterVec("jaspersill_unconfirmed_outcomes_total",
 		"Outcomes from answers that might have been another call's, by what the connection showed later.", "result", resultConfirmed, resultDoubted)
-	outOfSyncConnections = metrics.New("jaspersill_endpoint_connections_out_of_step_total",
+	outOfSyncConnections = metrics.NewCounter("jaspersill_endpoint_connections_out_of_step_total",
 		"Connections to endpoints on which an answer came that no call waited for.")
 )
 
@@ -70,7 +70,7 @@
 	if result {
 		word = resultConfirmed
 	}
-	unconfirmedOutcomes.With(word).Add()
+	unconfirmedOutcomes.With(word).Inc()
 	c.logResult(word, reason)
 	if then != nil {
 		then(result)
@@ -180,7 +180,7 @@
 }
 
 func (p *endpointPool) recordOutOfSync(conn *endpointConn, reason closeReason) {
-	outOfSyncConnections.Add()
+	outOfSyncConnections.Inc()
 	p.reuse[conn.endpoint].RecordOutOfSync(p.clock.now())
 	logs.Part("endpoints").WithFields(logrus.Fields{"connection": conn.id, "endpoint": p.names[conn.endpoint], "calls": conn.callCount,
 		"in_doubt": len(conn.unconfirmed), "reason": string(reason)}).Warn("an answer came that no call waits for")
--- a/node/decisionloop.go
+++ b/node/decisionloop.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"jaspersill/delivery"
-	"jaspersill/door"
+	"jaspersill/idmap"
 	"jaspersill/logs"
 )
 
@@ -27,10 +27,10 @@
 	stop         chan struct{}
 	done         chan struct{}
 
-	eventIndex    door.Table[*event]
+	eventIndex    idmap.Table[*event]
 	activeSends   []*attempt // the send that is out, by event
-	destIndex     door.Table[uint32]
-	endpointIndex door.Table[string]
+	destIndex     idmap.Table[uint32]
+	endpointIndex idmap.Table[string]
 	partnerOf     []int   // by endpoint
 	forgotten     []int32 // endpoints that the module forgot and calls may still know
 
@@ -139,12 +139,12 @@
 // addEvent hands an event in. One that was out before a restart comes with its sends so far.
 func (d *decisionLoop) addEvent(e *event) {
 	d.enqueue(func(to delivery.Handler) {
-		if e.index, _ = d.eventIndex.Take(e); int(e.index) == len(d.ended) {
+		if e.index, _ = d.eventIndex.Acquire(e); int(e.index) == len(d.ended) {
 			d.activeSends, d.ended = append(d.activeSends, nil), append(d.ended, false)
 		}
 		d.ended[e.index] = false
 		d.newEvents = append(d.newEvents, e.index)
-		dest, _ := d.destIndex.Take(e.dest)
+		dest, _ := d.destIndex.Acquire(e.dest)
 		to.Event(e.index, e.typ, e.customer, 0, e.monoDeadline-d.clock.now(), 0, dest)
 		if len(e.pastSends) > 0 {
 			d.reportPastSends(e, to)
@@ -196,7 +196,7 @@
 // registerEndpoint gives out an endpoint's index; fresh tells that nothing is known of it. Danger: one that is registerEndpoint
 // again just after it was forgotten must keep the index.
 func (d *decisionLoop) registerEndpoint(host string, partner int) (ep int32, fresh bool) {
-	ep, fresh = d.endpointIndex.Take(host)
+	ep, fresh = d.endpointIndex.Acquire(host)
 	if int(ep) == len(d.partnerOf) {
 		d.partnerOf = append(d.partnerOf, 0)
 	}
--- a/node/directory.go
+++ b/node/directory.go
@@ -23,7 +23,7 @@
 	"jaspersill/delivery"
 	"jaspersill/logs"
 	"jaspersill/metrics"
-	"jaspersill/start"
+	"jaspersill/settings"
 )
 
 const (
@@ -66,7 +66,7 @@
 
 // zoneIndex maps a zoneIndex's name to its index; an unknown one is one more.
 func (d *directory) zoneIndex(name string) int {
-	if i := slices.Index(d.zoneNames, start.Name(name)); i >= 0 {
+	if i := slices.Index(d.zoneNames, settings.NormalizeName(name)); i >= 0 {
 		return i
 	}
 	return len(d.zoneNames)
@@ -248,7 +248,7 @@
 	for _, h := range hosts.GetArray() {
 		e := entry{host: string(h.GetStringBytes("host")), dial: string(h.GetStringBytes("dial")),
 			dest: uint32(h.GetUint64("block")), site: string(h.GetStringBytes("site")),
-			partner: slices.Index(d.partnerNames, start.Name(string(h.GetStringBytes("class"))))}
+			partner: slices.Index(d.partnerNames, settings.NormalizeName(string(h.GetStringBytes("class"))))}
 		if e.host == "" || !h.Exists("block") { // danger: for the sake of one, no other would be known
 			logs.Part("directory").WithField("entry", fmt.Sprintf("%.200s", h)).
 				Warn("passed over an entry without a name or a destination")
@@ -297,7 +297,7 @@
 			if e.state == delivery.Gone { // danger: what answers there from now on may be another
 				d.endpoints.updateEndpoint(ep, e.host, e.site, "")
 			}
-			dest, _ := d.desk.destIndex.Take(e.dest)
+			dest, _ := d.desk.destIndex.Acquire(e.dest)
 			to.EndpointListed(ep, dest, e.partner, d.zoneIndex(e.site), e.state, e.rate)
 		}
 		to.ListEnded()
@@ -319,7 +319,7 @@
 
 var (
 	errOlderList = errors.New("a new watch begins with an older list")
-	olderLists   = metrics.New("jaspersill_older_lists_total", "Lists from discovery that were passed over, as a later one had come.")
+	olderLists   = metrics.NewCounter("jaspersill_older_lists_total", "Lists from discovery that were passed over, as a later one had come.")
 )
 
 // checkVersion decides by its version what becomes of a list. The version of a watch never goes back, so an older one on it is a
@@ -336,10 +336,10 @@
 		if d.olderStarts++; d.olderStarts >= olderStartsToAccept {
 			return applyListed
 		}
-		olderLists.Add()
+		olderLists.Inc()
 		return rejectUnconfirmed
 	}
-	olderLists.Add()
+	olderLists.Inc()
 	return ignoreOlder
 }
 
