--- a/node/endpointconn.go
+++ b/node/endpointconn.go
@@ -31,11 +31,11 @@
 )
 
 var (
-	connectionsOpened = metrics.New("jaspersill_endpoint_connections_opened_total", "Connections opened to endpoints.")
-	connectionsClosed = metrics.NewFamily("jaspersill_endpoint_connections_closed_total",
+	connectionsOpened = metrics.NewCounter("jaspersill_endpoint_connections_opened_total", "Connections opened to endpoints.")
+	connectionsClosed = metrics.NewCounterVec("jaspersill_endpoint_connections_closed_total",
 		"Connections to endpoints that were closed, by reason.", "reason", string(closeIdle), string(closeUnread),
 		string(closeEnded), string(closeGivenUp), string(closeBroken), string(closeSurplus))
-	callsMade = metrics.NewFamily("jaspersill_endpoint_calls_total", "Calls to endpoints, by the connection that they went out on.",
+	callsMade = metrics.NewCounterVec("jaspersill_endpoint_calls_total", "Calls to endpoints, by the connection that they went out on.",
 		"connection", connectionNew, connectionReused)
 
 	lastConnectionID atomic.Uint64
@@ -67,7 +67,7 @@
 }
 
 func newEndpointConn(conn *retryConn, endpoint int32, address string) *endpointConn {
-	connectionsOpened.Add()
+	connectionsOpened.Inc()
 	return &endpointConn{retryConn: conn, id: newConnectionID(), endpoint: endpoint, reader: newResponseReader(conn), address: address}
 }
 
@@ -75,9 +75,9 @@
 func (c *endpointConn) countCall() {
 	c.callCount++
 	if c.callCount == 1 {
-		callsMade.With(connectionNew).Add()
+		callsMade.With(connectionNew).Inc()
 	} else {
-		callsMade.With(connectionReused).Add()
+		callsMade.With(connectionReused).Inc()
 	}
 }
 
@@ -94,8 +94,8 @@
 
 // closeWithReason closes the connection for a reason, and counts it.
 func (c *endpointConn) closeWithReason(reason closeReason) {
-	connectionsClosed.With(string(reason)).Add()
-	if logs.Debugging() {
+	connectionsClosed.With(string(reason)).Inc()
+	if logs.DebugEnabled() {
 		logs.Part("endpoints").WithFields(logrus.Fields{"connection": c.id, "endpoint": c.endpoint, "calls": c.callCount,
 			"reason": string(reason)}).Debug("a connection is closed")
 	}
--- a/node/eventtask.go
+++ b/node/eventtask.go
@@ -15,7 +15,7 @@
 // hears that its request is taken on, which is true, and the refusal goes to the platform.
 const refusalRecordTimeout = 200 * time.Millisecond
 
-var refusedRequests = metrics.NewFamily("jaspersill_refused_requests_total",
+var refusedRequests = metrics.NewCounterVec("jaspersill_refused_requests_total",
 	"Requests that their clients heard to be refused, by reason.", "reason", refusedJournalFull, refusedWriteFailed, refusedByPolicy,
 	refusedAtCapacity, refusedUnlisted)
 
@@ -29,8 +29,8 @@
 
 // recordRefusal notes that a client hears that its request is refused.
 func recordRefusal(id, reason string) {
-	refusedRequests.With(reason).Add()
-	if logs.Debugging() {
+	refusedRequests.With(reason).Inc()
+	if logs.DebugEnabled() {
 		logs.Event("clients", id).WithField("reason", reason).Debug("a request is refused")
 	}
 }
--- a/node/listener.go
+++ b/node/listener.go
@@ -58,7 +58,7 @@
 			return nil, err
 		}
 		d.acceptErrors.record(err)
-		transientFailures.With("accept").Add()
+		transientFailures.With("accept").Inc()
 		if errclass.DescriptorsExhausted(err) {
 			d.mu.Lock()
 			d.evictOne(time.Now())
--- a/node/node.go
+++ b/node/node.go
@@ -10,7 +10,7 @@
 
 	"jaspersill/delivery"
 	"jaspersill/lifecycle"
-	"jaspersill/start"
+	"jaspersill/settings"
 	"jaspersill/store"
 )
 
@@ -71,13 +71,13 @@
 }
 
 // Open opens the journal and the sockets of a delivery node; Run starts it.
-func Open(at Config, most Limits, times ClientTimeouts, s start.Start, module delivery.Scheduler) (*Node, error) {
+func Open(at Config, most Limits, times ClientTimeouts, s settings.Settings, module delivery.Scheduler) (*Node, error) {
 	if at.machine == nil {
 		m := systemTimeSource()
 		at.machine = &m
 	}
 	c := newClock(at.StateFolder, *at.machine)
-	n := &Node{clock: c, maxEvents: int64(s.Room.MaxEvents), types: s.Types, typeNames: s.TypeNames,
+	n := &Node{clock: c, maxEvents: int64(s.Limits.MaxEvents), types: s.StreamTypes, typeNames: s.StreamTypeNames,
 		customerNames: s.CustomerNames}
 	n.SetDrainTimes(drainCloseIdle, drainStopDeciding, drainExit)
 	n.setPhase(Starting)
@@ -85,7 +85,7 @@
 	if at.disk == nil {
 		at.disk = store.Dir(at.StateFolder)
 	}
-	if n.journal, n.restored, err = openJournal(at.StateFolder, at.disk, c.timeOfDay, most.DiskMB, s.Room.MaxAttempts, n.resolveNames); err != nil {
+	if n.journal, n.restored, err = openJournal(at.StateFolder, at.disk, c.timeOfDay, most.DiskMB, s.Limits.MaxAttempts, n.resolveNames); err != nil {
 		return nil, err
 	}
 	sockets := most.Sockets
@@ -96,18 +96,18 @@
 	sockets = max(minSockets, sockets-reservedSockets)
 	idle := sockets / endpointIdleDivisor
 	var perCall []int
-	for _, p := range s.Partners {
+	for _, p := range s.DestinationKinds {
 		perCall = append(perCall, p.MaxEventsPerCall)
 	}
-	n.decisions = newDecisionLoop(c, module, s.Tick, append(perCall, 1))
-	n.endpoints = &endpointPool{clock: c, journal: n.journal, dial: newDialer(s.ConnectWithin),
-		idleTimeout: s.IdleFor, maxIdle: idle}
+	n.decisions = newDecisionLoop(c, module, s.MinRoundInterval, append(perCall, 1))
+	n.endpoints = &endpointPool{clock: c, journal: n.journal, dial: newDialer(s.ConnectTimeout),
+		idleTimeout: s.ConnIdleTimeout, maxIdle: idle}
 	n.directory = &directory{address: at.Directory, openWatches: make(map[*watch]struct{}),
 		knownDests: make(map[uint32]struct{}), desk: n.decisions, endpoints: n.endpoints,
-		partnerNames: s.PartnerNames, zoneNames: s.ZoneNames, useRates: s.Rated,
+		partnerNames: s.DestinationKindNames, zoneNames: s.ZoneNames, useRates: s.HasRates,
 		watchErrors: failureLog{part: "directory", operation: "watching the list"}}
 	n.notices = newNoticeSender(at.Directory)
-	if n.peers, err = newPeerMessenger(at.PeerListen, at.PeersAll, at.Peers, s.Fleet.Self, n.decisions, c.timeOfDay()); err != nil {
+	if n.peers, err = newPeerMessenger(at.PeerListen, at.PeersAll, at.Peers, s.Cluster.Self, n.decisions, c.timeOfDay()); err != nil {
 		n.journal.close()
 		return nil, err
 	}
@@ -119,7 +119,7 @@
 		}
 	}
 	if err == nil {
-		n.clients, err = newClientServer(n, at.Listen, times, max(minClients, sockets-idle-s.Room.MaxConcurrentCalls), keep)
+		n.clients, err = newClientServer(n, at.Listen, times, max(minClients, sockets-idle-s.Limits.MaxConcurrentCalls), keep)
 	}
 	if err != nil {
 		n.peers.close()
@@ -186,7 +186,7 @@
 
 // resolveNames maps the names of a stream type and a customer to their indices.
 func (n *Node) resolveNames(kind, owner string) (typ, customer int, ok bool) {
-	typ, customer = slices.Index(n.typeNames, start.Name(kind)), slices.Index(n.customerNames, start.Name(owner))
+	typ, customer = slices.Index(n.typeNames, settings.NormalizeName(kind)), slices.Index(n.customerNames, settings.NormalizeName(owner))
 	if len(n.customerNames) == 0 {
 		customer = 0
 	}
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -20,9 +20,9 @@
 	"github.com/valyala/fasthttp"
 
 	"jaspersill/delivery"
-	"jaspersill/note"
+	"jaspersill/peermsg"
 	"jaspersill/scheduler"
-	"jaspersill/start"
+	"jaspersill/settings"
 	"jaspersill/store"
 )
 
@@ -89,12 +89,12 @@
 		w.notices = append(w.notices, strings.Fields(body)...)
 		return respond("HTTP/1.1 204 No Content\r\n\r\n")(conn, body)
 	})
-	s, err := start.JSON([]byte(fmt.Sprintf(testSettings, w.maxEvents)))
+	s, err := settings.ParseJSON([]byte(fmt.Sprintf(testSettings, w.maxEvents)))
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	s.Directory.RequiresWatch = true
-	module := scheduler.New(1, s.Types, s.Partners, s.Room, s.Recovery, s.Directory, s.Fleet, s.OrderPause)
+	module := scheduler.New(1, s.StreamTypes, s.DestinationKinds, s.Limits, s.Recovery, s.Directory, s.Cluster, s.OrderPause)
 	w.Node, err = Open(Config{Listen: "127.0.0.1:0", Directory: directory.Addr().String(), StateFolder: w.folder,
 		KnownEndpoints: []byte(list), disk: w.disk, machine: w.timeSource}, Limits{DiskMB: w.diskMB}, ClientTimeouts{}, s, module)
 	if err != nil {
@@ -390,7 +390,7 @@
 	d := newDecisionLoop(clock{start: time.Now()}, nil, ms, []int{3})
 	d.partnerOf = []int{0}
 	for i, size := range []int{40 << 10, 20 << 10, 20 << 10, 10, 10} {
-		d.eventIndex.Take(&event{id: fmt.Sprint(i), body: make([]byte, size)})
+		d.eventIndex.Acquire(&event{id: fmt.Sprint(i), body: make([]byte, size)})
 		d.activeSends = append(d.activeSends, nil)
 		d.Send(int32(i), 0, ms)
 	}
@@ -1061,13 +1061,13 @@
 	to, _ := net.ResolveUDPAddr("udp", addresses[0])
 	sockets[2].WriteToUDP(buf[:n], to) // no peer
 	sockets[1].WriteToUDP([]byte("nonsense"), to)
-	sockets[1].WriteToUDP(note.GoodHost("unlisted", note.Order{Process: 1}), to)
+	sockets[1].WriteToUDP(peermsg.EncodeHealthyHost("unlisted", peermsg.Sequence{Incarnation: 1}), to)
 	sockets[1].WriteToUDP(buf[:n], to)
 	(&testEnv{t: t}).waitFor("the note is heard", func() bool { return strings.HasSuffix(r.joined(), "; good 1 1") })
 	// What comes again, or behind a later one, also of the process before, is no news.
-	for _, o := range []note.Order{{Process: 5, Number: 2}, {Process: 5, Number: 2}, {Process: 5, Number: 1}, {Process: 4, Number: 9},
-		{Process: 5, Number: 3}} {
-		sockets[1].WriteToUDP(note.GoodHost("a", o), to)
+	for _, o := range []peermsg.Sequence{{Incarnation: 5, Number: 2}, {Incarnation: 5, Number: 2}, {Incarnation: 5, Number: 1}, {Incarnation: 4, Number: 9},
+		{Incarnation: 5, Number: 3}} {
+		sockets[1].WriteToUDP(peermsg.EncodeHealthyHost("a", o), to)
 	}
 	(&testEnv{t: t}).waitFor("the last one is heard", func() bool { return strings.Count(r.joined(), "good 1 0") >= 2 })
 	time.Sleep(20 * time.Millisecond)
@@ -1075,7 +1075,7 @@
 		t.Errorf("%d of 5 were taken for news, want 2", got)
 	}
 	later := time.Now().Add(maxDatagramDelay)
-	if !p.isNewer(1, note.Order{Process: 4, Number: 1}, later) {
+	if !p.isNewer(1, peermsg.Sequence{Incarnation: 4, Number: 1}, later) {
 		t.Error("a peer whose clock was set back is never heard again")
 	}
 }
--- a/node/notices.go
+++ b/node/notices.go
@@ -32,9 +32,9 @@
 )
 
 var (
-	noticePosts = metrics.NewFamily("jaspersill_notice_posts_total", "Posts of notices to the platform, by what came of them.",
+	noticePosts = metrics.NewCounterVec("jaspersill_notice_posts_total", "Posts of notices to the platform, by what came of them.",
 		"result", noticeAcknowledged, noticeUnverified, noticeFailed)
-	noticeConnections = metrics.New("jaspersill_notice_connections_total", "Connections opened to the platform for notices.")
+	noticeConnections = metrics.NewCounter("jaspersill_notice_connections_total", "Connections opened to the platform for notices.")
 )
 
 // notice tells the platform how an event ended that was taken on and not delivered.
@@ -223,8 +223,8 @@
 }
 
 func (n *noticeSender) logPost(conn *platformConn, part []notice, result string, err error) {
-	noticePosts.With(result).Add()
-	if !logs.Debugging() {
+	noticePosts.With(result).Inc()
+	if !logs.DebugEnabled() {
 		return
 	}
 	for _, one := range part {
@@ -309,7 +309,7 @@
 	if err != nil {
 		return nil, err
 	}
-	noticeConnections.Add()
+	noticeConnections.Inc()
 	return &platformConn{retryConn: conn, id: newConnectionID(), address: address,
 		reader: bufio.NewReaderSize(conn, noticeReadBufferSize), stopCloseOnMove: context.AfterFunc(lifetime, func() { conn.Close() })}, nil
 }
--- a/node/peers.go
+++ b/node/peers.go
@@ -9,7 +9,7 @@
 	"jaspersill/errclass"
 	"jaspersill/logs"
 	"jaspersill/metrics"
-	"jaspersill/note"
+	"jaspersill/peermsg"
 )
 
 // peerMessenger trades notes with the other delivery nodes, by datagrams that may come late or never.
@@ -26,7 +26,7 @@
 
 // receivedDatagram is the newest datagram of a peer, and when it came.
 type receivedDatagram struct {
-	order      note.Order
+	order      peermsg.Sequence
 	receivedAt time.Time
 }
 
@@ -34,7 +34,7 @@
 // silence, has had its clock set back.
 const maxDatagramDelay = 10 * time.Second
 
-var lateDatagrams = metrics.New("jaspersill_late_peer_datagrams_total", "Datagrams of peers that came again, or behind a later one.")
+var lateDatagrams = metrics.NewCounter("jaspersill_late_peer_datagrams_total", "Datagrams of peers that came again, or behind a later one.")
 
 func newPeerMessenger(address, all string, list []string, me int, d *decisionLoop, day int64) (*peerMessenger, error) {
 	p := &peerMessenger{peerIndex: make(map[string]int), desk: d, processStart: uint64(day), lastReceived: make(map[int]receivedDatagram)}
@@ -62,7 +62,7 @@
 	if p.conn == nil {
 		return
 	}
-	var buf [note.Longest + 1]byte
+	var buf [peermsg.MaxSize + 1]byte
 	for {
 		size, from, err := p.conn.ReadFromUDPAddrPort(buf[:])
 		if err != nil {
@@ -73,16 +73,16 @@
 			continue
 		}
 		peer, known := p.peerIndex[from.String()]
-		host, order, ok := note.ReadGoodHost(buf[:size])
+		host, order, ok := peermsg.DecodeHealthyHost(buf[:size])
 		if !known || !ok { // a stray datagram must not bring an endpoint back
 			continue
 		}
 		if !p.isNewer(peer, order, time.Now()) { // nor one from before its last outage
-			lateDatagrams.Add()
+			lateDatagrams.Inc()
 			continue
 		}
 		p.desk.enqueue(func(to delivery.Handler) {
-			if ep, listed := p.desk.endpointIndex.Find(host); listed {
+			if ep, listed := p.desk.endpointIndex.Lookup(host); listed {
 				to.PeerReportedHealthy(peer, ep)
 			}
 		})
@@ -90,9 +90,9 @@
 }
 
 // isNewer tells whether a datagram of a peer is later than all that came of it, and notes it.
-func (p *peerMessenger) isNewer(peer int, order note.Order, now time.Time) bool {
+func (p *peerMessenger) isNewer(peer int, order peermsg.Sequence, now time.Time) bool {
 	newest, heard := p.lastReceived[peer]
-	if heard && !order.After(newest.order) && (order.Process == newest.order.Process || now.Sub(newest.receivedAt) < maxDatagramDelay) {
+	if heard && !order.After(newest.order) && (order.Incarnation == newest.order.Incarnation || now.Sub(newest.receivedAt) < maxDatagramDelay) {
 		return false
 	}
 	p.lastReceived[peer] = receivedDatagram{order, now}
@@ -100,8 +100,8 @@
 }
 
 func (p *peerMessenger) sendGood(host string) {
-	data := note.GoodHost(host, note.Order{Process: p.processStart, Number: p.sequence.Add(1)})
-	if p.conn == nil || len(data) > note.Longest {
+	data := peermsg.EncodeHealthyHost(host, peermsg.Sequence{Incarnation: p.processStart, Number: p.sequence.Add(1)})
+	if p.conn == nil || len(data) > peermsg.MaxSize {
 		return
 	}
 	if _, err := p.conn.WriteToUDP(data, p.broadcastAddr); err != nil {
--- a/node/recentrequests.go
+++ b/node/recentrequests.go
@@ -15,7 +15,7 @@
 	completedIDRetention = 10 * time.Second
 )
 
-var repeatedRequests = metrics.New("jaspersill_repeated_requests_total",
+var repeatedRequests = metrics.NewCounter("jaspersill_repeated_requests_total",
 	"Requests that came again under their id, which were answered as the first one and not taken on.")
 
 // recentRequests knows the requests that came of late. A client gives each request an id of its own, so one that comes again is a
@@ -39,7 +39,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if known := r.byID[id]; known != nil {
-		repeatedRequests.Add()
+		repeatedRequests.Inc()
 		return known, false
 	}
 	if r.byID == nil {
--- a/node/retryconn.go
+++ b/node/retryconn.go
@@ -19,7 +19,7 @@
 	maxRetryPause = 20 * time.Millisecond
 )
 
-var transientFailures = metrics.NewFamily("jaspersill_momentary_failures_total",
+var transientFailures = metrics.NewCounterVec("jaspersill_momentary_failures_total",
 	"Calls on sockets that failed for a reason of this machine and were tried again.", "call", "read", "write", "connect", "accept")
 
 // retryConn is a connection whose reads and writes are tried again when they fail for a moment: nothing is lost on
@@ -46,7 +46,7 @@
 		if n > 0 || errclass.Stream(err) != errclass.Transient {
 			return n, err
 		}
-		transientFailures.With("read").Add()
+		transientFailures.With("read").Inc()
 		if c.readFailingSince.IsZero() {
 			c.readFailingSince = time.Now()
 		}
@@ -67,7 +67,7 @@
 			return written, err
 		}
 		if n == 0 {
-			transientFailures.With("write").Add()
+			transientFailures.With("write").Inc()
 			time.Sleep(pause)
 		}
 	}
@@ -91,7 +91,7 @@
 			return written, err
 		}
 		if n == 0 {
-			transientFailures.With("write").Add()
+			transientFailures.With("write").Inc()
 			time.Sleep(pause)
 		}
 	}
@@ -221,7 +221,7 @@
 		if errclass.Socket(err) != errclass.Transient {
 			return nil, err
 		}
-		transientFailures.With("connect").Add()
+		transientFailures.With("connect").Inc()
 		select {
 		case <-ctx.Done():
 			return nil, err
--- a/start/start.go
+++ b/settings/settings.go
@@ -1,6 +1,6 @@
 // Package start reads what a delivery node is told at its start, as dotted names with their values: from the
 // bench's text, or from nested JSON made flat.
-package start
+package settings
 
 import (
 	"bytes"
@@ -15,25 +15,25 @@
 	"jaspersill/delivery"
 )
 
-// Start is what a delivery node is told at its start.
-type Start struct {
-	Types      []delivery.StreamType
-	Customers  []delivery.Customer
-	OverShare  float64
-	Partners   []delivery.DestinationKind
-	Room       delivery.Limits
-	Recovery   delivery.Recovery
-	Directory  delivery.Directory
-	Fleet      delivery.Cluster
-	OrderPause int64
+// Settings is what a delivery node is told at its start.
+type Settings struct {
+	StreamTypes      []delivery.StreamType
+	Customers        []delivery.Customer
+	OverShareUtility float64
+	DestinationKinds []delivery.DestinationKind
+	Limits           delivery.Limits
+	Recovery         delivery.Recovery
+	Directory        delivery.Directory
+	Cluster          delivery.Cluster
+	OrderPause       int64
 
-	Rated           bool // the list tells rates
-	LeftAt, LimitAt int  // where a load report holds the share left and the limit, -1 for nowhere
+	HasRates                   bool // the list tells rates
+	FreeShareIndex, LimitIndex int  // where a load report holds the share left and the limit, -1 for nowhere
 
-	TypeNames, CustomerNames, PartnerNames, ZoneNames []string
-	Unknown                                           []string // settings that nothing reads
-	Tick                                              int64    // least time between rounds
-	IdleFor, ConnectWithin                            int64    // connections: longest idle; to come up
+	StreamTypeNames, CustomerNames, DestinationKindNames, ZoneNames []string
+	UnknownKeys                                                     []string // settings that nothing reads
+	MinRoundInterval                                                int64    // least time between rounds
+	ConnIdleTimeout, ConnectTimeout                                 int64    // connections: longest idle; to come up
 }
 
 // maxListed bounds a count claimed by the env text.
@@ -141,8 +141,8 @@
 	return n
 }
 
-// Lines reads one name=value pair a line.
-func Lines(text string) (Start, error) {
+// ParseLines reads one name=value pair a line.
+func ParseLines(text string) (Settings, error) {
 	values := make(map[string]string)
 	for line := range strings.SplitSeq(text, "\n") {
 		if name, value, ok := strings.Cut(strings.TrimSuffix(line, "\r"), "="); ok {
@@ -152,22 +152,22 @@
 	return read(values)
 }
 
-// JSON reads the same names from a nested object: a list of objects has its length under .count and its items
+// ParseJSON reads the same names from a nested object: a list of objects has its length under .count and its items
 // under .0, .1 and so on; a list of plain values is joined with commas.
-func JSON(data []byte) (Start, error) {
+func ParseJSON(data []byte) (Settings, error) {
 	var nested map[string]any
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.UseNumber()
 	if err := d.Decode(&nested); err != nil {
-		return Start{}, fmt.Errorf("settings: %w", err)
+		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	values := make(map[string]string)
 	flatten(values, "", nested)
 	return read(values)
 }
 
-// Name is how a name looks among the values read at start.
-func Name(text string) string { return spaced.Replace(text) }
+// NormalizeName is how a name looks among the values read at start.
+func NormalizeName(text string) string { return spaced.Replace(text) }
 
 var spaced = strings.NewReplacer(" ", "_", ",", "_")
 
@@ -199,9 +199,9 @@
 	}
 }
 
-func read(values map[string]string) (Start, error) {
+func read(values map[string]string) (Settings, error) {
 	e := &reader{values: values, known: make(map[string]bool)}
-	var s Start
+	var s Settings
 	halving := false
 	if _, ok := e.get("family_info.late"); ok {
 		halving = e.text("family_info.late", "even", "by_half") == "by_half"
@@ -231,22 +231,22 @@
 			t.DedupWindow = e.time(at+"memory_span_ms", true)
 			t.DedupPerZone = e.text(at+"group", "all", "zone", "cell") == "zone"
 		}
-		s.Types = append(s.Types, t)
-		s.TypeNames = append(s.TypeNames, e.word(at+"name"))
+		s.StreamTypes = append(s.StreamTypes, t)
+		s.StreamTypeNames = append(s.StreamTypeNames, e.word(at+"name"))
 	}
 	for i := range e.listed("projects.count") {
 		s.Customers = append(s.Customers,
 			delivery.Customer{Rate: e.number("projects."+strconv.Itoa(i)+".quota_rps", true)})
 		s.CustomerNames = append(s.CustomerNames, e.word("projects."+strconv.Itoa(i)+".name"))
 	}
-	s.OverShare = 1
+	s.OverShareUtility = 1
 	if _, ok := e.get("over_share_worth"); ok {
-		s.OverShare = e.number("over_share_worth", true)
+		s.OverShareUtility = e.number("over_share_worth", true)
 	}
 	perCall := split(e.word("family_info.per_call"))
 	routes := split(e.word("family_info.own_limits"))
-	s.PartnerNames, s.ZoneNames = split(e.text("models")), split(e.word("areas"))
-	for i := range s.PartnerNames {
+	s.DestinationKindNames, s.ZoneNames = split(e.text("models")), split(e.word("areas"))
+	for i := range s.DestinationKindNames {
 		p := delivery.DestinationKind{MaxEventsPerCall: 1}
 		if i < len(perCall) {
 			n, err := strconv.Atoi(perCall[i])
@@ -261,16 +261,16 @@
 			}
 			p.LimitPerEndpoint = routes[i] == "true"
 		}
-		s.Partners = append(s.Partners, p)
+		s.DestinationKinds = append(s.DestinationKinds, p)
 	}
-	s.Room = delivery.Limits{
+	s.Limits = delivery.Limits{
 		MaxConcurrentCalls: e.atLeast(1, "family_info.slots"),
 		MaxEvents:          e.atLeast(1, "ceilings.max_open"),
 		MaxAttempts:        e.atLeast(1, "ceilings.max_attempts"),
 		CanCancel:          e.flag("ceilings.cancel"),
 	}
 	if e.flag("ceilings.retry_after") {
-		s.Room.MaxRetryAfter = e.time("ceilings.max_retry_after_ms", false)
+		s.Limits.MaxRetryAfter = e.time("ceilings.max_retry_after_ms", false)
 	}
 	s.Recovery = delivery.Recovery{
 		ColdShare:      e.number("rules.cold_share", true),
@@ -282,19 +282,19 @@
 		RequiresWatch: e.text("discovery", "automatic", "subscribe") == "subscribe",
 		DrainGrace:    e.time("rules.drain_grace_ms", true),
 	}
-	s.Fleet = delivery.Cluster{
+	s.Cluster = delivery.Cluster{
 		Self:         e.count("me", true),
 		Nodes:        e.atLeast(1, "replicas_of_me"),
 		PeerMessages: e.flag("ceilings.peer_messages"),
 		Probes:       e.flag("ceilings.probes"),
 	}
-	s.Rated = e.word("weight_kind") == "nominal" || e.word("weight_kind") == "rough"
+	s.HasRates = e.word("weight_kind") == "nominal" || e.word("weight_kind") == "rough"
 	names := split(e.word("feedback.names"))
-	s.LeftAt, s.LimitAt = slices.Index(names, "x0"), slices.Index(names, "x1")
+	s.FreeShareIndex, s.LimitIndex = slices.Index(names, "x0"), slices.Index(names, "x1")
 	s.OrderPause = e.time("rules.order_pause_ms", false)
-	s.Tick, s.IdleFor = e.time("tick_ms", false), e.time("ceilings.conn_idle_ms", false)
-	s.ConnectWithin = e.time("ceilings.connect_timeout_ms", false)
-	s.Unknown = e.unknown()
+	s.MinRoundInterval, s.ConnIdleTimeout = e.time("tick_ms", false), e.time("ceilings.conn_idle_ms", false)
+	s.ConnectTimeout = e.time("ceilings.connect_timeout_ms", false)
+	s.UnknownKeys = e.unknown()
 	return s, e.err
 }
 
--- a/start/start_test.go
+++ b/settings/settings_test.go
@@ -1,4 +1,4 @@
-package start
+package settings
 
 import (
 	"reflect"
@@ -51,29 +51,29 @@
   "memory_span_ms":5000,"value":2}],
  "projects":[{"name":"acme","quota_rps":3},{"name":"a,b c","quota_rps":4}],"unknown":{"key":null}}`
 
-func TestBothFormsReadTheSame(t *testing.T) {
-	a, err := Lines(lines)
+func TestLinesAndJSONParseAlike(t *testing.T) {
+	a, err := ParseLines(lines)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := JSON([]byte(nested))
+	b, err := ParseJSON([]byte(nested))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b.Unknown = a.Unknown; !reflect.DeepEqual(a, b) { // a null is nothing told
+	if b.UnknownKeys = a.UnknownKeys; !reflect.DeepEqual(a, b) { // a null is nothing told
 		t.Errorf("lines %+v\nJSON %+v", a, b)
 	}
-	if a.TypeNames[0] != Name("fleet alert") || a.CustomerNames[1] != Name("a,b c") || a.LimitAt != 0 ||
-		a.LeftAt != 1 || a.Tick != 5e6 || a.IdleFor != 15e9 || a.ConnectWithin != 15e8 ||
-		a.Room.MaxRetryAfter != 1500.5*1e6 {
+	if a.StreamTypeNames[0] != NormalizeName("fleet alert") || a.CustomerNames[1] != NormalizeName("a,b c") || a.LimitIndex != 0 ||
+		a.FreeShareIndex != 1 || a.MinRoundInterval != 5e6 || a.ConnIdleTimeout != 15e9 || a.ConnectTimeout != 15e8 ||
+		a.Limits.MaxRetryAfter != 1500.5*1e6 {
 		t.Errorf("read %+v", a)
 	}
-	if len(a.Unknown) != 1 || a.Unknown[0] != "unknown.key" {
-		t.Errorf("unknown: %q", a.Unknown)
+	if len(a.UnknownKeys) != 1 || a.UnknownKeys[0] != "unknown.key" {
+		t.Errorf("unknown: %q", a.UnknownKeys)
 	}
 }
 
-func TestBadSettingsAreNamed(t *testing.T) {
+func TestInvalidSettingsAreReported(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`"me":1`, `"me":"x"`, `settings: me: want a number from 0 to 1e12, got "x"`},
 		{`"me":1`, `"me":[1,`, "settings: "},
@@ -88,7 +88,7 @@
 		{nested, "", "settings: "},
 		{nested, "[]", "settings: "},
 	} {
-		_, err := JSON([]byte(strings.Replace(nested, c.old, c.new, 1)))
+		_, err := ParseJSON([]byte(strings.Replace(nested, c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: got %v, want %q", c.new, err, c.want)
 		}
--- a/simwire/simwire.go
+++ b/simwire/simwire.go
@@ -12,9 +12,9 @@
 	"math"
 
 	"jaspersill/delivery"
-	"jaspersill/door"
-	"jaspersill/note"
-	"jaspersill/start"
+	"jaspersill/idmap"
+	"jaspersill/peermsg"
+	"jaspersill/settings"
 )
 
 const (
@@ -76,7 +76,7 @@
 	408: delivery.TimedOut, 521: delivery.ConnectFailed, 520: delivery.Reset, 444: delivery.Cancelled, 409: delivery.Unsent}
 
 // Serve answers batches until the input ends.
-func Serve(in io.Reader, out io.Writer, launch func(seed uint64, s start.Start) delivery.Scheduler) error {
+func Serve(in io.Reader, out io.Writer, launch func(seed uint64, s settings.Settings) delivery.Scheduler) error {
 	l := link{launch: launch, in: bufio.NewReaderSize(in, 1<<16), out: bufio.NewWriterSize(out, 1<<16),
 		nodes: make(map[uint16]*instance)}
 	for {
@@ -91,7 +91,7 @@
 }
 
 type link struct {
-	launch  func(uint64, start.Start) delivery.Scheduler
+	launch  func(uint64, settings.Settings) delivery.Scheduler
 	in      *bufio.Reader
 	out     *bufio.Writer
 	body    bytes.Buffer
@@ -111,12 +111,12 @@
 	news    []item
 	listed  bool // has an event in this batch
 
-	evts  door.Table[uint64]
+	evts  idmap.Table[uint64]
 	sends []int32
 	ended []bool
 	done  []int32 // ended events whose sends may all be over
 
-	eps, dests      door.Table[uint32]
+	eps, dests      idmap.Table[uint32]
 	rated           bool // the list tells rates
 	leftAt, limitAt int  // where a load report holds the share left and the limit, -1 for nowhere
 }
@@ -249,12 +249,12 @@
 			if err != nil {
 				return bad("Launch: %v", err)
 			}
-			s, err := start.Lines(string(text))
+			s, err := settings.ParseLines(string(text))
 			if err != nil {
 				return bad("Launch: %v", err)
 			}
 			*cur = instance{number: cur.number, link: l, listed: true, news: cur.news[:0],
-				rated: s.Rated, leftAt: s.LeftAt, limitAt: s.LimitAt, decider: l.launch(le.Uint64(r[1:]), s)}
+				rated: s.HasRates, leftAt: s.FreeShareIndex, limitAt: s.LimitIndex, decider: l.launch(le.Uint64(r[1:]), s)}
 			continue
 		case evTopology:
 			how, table := r[1], le.Uint16(r[10:])
@@ -327,26 +327,26 @@
 		case evKnock:
 			n.knock(r, to)
 		case evBegun:
-			if e, ok := n.evts.Find(le.Uint64(r[1:])); ok {
+			if e, ok := n.evts.Lookup(le.Uint64(r[1:])); ok {
 				to.ProcessingStarted(e, int(le.Uint16(r[9:])))
 			}
 		case evFinished:
 			n.finished(r, to)
 		case evAbandoned:
-			if e, ok := n.evts.Find(le.Uint64(r[1:])); ok {
+			if e, ok := n.evts.Lookup(le.Uint64(r[1:])); ok {
 				n.end(e)
 				to.Withdrawn(e)
 			}
 		case evReminder:
 			to.Woken()
 		case evProbed:
-			if ep, ok := n.eps.Find(le.Uint32(r[1:])); ok {
+			if ep, ok := n.eps.Lookup(le.Uint32(r[1:])); ok {
 				to.Probed(ep, outcomes[le.Uint16(r[5:])], nanos(float(r[7:])),
 					n.figure(r[15:], n.leftAt), n.figure(r[15:], n.limitAt))
 			}
 		case evMemo:
-			if id, ok := note.ReadGood(it.entries); ok {
-				if ep, known := n.eps.Find(id); known {
+			if id, ok := peermsg.DecodeHealthy(it.entries); ok {
+				if ep, known := n.eps.Lookup(id); known {
 					to.PeerReportedHealthy(int(le.Uint16(r[1:])), ep)
 				}
 			}
@@ -361,7 +361,7 @@
 	}
 	to.ListStarted(how != topoChanges)
 	for e := entries; len(e) > 0; e = e[entrySize:] {
-		ep, _ := n.eps.Take(le.Uint32(e))
+		ep, _ := n.eps.Acquire(le.Uint32(e))
 		rate := single(e[10:])
 		if !n.rated || !usable(rate, 1e9) {
 			rate = 0
@@ -372,12 +372,12 @@
 }
 
 func (n *instance) dest(number uint32) int32 {
-	d, _ := n.dests.Take(number)
+	d, _ := n.dests.Acquire(number)
 	return d
 }
 
 func (n *instance) knock(r []byte, to delivery.Handler) {
-	e, fresh := n.evts.Take(le.Uint64(r[1:]))
+	e, fresh := n.evts.Acquire(le.Uint64(r[1:]))
 	if !fresh {
 		return
 	}
@@ -394,8 +394,8 @@
 }
 
 func (n *instance) finished(r []byte, to delivery.Handler) {
-	e, ok := n.evts.Find(le.Uint64(r[1:]))
-	ep, known := n.eps.Find(le.Uint32(r[26:]))
+	e, ok := n.evts.Lookup(le.Uint64(r[1:]))
+	ep, known := n.eps.Lookup(le.Uint32(r[26:]))
 	if !ok || !known {
 		return
 	}
@@ -519,5 +519,5 @@
 }
 
 func (w *writer) AnnounceHealthy(ep int32) {
-	le.PutUint16(w.bytes(acMemoTo, 3, note.Good(w.node.eps.ID(ep)))[1:], allPeers)
+	le.PutUint16(w.bytes(acMemoTo, 3, peermsg.EncodeHealthy(w.node.eps.ID(ep)))[1:], allPeers)
 }
--- a/simwire/simwire_test.go
+++ b/simwire/simwire_test.go
@@ -10,7 +10,7 @@
 	"testing"
 
 	"jaspersill/delivery"
-	"jaspersill/start"
+	"jaspersill/settings"
 )
 
 var launchEnv = strings.ReplaceAll(`models=big,small discovery=subscribe ceilings.max_open=50 ceilings.max_attempts=4 `+
@@ -127,8 +127,8 @@
 			w.Log("two words", 1)
 		}
 	}
-	var got start.Start
-	if err := Serve(&in, &out, func(seed uint64, st start.Start) delivery.Scheduler { got = st; s.say("seed", seed); return s }); err != nil {
+	var got settings.Settings
+	if err := Serve(&in, &out, func(seed uint64, st settings.Settings) delivery.Scheduler { got = st; s.say("seed", seed); return s }); err != nil {
 		t.Fatal(err)
 	}
 	want := []string{"seed 99", "round 1000000000", "list true", "listed 0 0 1 1 2 4.5", "listed 1 0 1 1 2 4.5",
@@ -138,8 +138,8 @@
 		t.Errorf("got\n%s\nwant\n%s", strings.Join(s.said, "\n"), strings.Join(want, "\n"))
 	}
 	typ := delivery.StreamType{Safety: delivery.Deduplicated, DedupPerZone: true, DedupWindow: 5e9, SLO: 1e9, MaxAge: 9e9, Utility: 2}
-	if got.Types[0] != typ || got.Partners[0] != (delivery.DestinationKind{MaxEventsPerCall: 3}) || got.Partners[1] != (delivery.DestinationKind{LimitPerEndpoint: true, MaxEventsPerCall: 1}) ||
-		got.Room.MaxRetryAfter != 1500*1e6 || !got.Directory.RequiresWatch || got.Fleet.Nodes != 2 {
+	if got.StreamTypes[0] != typ || got.DestinationKinds[0] != (delivery.DestinationKind{MaxEventsPerCall: 3}) || got.DestinationKinds[1] != (delivery.DestinationKind{LimitPerEndpoint: true, MaxEventsPerCall: 1}) ||
+		got.Limits.MaxRetryAfter != 1500*1e6 || !got.Directory.RequiresWatch || got.Cluster.Nodes != 2 {
 		t.Errorf("read at start: %+v", got)
 	}
 	record := func(code byte, fields ...any) string {
@@ -162,7 +162,7 @@
 	}
 }
 
-func TestBadInputIsNamed(t *testing.T) {
+func TestInvalidInputIsReported(t *testing.T) {
 	begin := func() *frame { return new(frame).put(evTo, uint16(3)).put(evLaunch, uint64(9), launchEnv) }
 	withEnv := func(from, to string) []byte {
 		return new(frame).put(evTo, uint16(3)).put(evLaunch, uint64(9), strings.Replace(launchEnv, from, to, 1)).bytes(1, 0)
@@ -188,7 +188,7 @@
 		{withEnv("by_key", "sometimes"), `services.0.semantics: want one of repeatable by_key once, got "sometimes"`},
 		{withEnv("services.count=1", "services.count=900000000"), `settings: services.count: want at most 4096`},
 	} {
-		err := Serve(bytes.NewReader(c.in), &bytes.Buffer{}, func(uint64, start.Start) delivery.Scheduler { return &script{act: func(delivery.Executor) {}} })
+		err := Serve(bytes.NewReader(c.in), &bytes.Buffer{}, func(uint64, settings.Settings) delivery.Scheduler { return &script{act: func(delivery.Executor) {}} })
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("want %q, got %v", c.want, err)
 		}
@@ -199,7 +199,7 @@
 	var out bytes.Buffer
 	s := &script{act: func(w delivery.Executor) { w.Watch(true); panic("lost count") }}
 	in := new(frame).put(evTo, uint16(3)).put(evLaunch, uint64(9), launchEnv).bytes(1, 0)
-	if err := Serve(bytes.NewReader(in), &out, func(uint64, start.Start) delivery.Scheduler { return s }); err != nil {
+	if err := Serve(bytes.NewReader(in), &out, func(uint64, settings.Settings) delivery.Scheduler { return s }); err != nil {
 		t.Fatal(err)
 	}
 	if b := out.Bytes(); len(b) < 60 || b[4] != 2 || b[12+actionSize] != acBailOut || !bytes.HasSuffix(b, []byte("lost count")) {
@@ -213,6 +213,6 @@
 	f.Add(b.bytes(1, 0))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		s := &script{act: func(delivery.Executor) {}}
-		_ = Serve(bytes.NewReader(in), &bytes.Buffer{}, func(uint64, start.Start) delivery.Scheduler { return s })
+		_ = Serve(bytes.NewReader(in), &bytes.Buffer{}, func(uint64, settings.Settings) delivery.Scheduler { return s })
 	})
 }
