--- a/lab/checker/checker.go
+++ b/lab/checker/checker.go
@@ -174,7 +174,7 @@
 	keyQueues       map[orderKey]*keyQueue
 	drainReportedAt map[nodeEndpoint]int64
 	drainReported   []bool    // by endpoint: some node was told that it drains
-	waitUntil       [][]int64 // by node and lane: end of the Retry-After period
+	waitUntil       [][]int64 // by node and endpoint group: end of the Retry-After period
 	servingSince    []int64   // by node: start of serving; in the far future while it is stopping or down
 
 	Violations     []Violation
@@ -269,8 +269,8 @@
 	}
 }
 
-// RecordSend records and checks a send to an endpoint of a lane.
-func (c *Checker) RecordSend(now int64, evt, ep, lane int32) {
+// RecordSend records and checks a send to an endpoint of a group.
+func (c *Checker) RecordSend(now int64, evt, ep, group int32) {
 	e := &c.events[evt]
 	t := &c.types[e.typ]
 	c.Sends++
@@ -310,12 +310,12 @@
 			)
 		}
 	}
-	if w := c.waitUntil[e.node]; int(lane) < len(w) && now < w[lane] {
+	if w := c.waitUntil[e.node]; int(group) < len(w) && now < w[group] {
 		c.violate(
 			RuleRetryAfter,
 			now,
 			e,
-			fmt.Sprintf("send to a destination that asked to wait until %.3f s", float64(w[lane])/1e9),
+			fmt.Sprintf("send to a destination that asked to wait until %.3f s", float64(w[group])/1e9),
 		)
 	}
 	if t.Ordered && e.key != 0 {
@@ -498,10 +498,10 @@
 	}
 }
 
-// RecordRetryAfter records that a node was told to wait before it sends to a lane again.
-func (c *Checker) RecordRetryAfter(now int64, node, lane int32, wait int64) {
-	c.waitUntil[node] = grow(c.waitUntil[node], int(lane))
-	c.waitUntil[node][lane] = max(c.waitUntil[node][lane], now+wait)
+// RecordRetryAfter records that a node was told to wait before it sends to an endpoint group again.
+func (c *Checker) RecordRetryAfter(now int64, node, group int32, wait int64) {
+	c.waitUntil[node] = grow(c.waitUntil[node], int(group))
+	c.waitUntil[node][group] = max(c.waitUntil[node][group], now+wait)
 }
 
 // RecordNodeStopping records that a node was asked to stop. Until it serves again, none of its ends is overdue.
--- a/lab/policy/policy.go
+++ b/lab/policy/policy.go
@@ -1,5 +1,5 @@
-// Package policy holds what the lab puts in a node's place of decision: the decision module itself, textbook
-// policies to set it beside, and one that sees the true state of everything. Nothing but the lab imports it.
+// Package policy holds the schedulers that the lab can run in a node: the real scheduler, textbook retry policies to
+// compare it with, and a policy that sees the true state of everything. Only the lab imports it.
 package policy
 
 import (
@@ -15,152 +15,154 @@
 	"jaspersill/scheduler"
 )
 
-// Names of the policies, in the order of reports.
+// Names are the names of the policies, in the order of reports.
 var Names = []string{"module", "informed", "once", "fixed", "backoff", "source", "breaker"}
 
-// Descriptions says of each policy what it does.
+// Descriptions describe what each policy does.
 var Descriptions = map[string]string{
-	"module":   "the decision module",
+	"module":   "the scheduler of package scheduler",
 	"informed": "sees the true state of every endpoint, limit and queue",
-	"once":     "one try for each event",
-	"fixed":    "tries again after a second",
-	"backoff":  "exponential delays with full jitter",
-	"source":   "the source's retry rule alone",
-	"breaker":  "backoff with a retry budget of a tenth and a circuit breaker for each destination",
+	"once":     "one attempt for each event",
+	"fixed":    "retries after one second",
+	"backoff":  "exponential backoff with full jitter",
+	"source":   "only the retry rule of the source",
+	"breaker":  "backoff with a retry budget of 10 % and a circuit breaker for each destination",
 }
 
-// Defects of the module, for proving that the ledger and the hunt catch what they are for.
+// Defects are deliberate defects of the scheduler, used to test that the checker and the search detect violations.
 var Defects = map[string]string{
-	"deaf":       "does not hear told waits",
-	"forgetful":  "repeats deduplicated events whenever it likes",
+	"deaf":       "ignores Retry-After times",
+	"forgetful":  "repeats deduplicated events even after their deduplication window",
 	"careless":   "repeats non-idempotent events",
-	"undrained":  "goes on sending to endpoints that drain",
-	"disorderly": "knows no order of keys",
-	"lossy":      "loses each fiftieth event",
-	"blind":      "sees no destination fail, and pushes on those that return",
-	"restless":   "sends one event once more after it is over",
+	"undrained":  "goes on sending to draining endpoints",
+	"disorderly": "ignores ordering keys",
+	"lossy":      "loses every fiftieth event",
+	"blind":      "does not notice failed connections, and overloads destinations that return",
+	"restless":   "sends one event again after its final end",
 }
 
-// Find returns how a policy is launched. A name may carry a weakness behind a plus, as in module+deaf.
+// Find returns the factory of a policy. The name may add a defect after a plus sign, as in module+deaf.
 func Find(name string) (simulator.SchedulerFactory, error) {
-	base, weak, _ := strings.Cut(name, "+")
-	var launch simulator.SchedulerFactory
+	base, defect, _ := strings.Cut(name, "+")
+	var factory simulator.SchedulerFactory
 	switch base {
 	case "module":
-		launch = Module
+		factory = Module
 	case "informed", "once", "fixed", "backoff", "source", "breaker":
-		launch = func(w *simulator.Simulation, node int, seed uint64) delivery.Scheduler {
-			return newSimplePolicy(base, w, node, seed)
+		factory = func(sim *simulator.Simulation, node int, seed uint64) delivery.Scheduler {
+			return newSimplePolicy(base, sim, node, seed)
 		}
 	default:
 		return nil, fmt.Errorf("policy %q: want one of %s", name, strings.Join(Names, ", "))
 	}
-	if weak == "" {
-		return launch, nil
+	if defect == "" {
+		return factory, nil
 	}
-	if _, known := Defects[weak]; !known || base != "module" {
+	if _, known := Defects[defect]; !known || base != "module" {
 		return nil, fmt.Errorf("policy %q: want module+ and one of %s", name,
 			strings.Join(slices.Sorted(maps.Keys(Defects)), ", "))
 	}
-	return func(w *simulator.Simulation, node int, seed uint64) delivery.Scheduler {
-		types := w.Scenario().DeliveryTypes()
+	return func(sim *simulator.Simulation, node int, seed uint64) delivery.Scheduler {
+		types := sim.Scenario().DeliveryTypes()
 		for i := range types {
 			switch t := &types[i]; {
-			case weak == "forgetful" && t.Safety == delivery.Deduplicated,
-				weak == "careless" && t.Safety == delivery.NonIdempotent:
+			case defect == "forgetful" && t.Safety == delivery.Deduplicated,
+				defect == "careless" && t.Safety == delivery.NonIdempotent:
 				t.Safety = delivery.Idempotent
-			case weak == "disorderly":
+			case defect == "disorderly":
 				t.Ordered = false
 			}
 		}
-		return &defectiveScheduler{Scheduler: newModule(w, node, seed, types), defect: weak}
+		return &defectiveScheduler{Scheduler: newModule(sim, node, seed, types), defect: defect}
 	}, nil
 }
 
-// Module launches the decision module.
-func Module(w *simulator.Simulation, node int, seed uint64) delivery.Scheduler {
-	return newModule(w, node, seed, w.Scenario().DeliveryTypes())
+// Module creates the scheduler of package scheduler.
+func Module(sim *simulator.Simulation, node int, seed uint64) delivery.Scheduler {
+	return newModule(sim, node, seed, sim.Scenario().DeliveryTypes())
 }
 
-func newModule(w *simulator.Simulation, node int, seed uint64, types []delivery.StreamType) delivery.Scheduler {
-	day := w.Scenario()
-	return scheduler.New(seed, types, day.DeliveryDestinationKinds(), day.DeliveryLimits(), day.DeliveryRecovery(),
-		delivery.Directory{RequiresWatch: true, DrainGrace: int64(day.Rules.DrainGrace)},
-		delivery.Cluster{Self: node, Nodes: day.Fleet.Nodes, PeerMessages: day.Fleet.PeerMessages}, int64(day.Rules.KeyPause))
+func newModule(sim *simulator.Simulation, node int, seed uint64, types []delivery.StreamType) delivery.Scheduler {
+	scn := sim.Scenario()
+	return scheduler.New(seed, types, scn.DeliveryDestinationKinds(), scn.DeliveryLimits(), scn.DeliveryRecovery(),
+		delivery.Directory{RequiresWatch: true, DrainGrace: int64(scn.Rules.DrainGrace)},
+		delivery.Cluster{Self: node, Nodes: scn.Fleet.Nodes, PeerMessages: scn.Fleet.PeerMessages},
+		int64(scn.Rules.KeyPause))
 }
 
-// defectiveScheduler is the module with a weakness: it hears, or does, something else than what is so.
+// defectiveScheduler is the scheduler with a defect: it alters the scheduler's inputs, or sends on its own.
 type defectiveScheduler struct {
 	delivery.Scheduler
 	defect        string
 	feed          delivery.Feed
 	out           delivery.Executor
 	eventCount    int
-	extraEvent    int32 // restless: an event to send once more, plus 1, and where
+	extraEvent    int32 // restless: index plus 1 of an event to send again, to extraEndpoint
 	extraEndpoint int32
-	extraSent     bool // it has sent one
+	extraSent     bool // restless: the extra send has been chosen
 }
 
-func (r *defectiveScheduler) Round(now int64, feed delivery.Feed, out delivery.Executor) {
-	r.feed, r.out = feed, out
-	r.Scheduler.Round(now, r, out)
-	if r.extraEvent > 0 {
-		out.Send(r.extraEvent-1, r.extraEndpoint, int64(1e9))
-		r.extraEvent = 0
+func (s *defectiveScheduler) Round(now int64, feed delivery.Feed, out delivery.Executor) {
+	s.feed, s.out = feed, out
+	s.Scheduler.Round(now, s, out)
+	if s.extraEvent > 0 {
+		out.Send(s.extraEvent-1, s.extraEndpoint, int64(1e9))
+		s.extraEvent = 0
 	}
 }
 
-func (r *defectiveScheduler) Deliver(to delivery.Handler) { r.feed.Deliver(defectiveHandler{to, r}) }
+func (s *defectiveScheduler) Deliver(to delivery.Handler) { s.feed.Deliver(defectiveHandler{to, s}) }
 
+// defectiveHandler alters or drops inputs on their way to the scheduler.
 type defectiveHandler struct {
 	delivery.Handler
 	scheduler *defectiveScheduler
 }
 
-func (i defectiveHandler) Event(evt int32, typ, customer int, key uint64, left, work int64, dest int32) {
-	if i.scheduler.eventCount++; i.scheduler.defect == "lossy" && i.scheduler.eventCount%50 == 0 {
+func (h defectiveHandler) Event(evt int32, typ, customer int, key uint64, timeLeft, work int64, dest int32) {
+	if h.scheduler.eventCount++; h.scheduler.defect == "lossy" && h.scheduler.eventCount%50 == 0 {
 		return
 	}
-	i.Handler.Event(evt, typ, customer, key, left, work, dest)
+	h.Handler.Event(evt, typ, customer, key, timeLeft, work, dest)
 }
 
-func (i defectiveHandler) Outcome(evt int32, send int, ep int32, how delivery.Outcome, wait, took int64, ended bool,
-	left, limit float64) {
+func (h defectiveHandler) Outcome(evt int32, send int, ep int32, outcome delivery.Outcome, retryAfter, latency int64, ended bool,
+	limitLeft, limit float64) {
 	switch {
-	case i.scheduler.defect == "deaf":
-		wait = 0
-	case i.scheduler.defect == "blind" && how == delivery.ConnectFailed:
-		how = delivery.Unsent
-	case i.scheduler.defect == "restless" && ended && !i.scheduler.extraSent:
-		i.scheduler.extraEvent, i.scheduler.extraEndpoint, i.scheduler.extraSent = evt+1, ep, true
-	}
-	if i.scheduler.defect == "restless" && i.scheduler.extraSent && send > 0 { // of the one too many the module knows nothing
-		return
+	case h.scheduler.defect == "deaf":
+		retryAfter = 0
+	case h.scheduler.defect == "blind" && outcome == delivery.ConnectFailed:
+		outcome = delivery.Unsent
+	case h.scheduler.defect == "restless" && ended && !h.scheduler.extraSent:
+		h.scheduler.extraEvent, h.scheduler.extraEndpoint, h.scheduler.extraSent = evt+1, ep, true
+	}
+	if h.scheduler.defect == "restless" && h.scheduler.extraSent && send > 0 {
+		return // the scheduler does not know of the extra send
 	}
-	i.Handler.Outcome(evt, send, ep, how, wait, took, ended, left, limit)
+	h.Handler.Outcome(evt, send, ep, outcome, retryAfter, latency, ended, limitLeft, limit)
 }
 
-func (i defectiveHandler) EndpointListed(ep, dest int32, partner, zone int, state delivery.EndpointState, rate float64) {
-	if i.scheduler.defect == "undrained" {
+func (h defectiveHandler) EndpointListed(ep, dest int32, kind, zone int, state delivery.EndpointState, rate float64) {
+	if h.scheduler.defect == "undrained" {
 		state = delivery.Ready
 	}
-	i.Handler.EndpointListed(ep, dest, partner, zone, state, rate)
+	h.Handler.EndpointListed(ep, dest, kind, zone, state, rate)
 }
 
 const (
-	pollInterval   = int64(1e7)  // ns between looks at what waits
+	pollInterval   = int64(1e7)  // ns between rounds
 	fixedDelay     = int64(1e9)  // ns
 	backoffBase    = int64(1e8)  // ns
 	backoffMax     = int64(1e10) // ns
-	sourceBase     = int64(5e9)  // ns, the source's own
-	sourceExtra    = int64(1e9)  // ns, the source's own
-	sourceError    = int64(2e8)  // ns
-	sendTimeout    = int64(4e9)  // ns that a send is waited for
-	budgetPerEvent = 0.1         // repeats for each first send
+	sourceBase     = int64(5e9)  // ns after a refusal, as in the source
+	sourceExtra    = int64(1e9)  // ns more, doubled with each failure, as in the source
+	sourceError    = int64(2e8)  // ns after another failure, doubled with each
+	sendTimeout    = int64(4e9)  // ns
+	budgetPerEvent = 0.1         // retries for each event
 	budgetMax      = 10.0
-	tripAfter      = 5          // failures in a row that open the breaker
+	tripAfter      = 5          // consecutive failures that open the circuit breaker
 	tripDuration   = int64(5e9) // ns
-	answerMargin   = int64(3e7) // ns before its time is up that an event is answered
+	answerMargin   = int64(3e7) // ns before its deadline by which an event gets its end
 )
 
 type simpleEvent struct {
@@ -174,8 +176,8 @@
 	sentAt           int64
 }
 
-// simplePolicy is a policy of a few lines: it keeps the rules on repeats and waits, and differs in when it tries
-// again.
+// simplePolicy implements the textbook policies and the informed one. All of them respect Retry-After times and the
+// rules on repeated sends; they differ in when they retry.
 type simplePolicy struct {
 	name                string
 	sim                 *simulator.Simulation
@@ -191,18 +193,25 @@
 	byDest              [][]int32
 	ready               []bool
 	callsByEndpoint     []int32
-	callRoom            []int   // informed: events that a call of this round still takes, by endpoint
-	blockedUntil        []int64 // by destination: told to wait
-	consecutiveFailures []int32 // by destination, in a row
+	callRoom            []int   // informed: by endpoint, how many more events fit into its call of this round
+	blockedUntil        []int64 // by destination: end of the Retry-After period or of the open breaker
+	consecutiveFailures []int32 // by destination
 	budget              float64
 	wakeAt              int64
 	watchActive         bool
 	watchRetryAt        int64
 }
 
-func newSimplePolicy(name string, w *simulator.Simulation, node int, seed uint64) *simplePolicy {
-	return &simplePolicy{name: name, sim: w, node: node, types: w.Scenario().DeliveryTypes(), limits: w.Scenario().DeliveryLimits(),
-		random: rand.New(rand.NewPCG(seed, 0x91a1)), budget: budgetMax}
+func newSimplePolicy(name string, sim *simulator.Simulation, node int, seed uint64) *simplePolicy {
+	return &simplePolicy{
+		name:   name,
+		sim:    sim,
+		node:   node,
+		types:  sim.Scenario().DeliveryTypes(),
+		limits: sim.Scenario().DeliveryLimits(),
+		random: rand.New(rand.NewPCG(seed, 0x91a1)),
+		budget: budgetMax,
+	}
 }
 
 func (p *simplePolicy) Round(now int64, feed delivery.Feed, out delivery.Executor) {
@@ -212,10 +221,12 @@
 		out.Watch(true)
 		p.watchRetryAt = now + int64(1e9)
 	}
-	if p.name == "informed" { // what loses most by waiting goes first
+	if p.name == "informed" { // events that lose most utility by waiting go first
 		clear(p.callRoom)
 		p.callRoom = append(p.callRoom, make([]int, len(p.ready)-min(len(p.callRoom), len(p.ready)))...)
-		slices.SortStableFunc(p.waiting, func(a, b int32) int { return cmp.Compare(p.utilityLoss(b), p.utilityLoss(a)) })
+		slices.SortStableFunc(p.waiting, func(a, b int32) int {
+			return cmp.Compare(p.utilityLoss(b), p.utilityLoss(a))
+		})
 	}
 	keep := p.waiting[:0]
 	for _, evt := range p.waiting {
@@ -243,7 +254,7 @@
 	}
 }
 
-// trySend sends an event if it may go now.
+// trySend sends an event if that is allowed now, and reports whether it did.
 func (p *simplePolicy) trySend(evt int32) bool {
 	e := &p.events[evt]
 	if p.now < e.notBefore || p.now < p.blockedUntil[e.dest] || p.callsOut >= p.limits.MaxConcurrentCalls {
@@ -275,8 +286,8 @@
 	return true
 }
 
-// bestEndpoint picks an endpoint by the truth: one with a call of this round that has room, or one that begins at
-// once.
+// bestEndpoint picks an endpoint by its true state: one with a call of this round that can take another event, or one
+// that would start a call at once. It returns -1 if there is none.
 func (p *simplePolicy) bestEndpoint(evt int32) int32 {
 	e := &p.events[evt]
 	t := &p.types[e.typ]
@@ -300,7 +311,7 @@
 	return ep
 }
 
-// utilityLoss is what an event loses by waiting two more seconds.
+// utilityLoss returns the utility that an event loses by waiting two more seconds.
 func (p *simplePolicy) utilityLoss(evt int32) float64 {
 	e := &p.events[evt]
 	t := &p.sim.Scenario().Types[e.typ]
@@ -308,31 +319,32 @@
 	return t.Utility * (t.UtilityShare(age) - t.UtilityShare(age+int64(2e9)))
 }
 
-func (p *simplePolicy) endEvent(evt int32, comeBack int64) {
+func (p *simplePolicy) endEvent(evt int32, retryAfter int64) {
 	e := &p.events[evt]
 	e.live = false
 	if e.mayRun || e.inFlight {
 		p.out.Discard(evt)
 	} else {
-		p.out.Decline(evt, min(comeBack, p.limits.MaxRetryAfter))
+		p.out.Decline(evt, min(retryAfter, p.limits.MaxRetryAfter))
 	}
 }
 
 func (p *simplePolicy) RetryAfter() int64 { return min(int64(5e8), p.limits.MaxRetryAfter) }
 
-func (p *simplePolicy) Event(evt int32, typ, customer int, key uint64, left, work int64, dest int32) {
+func (p *simplePolicy) Event(evt int32, typ, customer int, key uint64, timeLeft, work int64, dest int32) {
 	for int(evt) >= len(p.events) {
 		p.events = append(p.events, simpleEvent{})
 	}
 	p.ensureDestination(dest)
-	p.events[evt] = simpleEvent{typ: int32(typ), dest: dest, deadline: p.now + left - answerMargin, live: true}
+	p.events[evt] = simpleEvent{typ: int32(typ), dest: dest, deadline: p.now + timeLeft - answerMargin, live: true}
 	p.waiting = append(p.waiting, evt)
 	p.budget = min(budgetMax, p.budget+budgetPerEvent)
 }
 
 func (p *simplePolicy) ensureDestination(d int32) {
 	for int(d) >= len(p.byDest) {
-		p.byDest, p.blockedUntil, p.consecutiveFailures = append(p.byDest, nil), append(p.blockedUntil, 0), append(p.consecutiveFailures, 0)
+		p.byDest, p.blockedUntil, p.consecutiveFailures =
+			append(p.byDest, nil), append(p.blockedUntil, 0), append(p.consecutiveFailures, 0)
 	}
 }
 
@@ -346,53 +358,53 @@
 
 func (p *simplePolicy) ProcessingStarted(int32, int) {}
 
-func (p *simplePolicy) Outcome(evt int32, send int, ep int32, how delivery.Outcome, wait, took int64, ended bool,
-	left, limit float64) {
+func (p *simplePolicy) Outcome(evt int32, send int, ep int32, outcome delivery.Outcome, retryAfter, latency int64, ended bool,
+	limitLeft, limit float64) {
 	e := &p.events[evt]
 	p.callsOut--
 	p.callsByEndpoint[ep]--
 	e.inFlight = false
-	if wait > 0 {
-		p.blockedUntil[e.dest] = max(p.blockedUntil[e.dest], p.now+wait)
+	if retryAfter > 0 {
+		p.blockedUntil[e.dest] = max(p.blockedUntil[e.dest], p.now+retryAfter)
 	}
-	if how == delivery.Acked {
+	if outcome == delivery.Acked {
 		p.consecutiveFailures[e.dest] = 0
 	} else {
 		p.consecutiveFailures[e.dest]++
 	}
-	if how.MayHaveRun() && how != delivery.Acked && !e.mayRun {
+	if outcome.MayHaveRun() && outcome != delivery.Acked && !e.mayRun {
 		e.mayRun, e.firstRunAt = true, e.sentAt
 	}
 	if ended || !e.live {
 		e.live = false
 		return
 	}
-	p.retryOrEnd(evt, how, wait)
+	p.retryOrEnd(evt, outcome, retryAfter)
 }
 
-// retryOrEnd plans the next try of an event, or ends it.
-func (p *simplePolicy) retryOrEnd(evt int32, how delivery.Outcome, wait int64) {
+// retryOrEnd schedules the next attempt of an event, or ends the event.
+func (p *simplePolicy) retryOrEnd(evt int32, outcome delivery.Outcome, retryAfter int64) {
 	e := &p.events[evt]
 	t := &p.types[e.typ]
 	e.fails++
-	delay, n := wait, min(e.fails-1, 16)
+	delay, n := retryAfter, min(e.fails-1, 16)
 	switch p.name {
 	case "once":
-		p.endEvent(evt, wait)
+		p.endEvent(evt, retryAfter)
 		return
 	case "fixed":
 		delay = max(delay, fixedDelay)
 	case "backoff", "breaker":
 		delay = max(delay, int64(p.random.Float64()*float64(min(backoffMax, backoffBase<<n))))
 	case "source":
-		if wait == 0 {
-			if delay = sourceError << n; how == delivery.Refused {
+		if retryAfter == 0 {
+			if delay = sourceError << n; outcome == delivery.Refused {
 				delay = sourceBase + sourceExtra<<n
 			}
 			delay += int64(p.random.Float64() * 0.5 * float64(delay))
 		}
 	case "informed":
-		delay = 0 // told waits hold its destination all the same
+		delay = 0 // Retry-After times are respected by blockedUntil
 	}
 	if p.name == "breaker" {
 		if p.consecutiveFailures[e.dest] >= tripAfter {
@@ -406,16 +418,16 @@
 		p.budget--
 	}
 	e.notBefore = p.now + delay
-	over := e.deadline
+	expiry := e.deadline
 	if e.mayRun && t.Safety == delivery.Deduplicated {
-		over = min(over, e.firstRunAt+t.DedupWindow-int64(1e8))
+		expiry = min(expiry, e.firstRunAt+t.DedupWindow-int64(1e8))
 	}
-	if (e.mayRun && t.Safety == delivery.NonIdempotent) || int(e.sends) >= p.limits.MaxAttempts || e.notBefore >= over {
+	if (e.mayRun && t.Safety == delivery.NonIdempotent) || int(e.sends) >= p.limits.MaxAttempts || e.notBefore >= expiry {
 		p.endEvent(evt, delay)
 		return
 	}
 	if e.mayRun && t.Safety == delivery.Deduplicated {
-		e.deadline = over
+		e.deadline = expiry
 	}
 	p.waiting = append(p.waiting, evt)
 }
@@ -430,7 +442,7 @@
 	}
 }
 
-func (p *simplePolicy) EndpointListed(ep, dest int32, partner, zone int, state delivery.EndpointState, rate float64) {
+func (p *simplePolicy) EndpointListed(ep, dest int32, kind, zone int, state delivery.EndpointState, rate float64) {
 	p.ensureDestination(dest)
 	for int(ep) >= len(p.ready) {
 		p.ready, p.callsByEndpoint = append(p.ready, false), append(p.callsByEndpoint, 0)
--- a/lab/simulator/calls.go
+++ b/lab/simulator/calls.go
@@ -176,10 +176,10 @@
 	}
 	c.closed = true
 	f := &c.result
-	lane := sim.destinations.GroupOf(c.ep)
-	s.recordFailure(lane, c.startedAt, f.Outcome)
+	group := sim.destinations.GroupOf(c.ep)
+	s.recordFailure(group, c.startedAt, f.Outcome)
 	if f.Outcome == delivery.Refused && f.RetryAfter > 0 {
-		sim.checker.RecordRetryAfter(sim.now, c.node, lane, f.RetryAfter)
+		sim.checker.RecordRetryAfter(sim.now, c.node, group, f.RetryAfter)
 	}
 	if c.connected && (f.Outcome == delivery.Acked || f.Outcome == delivery.Errored || f.Outcome == delivery.Refused) &&
 		c.epoch == sim.destinations.Endpoints[c.ep].Epoch {
--- a/lab/simulator/node.go
+++ b/lab/simulator/node.go
@@ -38,7 +38,7 @@
 	heldEvents      int
 	endpoints       idmap.Table[int32]
 	idleConnections [][]idleConnection // by the node's own endpoint index, the most recently used last
-	seenOutage      []int64            // by lane: start of the last outage that the node noticed
+	seenOutage      []int64            // by endpoint group: start of the last outage that the node noticed
 	openCalls       []int32            // calls opened in this round
 	newEvents       []int32            // events passed to the scheduler in this round
 
@@ -332,22 +332,22 @@
 	return false
 }
 
-// sawOutage reports whether a call of the node failed or was refused at a lane during the lane's last outage.
-func (s *simNode) sawOutage(lane int32) bool {
-	from, _ := s.sim.destinations.Outage(lane)
-	return int(lane) < len(s.seenOutage) && from > 0 && s.seenOutage[lane] == from
+// sawOutage reports whether a call of the node failed or was refused by an endpoint group during its last outage.
+func (s *simNode) sawOutage(group int32) bool {
+	from, _ := s.sim.destinations.Outage(group)
+	return int(group) < len(s.seenOutage) && from > 0 && s.seenOutage[group] == from
 }
 
-// recordFailure records that the node noticed an outage of a lane, if a call failed during one. A call that fails
+// recordFailure records that the node noticed an outage of an endpoint group, if a call failed during one. A call that fails
 // after the outage's end, for example by a timeout, does not count: the node could not have noticed in time.
-func (s *simNode) recordFailure(lane int32, startedAt int64, outcome delivery.Outcome) {
-	from, to := s.sim.destinations.Outage(lane)
+func (s *simNode) recordFailure(group int32, startedAt int64, outcome delivery.Outcome) {
+	from, to := s.sim.destinations.Outage(group)
 	if outcome == delivery.Acked || outcome == delivery.Unsent || from == 0 || startedAt >= to || s.sim.now < from ||
 		s.sim.now >= to {
 		return
 	}
-	for int(lane) >= len(s.seenOutage) {
+	for int(group) >= len(s.seenOutage) {
 		s.seenOutage = append(s.seenOutage, 0)
 	}
-	s.seenOutage[lane] = from
+	s.seenOutage[group] = from
 }
--- a/lab/simulator/simulation.go
+++ b/lab/simulator/simulation.go
@@ -140,20 +140,20 @@
 	Dropped     int64 `json:"dropped"` // submissions that found no node
 }
 
-// New prepares a run. The seed determines the destinations, the arriving events and the fault targets; luck
-// seeds everything else: the nodes' random numbers, the load balancer's choices and message loss. Two runs with
-// the same seed and different luck therefore differ by chance alone. A trace line is written to trace for each
-// step of the run; trace may be nil.
-func New(scn *scenario.Scenario, seed, luck uint64, newScheduler SchedulerFactory, trace io.Writer) *Simulation {
+// New prepares a run. The seed determines the destinations, the arriving events and the fault targets; the noise
+// seed determines everything else: the nodes' random numbers, the load balancer's choices and message loss. Two
+// runs with the same seed and different noise seeds therefore differ by chance alone. A line is written to trace for
+// each step of the run; trace may be nil.
+func New(scn *scenario.Scenario, seed, noiseSeed uint64, newScheduler SchedulerFactory, trace io.Writer) *Simulation {
 	sim := &Simulation{
 		scenario:     scn,
 		newScheduler: newScheduler,
 		end:          int64(scn.Length),
-		destinations: destination.New(scn, seed, luck),
+		destinations: destination.New(scn, seed, noiseSeed),
 		checker:      checker.New(scn),
 		source:       workload.NewGenerator(scn, seed),
 		faultRandom:  rand.New(rand.NewPCG(seed, FaultTargetStream)),
-		random:       rand.New(rand.NewPCG(seed, 0xd4a5+luck)),
+		random:       rand.New(rand.NewPCG(seed, 0xd4a5+noiseSeed)),
 	}
 	if trace != nil {
 		sim.trace = bufio.NewWriterSize(trace, 1<<16)
