--- a/lab/policy/policy.go
+++ b/lab/policy/policy.go
@@ -47,7 +47,7 @@
 	var factory simulator.SchedulerFactory
 	switch base {
 	case "module":
-		factory = Module
+		factory = NewScheduler
 	case "informed", "once", "fixed", "backoff", "source", "breaker":
 		factory = func(sim *simulator.Simulation, node int, seed uint64) delivery.Scheduler {
 			return newSimplePolicy(base, sim, node, seed)
@@ -73,16 +73,16 @@
 				t.Ordered = false
 			}
 		}
-		return &defectiveScheduler{Scheduler: newModule(sim, node, seed, types), defect: defect}
+		return &defectiveScheduler{Scheduler: newSchedulerWithTypes(sim, node, seed, types), defect: defect}
 	}, nil
 }
 
-// Module creates the scheduler of package scheduler.
-func Module(sim *simulator.Simulation, node int, seed uint64) delivery.Scheduler {
-	return newModule(sim, node, seed, sim.Scenario().DeliveryTypes())
+// NewScheduler creates the scheduler of package scheduler.
+func NewScheduler(sim *simulator.Simulation, node int, seed uint64) delivery.Scheduler {
+	return newSchedulerWithTypes(sim, node, seed, sim.Scenario().DeliveryTypes())
 }
 
-func newModule(sim *simulator.Simulation, node int, seed uint64, types []delivery.StreamType) delivery.Scheduler {
+func newSchedulerWithTypes(sim *simulator.Simulation, node int, seed uint64, types []delivery.StreamType) delivery.Scheduler {
 	scn := sim.Scenario()
 	return scheduler.New(seed, types, scn.DeliveryDestinationKinds(), scn.DeliveryLimits(), scn.DeliveryRecovery(),
 		delivery.Directory{RequiresWatch: true, DrainGrace: int64(scn.Rules.DrainGrace)},
--- a/lab/runner/run_test.go
+++ b/lab/runner/run_test.go
@@ -38,13 +38,13 @@
 		day := findScenario(t, name)
 		day.Length = scenario.Duration(30e9)
 		before := runtime.GOMAXPROCS(1)
-		one := TraceHash(day, 7, 3, policy.Module)
+		one := TraceHash(day, 7, 3, policy.NewScheduler)
 		runtime.GOMAXPROCS(max(2, before))
-		if two := TraceHash(day, 7, 3, policy.Module); one != two {
+		if two := TraceHash(day, 7, 3, policy.NewScheduler); one != two {
 			t.Errorf("%s: two traces of one seed: %s and %s", name, one, two)
 		}
 		runtime.GOMAXPROCS(before)
-		if other := TraceHash(day, 7, 4, policy.Module); other == one {
+		if other := TraceHash(day, 7, 4, policy.NewScheduler); other == one {
 			t.Errorf("%s: two lucks have one trace", name)
 		}
 	}
@@ -91,7 +91,7 @@
 				}
 				caught = true
 			}
-			if r := Run(day, seed, 0, policy.Module, false, nil); r.Summary.ViolationCount > 0 && c.weak != "forgetful" {
+			if r := Run(day, seed, 0, policy.NewScheduler, false, nil); r.Summary.ViolationCount > 0 && c.weak != "forgetful" {
 				t.Errorf("%s: false alarm on the module as it is: %s", c.scenario, r.Summary.Violations[0])
 			}
 		}
@@ -109,7 +109,7 @@
 	} else {
 		day.Length = scenario.Duration(20e9)
 	}
-	sets := []Variant{{Name: "module", Scenario: day, Launch: policy.Module}}
+	sets := []Variant{{Name: "module", Scenario: day, Launch: policy.NewScheduler}}
 	results, err := RunAll(context.Background(), sets, Seeds(1, n), false, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -138,8 +138,8 @@
 	holds := 0
 	for c := range comparisons {
 		sets := []Variant{
-			{Scenario: day, Launch: policy.Module, NoiseSeed: uint64(2*c + 1)},
-			{Scenario: day, Launch: policy.Module, NoiseSeed: uint64(2*c + 2)},
+			{Scenario: day, Launch: policy.NewScheduler, NoiseSeed: uint64(2*c + 1)},
+			{Scenario: day, Launch: policy.NewScheduler, NoiseSeed: uint64(2*c + 2)},
 		}
 		r, err := RunAll(context.Background(), sets, Seeds(uint64(1+c*seeds), seeds), false, nil)
 		if err != nil {
@@ -206,7 +206,7 @@
 	}
 	day.LoadChanges[0].Duration = day.Length
 	var heap []uint64
-	w := simulator.New(day, 1, 0, policy.Module, nil)
+	w := simulator.New(day, 1, 0, policy.NewScheduler, nil)
 	w.OnSecond(func(w *simulator.Simulation) {
 		if (w.Now()/1e9)%60 == 59 {
 			runtime.GC()
@@ -257,7 +257,7 @@
 			continue
 		}
 		day.Length, again.Length = scenario.Duration(6e9), scenario.Duration(6e9)
-		if TraceHash(day, 1, 0, policy.Module) != TraceHash(again, 1, 0, policy.Module) {
+		if TraceHash(day, 1, 0, policy.NewScheduler) != TraceHash(again, 1, 0, policy.NewScheduler) {
 			t.Errorf("%s: written and read back it plays another run", name)
 		}
 	}
@@ -283,7 +283,7 @@
 			day.DestinationKinds[1].Destinations = size.endpoints - 3*day.DestinationKinds[0].Destinations
 			events := int64(0)
 			for b.Loop() {
-				events += Run(day, 1, 0, policy.Module, false, nil).Summary.Arrivals
+				events += Run(day, 1, 0, policy.NewScheduler, false, nil).Summary.Arrivals
 			}
 			b.ReportMetric(float64(events)/b.Elapsed().Seconds(), "events/s")
 		})
@@ -295,16 +295,16 @@
 	day := findScenario(t, "clumps")
 	day.Length = scenario.Duration(20e9)
 	var file bytes.Buffer
-	if err := Record(day, 5, 1, policy.Module, &file); err != nil {
+	if err := Record(day, 5, 1, policy.NewScheduler, &file); err != nil {
 		t.Fatal(err)
 	}
 	text := file.Bytes()
 	h := sha256.New()
-	r, recorded, err := Replay(bytes.NewReader(text), 5, 1, policy.Module, h)
+	r, recorded, err := Replay(bytes.NewReader(text), 5, 1, policy.NewScheduler, h)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, want := hex.EncodeToString(h.Sum(nil)), TraceHash(recorded, 5, 1, policy.Module); got != want {
+	if got, want := hex.EncodeToString(h.Sum(nil)), TraceHash(recorded, 5, 1, policy.NewScheduler); got != want {
 		t.Errorf("trace %s, want %s; %d asked for", got, want, r.Summary.Arrivals)
 	}
 	in, err := workload.Open(bytes.NewReader(text))
