--- a/lab/policy/policy.go
+++ b/lab/policy/policy.go
@@ -82,7 +82,9 @@
 	return newSchedulerWithTypes(sim, node, seed, sim.Scenario().DeliveryTypes())
 }
 
-func newSchedulerWithTypes(sim *simulator.Simulation, node int, seed uint64, types []delivery.StreamType) delivery.Scheduler {
+func newSchedulerWithTypes(
+	sim *simulator.Simulation, node int, seed uint64, types []delivery.StreamType,
+) delivery.Scheduler {
 	scn := sim.Scenario()
 	return scheduler.New(seed, types, scn.DeliveryDestinationKinds(), scn.DeliveryLimits(), scn.DeliveryRecovery(),
 		delivery.Directory{RequiresWatch: true, DrainGrace: int64(scn.Rules.DrainGrace)},
@@ -126,8 +128,10 @@
 	h.Handler.Event(evt, typ, customer, key, timeLeft, work, dest)
 }
 
-func (h defectiveHandler) Outcome(evt int32, send int, ep int32, outcome delivery.Outcome, retryAfter, latency int64, ended bool,
-	limitLeft, limit float64) {
+func (h defectiveHandler) Outcome(
+	evt int32, send int, ep int32, outcome delivery.Outcome, retryAfter, latency int64, ended bool,
+	limitLeft, limit float64,
+) {
 	switch {
 	case h.scheduler.defect == "deaf":
 		retryAfter = 0
@@ -358,8 +362,10 @@
 
 func (p *simplePolicy) ProcessingStarted(int32, int) {}
 
-func (p *simplePolicy) Outcome(evt int32, send int, ep int32, outcome delivery.Outcome, retryAfter, latency int64, ended bool,
-	limitLeft, limit float64) {
+func (p *simplePolicy) Outcome(
+	evt int32, send int, ep int32, outcome delivery.Outcome, retryAfter, latency int64, ended bool,
+	limitLeft, limit float64,
+) {
 	e := &p.events[evt]
 	p.callsOut--
 	p.callsByEndpoint[ep]--
@@ -422,7 +428,8 @@
 	if e.mayRun && t.Safety == delivery.Deduplicated {
 		expiry = min(expiry, e.firstRunAt+t.DedupWindow-int64(1e8))
 	}
-	if (e.mayRun && t.Safety == delivery.NonIdempotent) || int(e.sends) >= p.limits.MaxAttempts || e.notBefore >= expiry {
+	if (e.mayRun && t.Safety == delivery.NonIdempotent) || int(e.sends) >= p.limits.MaxAttempts ||
+		e.notBefore >= expiry {
 		p.endEvent(evt, delay)
 		return
 	}
--- a/lab/scenarios/scenarios.go
+++ b/lab/scenarios/scenarios.go
@@ -1,4 +1,4 @@
-// Package scenarios holds the lab's own scenarios.
+// Package scenarios contains the lab's built-in scenarios.
 package scenarios
 
 import (
@@ -15,7 +15,7 @@
 //go:embed *.toml
 var files embed.FS
 
-// Names are the scenarios' names, in order.
+// Names returns the names of the built-in scenarios in alphabetical order.
 func Names() (names []string) {
 	list, _ := fs.Glob(files, "*.toml")
 	for _, name := range list {
@@ -24,20 +24,21 @@
 	return names
 }
 
-// Find reads a scenario: a file where the name ends in .toml, else one of the lab's own.
+// Find reads a scenario: a file if the name ends in .toml, otherwise a built-in one. A file's base scenario may be a
+// built-in one or a file in the same folder.
 func Find(name string) (*scenario.Scenario, error) {
 	if strings.HasSuffix(name, ".toml") {
 		text, err := os.ReadFile(name)
 		if err != nil {
 			return nil, err
 		}
-		near := func(like string) ([]byte, error) {
-			if text, err := builtin(like); err == nil {
+		findBase := func(base string) ([]byte, error) {
+			if text, err := builtin(base); err == nil {
 				return text, nil
 			}
-			return os.ReadFile(filepath.Join(filepath.Dir(name), strings.TrimSuffix(like, ".toml")+".toml"))
+			return os.ReadFile(filepath.Join(filepath.Dir(name), strings.TrimSuffix(base, ".toml")+".toml"))
 		}
-		return scenario.Read(name, text, near)
+		return scenario.Read(name, text, findBase)
 	}
 	text, err := builtin(name)
 	if err != nil {
@@ -46,10 +47,11 @@
 	return scenario.Read(name+".toml", text, builtin)
 }
 
+// builtin returns the text of a built-in scenario.
 func builtin(name string) ([]byte, error) {
 	text, err := files.ReadFile(name + ".toml")
 	if err != nil {
-		return nil, fmt.Errorf("scenario %q: want a file that ends in .toml, or one of %s", name,
+		return nil, fmt.Errorf("scenario %q: want a file name ending in .toml, or one of %s", name,
 			strings.Join(Names(), ", "))
 	}
 	return text, nil
--- a/lab/search/search.go
+++ b/lab/search/search.go
@@ -1,6 +1,5 @@
-// Package hunt looks for days on which a rule breaks or little is delivered, among random mixes of troubles,
-// and shrinks what it finds to the fewest troubles, the shortest time and the smallest fleet that still show
-// it.
+// Package search looks for scenarios that violate a rule or deliver little utility, among random mixes of faults. It
+// shrinks a finding to the fewest faults, the shortest run and the smallest fleet that still reproduce it.
 package search
 
 import (
@@ -18,133 +17,137 @@
 	minFaults   = 1
 	maxFaults   = 5
 	minLength   = scenario.Duration(8e9)
-	shrinkSeeds = 6 // seeds on which a smaller day is tried before it is held to show nothing
+	shrinkSeeds = 6 // seeds with which a smaller scenario is tried before it is discarded
 )
 
-// Finding is a day that was found, with the seed on which it shows.
+// Finding is the result of a scenario with the seed that produced it.
 type Finding struct {
 	Scenario       *scenario.Scenario
 	Seed           uint64
 	G              float64
 	ViolationCount int
-	Violation      string // the first broken rule with its evidence
-	rule           int
+	Violation      string // text of the first violation, with its evidence
+	rule           int    // rule of the first violation, 0 for none
 }
 
-// RandomScenario draws a mix of troubles on the fleet and partners of a scenario.
-func RandomScenario(base *scenario.Scenario, chance *rand.Rand) *scenario.Scenario {
-	day := base.Clone()
-	day.Faults, day.LoadChanges = nil, nil
+// RandomScenario returns a copy of a scenario with a random mix of faults instead of its own.
+func RandomScenario(base *scenario.Scenario, random *rand.Rand) *scenario.Scenario {
+	scn := base.Clone()
+	scn.Faults, scn.LoadChanges = nil, nil
 	dests := 0
-	for _, p := range day.DestinationKinds {
+	for _, p := range scn.DestinationKinds {
 		dests += p.Destinations
 	}
-	length := float64(day.Length)
-	for range minFaults + chance.IntN(maxFaults-minFaults+1) {
-		k := scenario.FaultKinds[chance.IntN(len(scenario.FaultKinds))]
-		t := scenario.Fault{Kind: k.Name, Start: scenario.Duration(length * (0.1 + 0.5*chance.Float64())),
-			Duration: scenario.Duration(length * (0.05 + 0.3*chance.Float64()))}
-		switch k.Target {
+	length := float64(scn.Length)
+	for range minFaults + random.IntN(maxFaults-minFaults+1) {
+		kind := scenario.FaultKinds[random.IntN(len(scenario.FaultKinds))]
+		t := scenario.Fault{Kind: kind.Name, Start: scenario.Duration(length * (0.1 + 0.5*random.Float64())),
+			Duration: scenario.Duration(length * (0.05 + 0.3*random.Float64()))}
+		switch kind.Target {
 		case "destinations":
-			t.Destinations = 1 + chance.IntN(max(1, dests/3))
-			if chance.IntN(4) == 0 {
+			t.Destinations = 1 + random.IntN(max(1, dests/3))
+			if random.IntN(4) == 0 {
 				t.Endpoints = 1
 			}
 		case "nodes":
-			t.Nodes = 1 + chance.IntN(max(1, day.Fleet.Nodes/3))
+			t.Nodes = 1 + random.IntN(max(1, scn.Fleet.Nodes/3))
 		}
-		switch k.Name {
+		switch kind.Name {
 		case "fail", "lose", "spoil", "late", "notes-lost":
-			t.Share = 0.05 + 0.95*chance.Float64()*chance.Float64()
+			t.Share = 0.05 + 0.95*random.Float64()*random.Float64()
 		}
-		switch k.Name {
+		switch kind.Name {
 		case "slow", "late":
-			t.Factor = 2 + 18*chance.Float64()
+			t.Factor = 2 + 18*random.Float64()
 		}
-		if chance.IntN(3) == 0 && k.Target == "destinations" && k.Name != "replace" {
-			t.Period = max(scenario.Duration(1e9), t.Duration/scenario.Duration(2+chance.IntN(5)))
+		if random.IntN(3) == 0 && kind.Target == "destinations" && kind.Name != "replace" {
+			t.Period = max(scenario.Duration(1e9), t.Duration/scenario.Duration(2+random.IntN(5)))
 		}
-		day.Faults = append(day.Faults, t)
+		scn.Faults = append(scn.Faults, t)
 	}
-	if chance.IntN(3) == 0 {
-		day.LoadChanges = append(
-			day.LoadChanges,
+	if random.IntN(3) == 0 {
+		scn.LoadChanges = append(
+			scn.LoadChanges,
 			scenario.LoadChange{Start: scenario.Duration(length * 0.3), Duration: scenario.Duration(length * 0.3),
-				Factor: 1 + 2*chance.Float64()},
+				Factor: 1 + 2*random.Float64()},
 		)
 	}
-	day.Name = base.Name + "-hunted"
-	day.Challenge = "found by the hunt"
-	return day
+	scn.Name = base.Name + "-hunted"
+	scn.Challenge = "found by jaspersill-lab hunt"
+	return scn
 }
 
-// evaluate plays a day and tells what it shows.
-func evaluate(day *scenario.Scenario, seed uint64, launch simulator.SchedulerFactory) Finding {
-	r := runner.Run(day, seed, 0, launch, false, nil)
-	f := Finding{Scenario: day, Seed: seed, G: r.Summary.G, ViolationCount: r.Summary.ViolationCount}
+// evaluate runs a scenario and returns its result.
+func evaluate(scn *scenario.Scenario, seed uint64, factory simulator.SchedulerFactory) Finding {
+	r := runner.Run(scn, seed, 0, factory, false, nil)
+	f := Finding{Scenario: scn, Seed: seed, G: r.Summary.G, ViolationCount: r.Summary.ViolationCount}
 	if len(r.Summary.Violations) > 0 {
 		f.Violation, f.rule = r.Summary.Violations[0].String(), int(r.Summary.Violations[0].Rule)
 	}
 	return f
 }
 
-// Run draws mixes until ctx ends or so many were played, on as many cores as there are, and returns the
-// worst day and the first that broke a rule, nil for none. With first it stops at a broken rule. told may be
-// nil.
-func Run(ctx context.Context, base *scenario.Scenario, seed uint64, most int, cores int, first bool,
-	launch simulator.SchedulerFactory, told func(played int, worst float64, broken int)) (worst, broke *Finding, played int) {
-	type one struct {
+// Run evaluates random scenarios on the given number of cores until ctx ends or maxRuns of them have run. It returns
+// the one with the lowest G and the first one with a violation, nil if there is none, and the number of runs. With
+// first set it stops at the first violation. progress is called after each run; it may be nil.
+func Run(
+	ctx context.Context, base *scenario.Scenario, seed uint64, maxRuns int, cores int, first bool,
+	factory simulator.SchedulerFactory, progress func(runs int, worst float64, violations int),
+) (worst, firstViolation *Finding, runs int) {
+	type result struct {
 		at uint64
 		f  Finding
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	jobs, results := make(chan uint64), make(chan one)
+	jobs, results := make(chan uint64), make(chan result)
 	for range cores {
 		go func() {
 			for at := range jobs {
-				day := RandomScenario(base, rand.New(rand.NewPCG(seed, at)))
-				results <- one{at, evaluate(day, at, launch)}
+				scn := RandomScenario(base, rand.New(rand.NewPCG(seed, at)))
+				results <- result{at, evaluate(scn, at, factory)}
 			}
 		}()
 	}
 	defer close(jobs)
-	next, out, brokeAt := uint64(1), 0, uint64(0)
-	breaks := 0
+	next, running, firstAt := uint64(1), 0, uint64(0)
+	violationRuns := 0
 	for {
 		send := jobs
-		if ctx.Err() != nil || int(next) > most || (first && broke != nil) {
+		if ctx.Err() != nil || int(next) > maxRuns || (first && firstViolation != nil) {
 			send = nil
-			if out == 0 {
-				return worst, broke, played
+			if running == 0 {
+				return worst, firstViolation, runs
 			}
 		}
 		select {
 		case send <- next:
 			next++
-			out++
+			running++
 		case r := <-results:
-			out--
-			played++
+			running--
+			runs++
 			if worst == nil || r.f.G < worst.G {
 				worst = &r.f
 			}
 			if r.f.ViolationCount > 0 {
-				breaks++
-				if broke == nil || r.at < brokeAt { // the first by number, whichever core was the quickest
-					broke, brokeAt = &r.f, r.at
+				violationRuns++
+				if firstViolation == nil || r.at < firstAt { // the first by number, not by time of completion
+					firstViolation, firstAt = &r.f, r.at
 				}
 			}
-			if told != nil {
-				told(played, worst.G, breaks)
+			if progress != nil {
+				progress(runs, worst.G, violationRuns)
 			}
 		}
 	}
 }
 
-// reproduces tells whether a smaller day still reproduces what was found: the same rule broken, or G as low.
-func (f *Finding) reproduces(ctx context.Context, day *scenario.Scenario, launch simulator.SchedulerFactory) (Finding, bool) {
-	if day.Validate() != nil {
+// reproduces reports whether a smaller scenario reproduces a finding: the same rule is violated, or G is as low.
+func (f *Finding) reproduces(
+	ctx context.Context, scn *scenario.Scenario, factory simulator.SchedulerFactory,
+) (Finding, bool) {
+	if scn.Validate() != nil {
 		return Finding{}, false
 	}
 	for try := range shrinkSeeds {
@@ -152,7 +155,7 @@
 			return Finding{}, false
 		}
 		seed := f.Seed + uint64(try)
-		got := evaluate(day, seed, launch)
+		got := evaluate(scn, seed, factory)
 		if (f.rule > 0 && got.rule == f.rule) || (f.rule == 0 && got.G <= f.G+0.02) {
 			return got, true
 		}
@@ -160,41 +163,41 @@
 	return Finding{}, false
 }
 
-// Shrink makes a found day as small as still shows it: first troubles are left out, then those that stay are
-// made plainer, then the day shorter and the fleet smaller.
-func Shrink(ctx context.Context, f Finding, launch simulator.SchedulerFactory) Finding {
+// Shrink reduces a finding's scenario as far as it still reproduces the finding: first faults are removed, then the
+// remaining ones simplified, then the run shortened and the fleet made smaller.
+func Shrink(ctx context.Context, f Finding, factory simulator.SchedulerFactory) Finding {
 	for again := true; again; {
 		again = false
-		for _, smaller := range reductions(f.Scenario) {
-			if got, ok := f.reproduces(ctx, smaller, launch); ok {
+		for _, candidate := range reductions(f.Scenario) {
+			if got, ok := f.reproduces(ctx, candidate, factory); ok {
 				f, again = got, true
 				break
 			}
 		}
 	}
-	f.Scenario.Challenge = "found by the hunt: G " + fmt.Sprintf("%.3f", f.G)
+	f.Scenario.Challenge = "found by jaspersill-lab hunt: G " + fmt.Sprintf("%.3f", f.G)
 	if f.Violation != "" {
-		f.Scenario.Challenge = "found by the hunt: " + f.Violation
+		f.Scenario.Challenge = "found by jaspersill-lab hunt: " + f.Violation
 	}
 	return f
 }
 
-// reductions lists days that are one step reductions, the largest step first.
-func reductions(day *scenario.Scenario) (days []*scenario.Scenario) {
+// reductions returns the scenarios that are one step smaller, the largest steps first.
+func reductions(scn *scenario.Scenario) (smaller []*scenario.Scenario) {
 	add := func(change func(*scenario.Scenario) bool) {
-		if c := day.Clone(); change(c) {
-			days = append(days, c)
+		if c := scn.Clone(); change(c) {
+			smaller = append(smaller, c)
 		}
 	}
-	for i := range day.Faults {
+	for i := range scn.Faults {
 		add(func(c *scenario.Scenario) bool { c.Faults = slices.Delete(c.Faults, i, i+1); return true })
 	}
-	for i := range day.LoadChanges {
+	for i := range scn.LoadChanges {
 		add(func(c *scenario.Scenario) bool { c.LoadChanges = slices.Delete(c.LoadChanges, i, i+1); return true })
 	}
 	end := scenario.Duration(0)
-	for i := range day.Faults {
-		t := &day.Faults[i]
+	for i := range scn.Faults {
+		t := &scn.Faults[i]
 		end = max(end, t.Start+t.Duration)
 		add(func(c *scenario.Scenario) bool { c.Faults[i].Period = 0; return t.Period > 0 })
 		add(func(c *scenario.Scenario) bool { c.Faults[i].Endpoints = 0; return t.Endpoints > 0 })
@@ -212,29 +215,29 @@
 		})
 	}
 	add(func(c *scenario.Scenario) bool {
-		c.Length = max(minLength, (day.Length*2/3)/scenario.Duration(1e9)*scenario.Duration(1e9))
-		return c.Length < day.Length
+		c.Length = max(minLength, (scn.Length*2/3)/scenario.Duration(1e9)*scenario.Duration(1e9))
+		return c.Length < scn.Length
 	})
 	add(func(c *scenario.Scenario) bool {
-		c.Fleet.Nodes = max(1, day.Fleet.Nodes/2)
+		c.Fleet.Nodes = max(1, scn.Fleet.Nodes/2)
 		for i := range c.Types {
-			c.Types[i].Rate *= float64(c.Fleet.Nodes) / float64(day.Fleet.Nodes)
+			c.Types[i].Rate *= float64(c.Fleet.Nodes) / float64(scn.Fleet.Nodes)
 		}
 		for i := range c.Faults {
 			c.Faults[i].Nodes = min(c.Faults[i].Nodes, c.Fleet.Nodes)
 		}
-		return day.Fleet.Nodes > 1
+		return scn.Fleet.Nodes > 1
 	})
-	for i := range day.Types {
+	for i := range scn.Types {
 		add(
-			func(c *scenario.Scenario) bool { c.Types = slices.Delete(c.Types, i, i+1); return len(day.Types) > 1 },
+			func(c *scenario.Scenario) bool { c.Types = slices.Delete(c.Types, i, i+1); return len(scn.Types) > 1 },
 		)
 	}
-	for i := range day.DestinationKinds {
+	for i := range scn.DestinationKinds {
 		add(func(c *scenario.Scenario) bool {
 			c.DestinationKinds = slices.Delete(c.DestinationKinds, i, i+1)
-			return len(day.DestinationKinds) > 1
+			return len(scn.DestinationKinds) > 1
 		})
 	}
-	return days
+	return smaller
 }
--- a/lab/search/search_test.go
+++ b/lab/search/search_test.go
@@ -12,28 +12,29 @@
 
 func TestSearchFindsAndShrinks(t *testing.T) {
 	if testing.Short() {
-		t.Skip("many days")
+		t.Skip("runs many scenarios")
 	}
-	day, err := scenarios.Find("farm")
+	scn, err := scenarios.Find("farm")
 	if err != nil {
 		t.Fatal(err)
 	}
-	day.Length = scenario.Duration(24e9)
-	for _, weak := range []string{"deaf", "forgetful"} {
-		launch, err := policy.Find("module+" + weak)
+	scn.Length = scenario.Duration(24e9)
+	for _, defect := range []string{"deaf", "forgetful"} {
+		factory, err := policy.Find("module+" + defect)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, broke, played := Run(context.Background(), day, 1, 200, 1, true, launch, nil)
-		if broke == nil {
-			t.Errorf("%s: nothing found in %d days", weak, played)
+		_, finding, runs := Run(context.Background(), scn, 1, 200, 1, true, factory, nil)
+		if finding == nil {
+			t.Errorf("%s: no violation found in %d runs", defect, runs)
 			continue
 		}
-		small := Shrink(context.Background(), *broke, launch)
-		if len(small.Scenario.Faults) > 2 || small.ViolationCount == 0 {
-			t.Errorf("%s: %d troubles left, %d broken rules", weak, len(small.Scenario.Faults), small.ViolationCount)
+		shrunk := Shrink(context.Background(), *finding, factory)
+		if len(shrunk.Scenario.Faults) > 2 || shrunk.ViolationCount == 0 {
+			t.Errorf("%s: after shrinking: %d faults, %d violations; want at most 2 faults and a violation",
+				defect, len(shrunk.Scenario.Faults), shrunk.ViolationCount)
 		}
-		text, err := small.Scenario.Write()
+		text, err := shrunk.Scenario.Write()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -41,8 +42,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r := runner.Run(again, small.Seed, 0, launch, false, nil); r.Summary.ViolationCount != small.ViolationCount {
-			t.Errorf("%s: played again it shows %d broken rules, not %d", weak, r.Summary.ViolationCount, small.ViolationCount)
+		if r := runner.Run(again, shrunk.Seed, 0, factory, false, nil); r.Summary.ViolationCount != shrunk.ViolationCount {
+			t.Errorf("%s: the written scenario shows %d violations when run again, want %d",
+				defect, r.Summary.ViolationCount, shrunk.ViolationCount)
 		}
 	}
 }
--- a/lab/stat/stat.go
+++ b/lab/stat/stat.go
@@ -1,4 +1,4 @@
-// Package stat compares runs: means with intervals that say how much of a difference is chance.
+// Package stat compares runs by means with confidence intervals, which show how much of a difference is chance.
 package stat
 
 import (
@@ -13,10 +13,10 @@
 const (
 	resamples          = 2000
 	confidence         = 0.95
-	minBootstrapValues = 10 // below so many the bootstrap has too little to draw from, and Student's t is used
+	minBootstrapValues = 10 // with fewer values there is too little to resample, and Student's t is used
 )
 
-// Interval is a mean with a 95% interval round it, over so many pairs or runs.
+// Interval is a mean with its 95% confidence interval, over N runs or pairs of runs.
 type Interval struct {
 	Mean  float64 `json:"mean"`
 	Least float64 `json:"least"`
@@ -24,12 +24,12 @@
 	N     int     `json:"n"`
 }
 
-// Contains tells whether a value lies in the interval.
+// Contains reports whether a value lies in the interval.
 func (i Interval) Contains(v float64) bool { return v >= i.Least && v <= i.Most }
 
-// MeanInterval is the mean of some values with its interval, by the studentised bootstrap: the plain one is too
-// narrow for thirty values, and for under ten Student's t serves better than either. Chance is drawn from the
-// seed. One value has an endless interval.
+// MeanInterval returns the mean of the values with its confidence interval, from a studentised bootstrap: the plain
+// percentile bootstrap gives too narrow an interval for thirty values. For fewer than ten values Student's t is used,
+// which is better than either. The resampling is seeded by seed. The interval of a single value is infinite.
 func MeanInterval(values []float64, seed uint64) Interval {
 	n := len(values)
 	if n == 0 {
@@ -50,15 +50,15 @@
 		i.Least, i.Most = mean-t*dev/math.Sqrt(float64(n)), mean+t*dev/math.Sqrt(float64(n))
 		return i
 	}
-	chance := rand.New(rand.NewPCG(seed, 0xb007))
+	random := rand.New(rand.NewPCG(seed, 0xb007))
 	ts := make([]float64, 0, resamples)
 	sample := make([]float64, n)
 	for range resamples {
 		for k := range sample {
-			sample[k] = values[chance.IntN(n)]
+			sample[k] = values[random.IntN(n)]
 		}
 		m, d := stat.MeanStdDev(sample, nil)
-		if d == 0 { // all the same: it says nothing of the spread
+		if d == 0 { // all values are the same, which says nothing about the spread
 			continue
 		}
 		ts = append(ts, (m-mean)/(d/math.Sqrt(float64(n))))
@@ -68,13 +68,13 @@
 		i.Least, i.Most = mean, mean
 		return i
 	}
-	half := dev / math.Sqrt(float64(n))
-	i.Least = mean - stat.Quantile(1-(1-confidence)/2, stat.Empirical, ts, nil)*half
-	i.Most = mean - stat.Quantile((1-confidence)/2, stat.Empirical, ts, nil)*half
+	stdErr := dev / math.Sqrt(float64(n))
+	i.Least = mean - stat.Quantile(1-(1-confidence)/2, stat.Empirical, ts, nil)*stdErr
+	i.Most = mean - stat.Quantile((1-confidence)/2, stat.Empirical, ts, nil)*stdErr
 	return i
 }
 
-// PairedDifference is the mean of b - a, pair by pair.
+// PairedDifference returns the mean of the pairwise differences b - a with its confidence interval.
 func PairedDifference(a, b []float64, seed uint64) Interval {
 	differences := make([]float64, min(len(a), len(b)))
 	for i := range differences {
--- a/lab/workload/recording.go
+++ b/lab/workload/recording.go
@@ -12,11 +12,11 @@
 	"jaspersill/lab/scenario"
 )
 
-// RecordingVersion is the version of the format; a recording of another is refused.
+// RecordingVersion is the version of the recording format. Recordings of other versions are rejected.
 const RecordingVersion = 1
 
 const (
-	maxLineBytes  = 1 << 20 // bytes of a recording's line
+	maxLineBytes  = 1 << 20 // bytes per line of a recording
 	recordingKind = "jaspersill recording"
 )
 
@@ -24,13 +24,13 @@
 type header struct {
 	Kind     string `json:"kind"`
 	Version  int    `json:"version"`
-	Scenario string `json:"scenario"` // the text of the day that it was made on
+	Scenario string `json:"scenario"` // text of the scenario that was recorded
 }
 
-// Record is one line of a recording: what was asked for, and what came of it where that is known.
+// Record is one line of a recording: an arrival, and its end if that is known.
 type Record struct {
-	At       int64  `json:"at"`   // ns from the beginning
-	TimeLeft int64  `json:"left"` // ns until its time is up
+	At       int64  `json:"at"`   // ns from the start of the run
+	TimeLeft int64  `json:"left"` // ns from the arrival to the deadline
 	Work     int64  `json:"work"`
 	Type     int32  `json:"type"`
 	Customer int32  `json:"owner"`
@@ -40,75 +40,75 @@
 	Latency  int64  `json:"took,omitempty"`
 }
 
-// Writer writes a recording: lines of JSON, compressed with zstd.
+// Writer writes a recording as zstd-compressed lines of JSON.
 type Writer struct {
 	compressor *zstd.Encoder
 	encoder    *json.Encoder
 }
 
-// NewWriter begins a recording of a day.
-func NewWriter(to io.Writer, day *scenario.Scenario) (*Writer, error) {
-	text, err := day.Write()
+// NewWriter starts a recording of a scenario.
+func NewWriter(to io.Writer, scn *scenario.Scenario) (*Writer, error) {
+	text, err := scn.Write()
 	if err != nil {
 		return nil, err
 	}
-	z, err := zstd.NewWriter(to)
+	compressor, err := zstd.NewWriter(to)
 	if err != nil {
 		return nil, err
 	}
-	w := &Writer{compressor: z, encoder: json.NewEncoder(z)}
+	w := &Writer{compressor: compressor, encoder: json.NewEncoder(compressor)}
 	return w, w.encoder.Encode(header{recordingKind, RecordingVersion, string(text)})
 }
 
-// Write writes what came of an asking; took is ns from its time to its end.
-func (w *Writer) Write(a Arrival, end string, took int64) error {
+// Write writes an arrival and its end; latency is in ns from the arrival to the end.
+func (w *Writer) Write(a Arrival, end string, latency int64) error {
 	return w.encoder.Encode(
 		Record{At: a.At, TimeLeft: a.Deadline - a.At, Work: a.Work, Type: a.Type, Customer: a.Customer, Dest: a.Dest,
-			Key: a.Key, End: end, Latency: took},
+			Key: a.Key, End: end, Latency: latency},
 	)
 }
 
-// Close ends the recording; what it writes to stays open.
+// Close ends the recording. It does not close the underlying writer.
 func (w *Writer) Close() error { return w.compressor.Close() }
 
-// Recording is a recording that is read; it is a Source.
+// Recording reads a recording. It is a Source.
 type Recording struct {
 	Scenario     *scenario.Scenario
-	Err          error // why it ended before its end, if it did
+	Err          error // why reading stopped early, if it did
 	decompressor *zstd.Decoder
 	lines        *bufio.Scanner
 	lineNumber   int
 	lastArrival  int64
 }
 
-// Open reads a recording's head.
+// Open reads the header of a recording.
 func Open(from io.Reader) (*Recording, error) {
-	z, err := zstd.NewReader(from, zstd.WithDecoderMaxMemory(64<<20))
+	decompressor, err := zstd.NewReader(from, zstd.WithDecoderMaxMemory(64<<20))
 	if err != nil {
 		return nil, err
 	}
-	r := &Recording{decompressor: z, lines: bufio.NewScanner(z), lineNumber: 1}
+	r := &Recording{decompressor: decompressor, lines: bufio.NewScanner(decompressor), lineNumber: 1}
 	r.lines.Buffer(nil, maxLineBytes)
-	var h header
+	var head header
 	if !r.lines.Scan() {
 		return nil, fmt.Errorf(
-			"recording: line 1: want a head, got %v",
+			"recording: line 1: want a header, got %v",
 			errors.Join(r.lines.Err(), io.ErrUnexpectedEOF),
 		)
 	}
-	if err := json.Unmarshal(r.lines.Bytes(), &h); err != nil || h.Kind != recordingKind {
-		return nil, fmt.Errorf("recording: line 1: want a head of kind %q, got %.60q", recordingKind, r.lines.Text())
+	if err := json.Unmarshal(r.lines.Bytes(), &head); err != nil || head.Kind != recordingKind {
+		return nil, fmt.Errorf("recording: line 1: want a header of kind %q, got %.60q", recordingKind, r.lines.Text())
 	}
-	if h.Version != RecordingVersion {
-		return nil, fmt.Errorf("recording: version: want %d, got %d", RecordingVersion, h.Version)
+	if head.Version != RecordingVersion {
+		return nil, fmt.Errorf("recording: version: want %d, got %d", RecordingVersion, head.Version)
 	}
-	if r.Scenario, err = scenario.Read("recording", []byte(h.Scenario), nil); err != nil {
+	if r.Scenario, err = scenario.Read("recording", []byte(head.Scenario), nil); err != nil {
 		return nil, err
 	}
 	return r, nil
 }
 
-// Next implements Source. A line that cannot be used ends the recording and is told in Err.
+// Next implements Source. An invalid line ends the recording and is reported in Err.
 func (r *Recording) Next() (Arrival, bool) {
 	if r.Err != nil || !r.lines.Scan() {
 		if r.Err == nil {
@@ -117,8 +117,8 @@
 		return Arrival{}, false
 	}
 	r.lineNumber++
-	var at Record
-	if err := json.Unmarshal(r.lines.Bytes(), &at); err != nil {
+	var record Record
+	if err := json.Unmarshal(r.lines.Bytes(), &record); err != nil {
 		r.Err = fmt.Errorf("recording: line %d: %w", r.lineNumber, err)
 		return Arrival{}, false
 	}
@@ -127,39 +127,45 @@
 		dests += p.Destinations
 	}
 	switch {
-	case at.At < r.lastArrival:
-		r.Err = fmt.Errorf("recording: line %d: at: want no less than %d, got %d", r.lineNumber, r.lastArrival, at.At)
-	case at.TimeLeft <= 0 || at.Work < 0:
+	case record.At < r.lastArrival:
 		r.Err = fmt.Errorf(
-			"recording: line %d: left and work: want times, got %d and %d",
+			"recording: line %d: at: want at least %d, got %d",
 			r.lineNumber,
-			at.TimeLeft,
-			at.Work,
+			r.lastArrival,
+			record.At,
 		)
-	case at.Type < 0 || int(at.Type) >= len(r.Scenario.Types) || at.Customer < 0 || int(at.Customer) >= len(r.Scenario.Customers) ||
-		at.Dest < 0 || int(at.Dest) >= dests:
+	case record.TimeLeft <= 0 || record.Work < 0:
 		r.Err = fmt.Errorf(
-			"recording: line %d: type %d, owner %d, dest %d: want ones of its scenario",
+			"recording: line %d: left and work: want positive durations, got %d and %d",
 			r.lineNumber,
-			at.Type,
-			at.Customer,
-			at.Dest,
+			record.TimeLeft,
+			record.Work,
+		)
+	case record.Type < 0 || int(record.Type) >= len(r.Scenario.Types) ||
+		record.Customer < 0 || int(record.Customer) >= len(r.Scenario.Customers) ||
+		record.Dest < 0 || int(record.Dest) >= dests:
+		r.Err = fmt.Errorf(
+			"recording: line %d: type %d, owner %d, dest %d: not all of them exist in the recorded scenario",
+			r.lineNumber,
+			record.Type,
+			record.Customer,
+			record.Dest,
 		)
 	}
 	if r.Err != nil {
 		return Arrival{}, false
 	}
-	r.lastArrival = at.At
+	r.lastArrival = record.At
 	return Arrival{
-		At:       at.At,
-		Deadline: at.At + at.TimeLeft,
-		Work:     at.Work,
-		Type:     at.Type,
-		Customer: at.Customer,
-		Dest:     at.Dest,
-		Key:      at.Key,
+		At:       record.At,
+		Deadline: record.At + record.TimeLeft,
+		Work:     record.Work,
+		Type:     record.Type,
+		Customer: record.Customer,
+		Dest:     record.Dest,
+		Key:      record.Key,
 	}, true
 }
 
-// Close lets go of what reading took.
+// Close releases the resources of the reader. It does not close the underlying reader.
 func (r *Recording) Close() { r.decompressor.Close() }
