--- a/cmd/jaspersill-lab/loopback.go
+++ b/cmd/jaspersill-lab/loopback.go
@@ -268,16 +268,16 @@
 					w,
 					"offered %.0f/s, sent %.0f/s: %d taken on, %d declined, %d failed; ms p50 %.2f p90 %.2f p99 %.2f "+
 						"p99.9 %.2f; own lag p99 %.3f ms\n",
-					l.Offered,
-					l.Sent,
+					l.OfferedRate,
+					l.SentRate,
 					l.Acked,
 					l.Declined,
 					l.Failed,
-					l.Millis[0],
-					l.Millis[1],
-					l.Millis[2],
-					l.Millis[3],
-					l.LagMs,
+					l.LatencyMs[0],
+					l.LatencyMs[1],
+					l.LatencyMs[2],
+					l.LatencyMs[3],
+					l.SendLagMs,
 				)
 			}
 			for _, note := range f.Notes {
--- a/cmd/jaspersill-lab/main.go
+++ b/cmd/jaspersill-lab/main.go
@@ -96,7 +96,7 @@
 		}
 		folder = filepath.Join(
 			"results",
-			fmt.Sprintf("%s-%s-%s", f.Kind, day.Name, f.At.Format("20060102T150405")),
+			fmt.Sprintf("%s-%s-%s", f.Kind, day.Name, f.CreatedAt.Format("20060102T150405")),
 		)
 	}
 	if err := f.Write(folder); err != nil {
--- a/cmd/jaspersill-lab/simulate.go
+++ b/cmd/jaspersill-lab/simulate.go
@@ -121,7 +121,7 @@
 	for i, spec := range specs {
 		f.Add(spec, results[i])
 	}
-	f.ComputePlaces()
+	f.ComputePositions()
 	return nil
 }
 
@@ -149,23 +149,23 @@
 	if err := json.Unmarshal(out, &f); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if f.Version != report.Version || len(f.Sets) != 1 {
+	if f.Version != report.Version || len(f.Variants) != 1 {
 		return nil, fmt.Errorf(
 			"%s: want one set of version %d, got %d of %d",
 			path,
 			report.Version,
-			len(f.Sets),
+			len(f.Variants),
 			f.Version,
 		)
 	}
-	return f.Sets[0].Results, nil
+	return f.Variants[0].Results, nil
 }
 
 // printResult prints the sets of a file.
 func printResult(c *cobra.Command, f *report.File) error {
 	t := tabwriter.NewWriter(c.OutOrStdout(), 0, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "SET\tG\t95%\tPLACE\tWORST 10 S\tWORST TYPE\tWASTE\tP99 MS\tBROKEN")
-	for _, s := range f.Sets {
+	for _, s := range f.Variants {
 		mean := func(of func(*runner.Result) float64) float64 {
 			total := 0.0
 			for i := range s.Results {
@@ -174,8 +174,8 @@
 			return total / float64(max(1, len(s.Results)))
 		}
 		place := "-"
-		if s.Place != 0 {
-			place = fmt.Sprintf("%.2f", s.Place)
+		if s.Position != 0 {
+			place = fmt.Sprintf("%.2f", s.Position)
 		}
 		fmt.Fprintf(
 			t,
@@ -196,16 +196,16 @@
 		return err
 	}
 	for _, d := range f.Differences {
-		if d.Figure == "G" {
+		if d.Metric == "G" {
 			fmt.Fprintf(
 				c.OutOrStdout(),
 				"%s beside %s: %+.4f in G (%+.4f to %+.4f, %d pairs)\n",
 				d.Name,
-				f.Sets[0].Name,
-				d.By.Mean,
-				d.By.Least,
-				d.By.Most,
-				d.By.N,
+				f.Variants[0].Name,
+				d.Interval.Mean,
+				d.Interval.Least,
+				d.Interval.Most,
+				d.Interval.N,
 			)
 		}
 	}
@@ -280,7 +280,7 @@
 			if err := saveResult(c, f, m.out); err != nil {
 				return err
 			}
-			for _, s := range f.Sets {
+			for _, s := range f.Variants {
 				if strings.HasPrefix(s.Name, "module") && s.Broken > 0 {
 					return fmt.Errorf("%s broke %d rules", s.Name, s.Broken)
 				}
@@ -313,7 +313,7 @@
 	if err != nil {
 		return err
 	}
-	runner.Run(s.Scenario, seed, luck, s.Launch, false, file)
+	runner.Run(s.Scenario, seed, luck, s.NewScheduler, false, file)
 	return file.Close()
 }
 
@@ -336,14 +336,14 @@
 		if err != nil {
 			return err
 		}
-		return errors.Join(runner.Record(s.Scenario, m.firstSeed, luck, s.Launch, file), file.Close())
+		return errors.Join(runner.Record(s.Scenario, m.firstSeed, luck, s.NewScheduler, file), file.Close())
 	}
 	file, err := os.Open(replay)
 	if err != nil {
 		return err
 	}
 	defer file.Close()
-	r, recorded, err := runner.Replay(file, m.firstSeed, luck, s.Launch, nil)
+	r, recorded, err := runner.Replay(file, m.firstSeed, luck, s.NewScheduler, nil)
 	if err != nil {
 		return fmt.Errorf("%s: %w", replay, err)
 	}
--- a/cmd/jaspersill/check.go
+++ b/cmd/jaspersill/check.go
@@ -84,7 +84,7 @@
 				fmt.Fprintln(t, "EVENT\tTYPE\tCUSTOMER\tDEST\tDEADLINE\tSENDS\tMAY HAVE RUN\tVERDICT\tBODY")
 				for _, o := range r.Pending {
 					fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%d\t%t\t%s\t%d B\n", o.ID, o.Kind, o.Owner, o.Dest,
-						o.Deadline.UTC().Format(time.RFC3339Nano), o.Attempts, o.MayHaveRun, o.Verdict, o.BodyBytes)
+						o.Deadline.UTC().Format(time.RFC3339Nano), o.Attempts, o.MayHaveRun, o.Resolution, o.BodyBytes)
 				}
 				return t.Flush()
 			}},
--- a/lab/emulator/node_bench_test.go
+++ b/lab/emulator/node_bench_test.go
@@ -89,7 +89,7 @@
 		b.Fatal(err)
 	}
 	b.ReportMetric(float64(l.Acked)/b.Elapsed().Seconds(), "events/s")
-	b.ReportMetric(l.Millis[2], "p99-ms")
+	b.ReportMetric(l.LatencyMs[2], "p99-ms")
 	stop()
 	<-ended
 }
--- a/lab/faultproxy/datagrams.go
+++ b/lab/faultproxy/datagrams.go
@@ -13,11 +13,11 @@
 type DatagramProxy struct {
 	socket *net.UDPConn
 
-	mu        sync.Mutex
-	random    *rand.Rand
-	receivers []*net.UDPAddr
-	share     float64       // of the datagrams, for each kind of fault
-	most      time.Duration // of a delay
+	mu          sync.Mutex
+	random      *rand.Rand
+	receivers   []*net.UDPAddr
+	probability float64       // of the datagrams, for each kind of fault
+	maxDelay    time.Duration // of a delay
 }
 
 // ListenDatagrams opens a forwarder for one sender on loopback.
@@ -46,7 +46,7 @@
 func (d *DatagramProxy) SetFaults(share float64, most time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.share, d.most = share, most
+	d.probability, d.maxDelay = share, most
 }
 
 // Close ends the forwarding.
@@ -64,27 +64,27 @@
 		receivers := d.receivers
 		d.mu.Unlock()
 		for _, to := range receivers {
-			for _, delay := range d.delays() {
+			for _, delay := range d.drawDelays() {
 				time.AfterFunc(delay, func() { d.socket.WriteToUDP(text, to) })
 			}
 		}
 	}
 }
 
-// delays draws when copies of a datagram go out: none for one that is dropped.
-func (d *DatagramProxy) delays() (list []time.Duration) {
+// drawDelays draws when copies of a datagram go out: none for one that is dropped.
+func (d *DatagramProxy) drawDelays() (list []time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delay := func() time.Duration {
-		if d.most <= 0 || d.random.Float64() >= d.share {
+		if d.maxDelay <= 0 || d.random.Float64() >= d.probability {
 			return 0
 		}
-		return time.Duration(d.random.Int64N(int64(d.most)))
+		return time.Duration(d.random.Int64N(int64(d.maxDelay)))
 	}
-	if d.random.Float64() >= d.share {
+	if d.random.Float64() >= d.probability {
 		list = append(list, delay())
 	}
-	if d.random.Float64() < d.share {
+	if d.random.Float64() < d.probability {
 		list = append(list, delay())
 	}
 	return list
--- a/lab/faultproxy/faultproxy.go
+++ b/lab/faultproxy/faultproxy.go
@@ -61,22 +61,22 @@
 	FirstChunk int
 }
 
-// maxPiece is the most that one read takes: a request or an answer of the largest size goes through in one piece.
-const maxPiece = 80 << 10
+// maxChunk is the most that one read takes: a request or an answer of the largest size goes through in one piece.
+const maxChunk = 80 << 10
 
 // Proxy is one address that leads to a target.
 type Proxy struct {
 	listener net.Listener
 	target   string
 
-	mu     sync.Mutex
-	random *rand.Rand
-	faults []Fault
-	open   map[*Connection]struct{}
-	seen   map[string]*Connection // newest, by the address from which the target sees it
-	from   map[string]*Connection // newest, by the address of its client
-	closed bool
-	struck int // pieces
+	mu       sync.Mutex
+	random   *rand.Rand
+	faults   []Fault
+	open     map[*Connection]struct{}
+	byTarget map[string]*Connection // newest, by the address from which the target sees it
+	byClient map[string]*Connection // newest, by the address of its client
+	closed   bool
+	faulted  int // pieces
 }
 
 // Listen opens a proxy on an address of the loopback network that leads to a target.
@@ -86,7 +86,7 @@
 		return nil, err
 	}
 	p := &Proxy{listener: listener, target: target, random: rand.New(rand.NewPCG(seed, 0xfa017)),
-		open: map[*Connection]struct{}{}, seen: map[string]*Connection{}, from: map[string]*Connection{}}
+		open: map[*Connection]struct{}{}, byTarget: map[string]*Connection{}, byClient: map[string]*Connection{}}
 	go p.serve()
 	return p, nil
 }
@@ -105,21 +105,21 @@
 func (p *Proxy) ConnToTarget(address net.Addr) *Connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.seen[address.String()]
+	return p.byTarget[address.String()]
 }
 
 // ConnFromClient finds the newest connection by its client's address. It is nil for one that the target has not taken.
 func (p *Proxy) ConnFromClient(address net.Addr) *Connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.from[address.String()]
+	return p.byClient[address.String()]
 }
 
 // FaultCount is how many pieces faults have struck.
 func (p *Proxy) FaultCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.struck
+	return p.faulted
 }
 
 // Close closes the proxy and its connections.
@@ -146,7 +146,7 @@
 // relay carries one connection until both directions have ended.
 func (p *Proxy) relay(near *net.TCPConn) {
 	p.mu.Lock()
-	delete(p.from, near.RemoteAddr().String()) // of an earlier connection from that address
+	delete(p.byClient, near.RemoteAddr().String()) // of an earlier connection from that address
 	p.mu.Unlock()
 	far, err := net.Dial("tcp", p.target)
 	if err != nil {
@@ -154,22 +154,22 @@
 		near.Close()
 		return
 	}
-	c := &Connection{proxy: p, near: near, far: far.(*net.TCPConn)}
+	c := &Connection{proxy: p, client: near, target: far.(*net.TCPConn)}
 	if !p.register(c) {
 		c.reset()
 		return
 	}
 	var directions sync.WaitGroup
-	directions.Go(func() { (&stream{connection: c, direction: Requests, from: c.near, to: c.far}).run() })
-	directions.Go(func() { (&stream{connection: c, direction: Responses, from: c.far, to: c.near}).run() })
+	directions.Go(func() { (&stream{connection: c, direction: Requests, from: c.client, to: c.target}).run() })
+	directions.Go(func() { (&stream{connection: c, direction: Responses, from: c.target, to: c.client}).run() })
 	directions.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c.near.Close()
-	c.far.Close()
+	c.client.Close()
+	c.target.Close()
 	delete(p.open, c)
-	if address := c.far.LocalAddr().String(); p.seen[address] == c { // the port will be another connection's
-		delete(p.seen, address)
+	if address := c.target.LocalAddr().String(); p.byTarget[address] == c { // the port will be another connection's
+		delete(p.byTarget, address)
 	}
 }
 
@@ -180,13 +180,13 @@
 		return false
 	}
 	p.open[c] = struct{}{}
-	p.seen[c.far.LocalAddr().String()] = c
-	p.from[c.near.RemoteAddr().String()] = c
+	p.byTarget[c.target.LocalAddr().String()] = c
+	p.byClient[c.client.RemoteAddr().String()] = c
 	return true
 }
 
-// draw picks the fault that strikes a piece, if any, and its delay.
-func (p *Proxy) draw(d Direction, piece int) (f Fault, delay time.Duration, strikes bool) {
+// drawFault picks the fault that strikes a piece, if any, and its delay.
+func (p *Proxy) drawFault(d Direction, piece int) (f Fault, delay time.Duration, strikes bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
@@ -194,7 +194,7 @@
 		if f.Direction != d || piece < f.FirstChunk || (!f.Until.IsZero() && now.After(f.Until)) || p.random.Float64() >= f.Probability {
 			continue
 		}
-		p.struck++
+		p.faulted++
 		delay = f.MinDelay
 		if f.MaxDelay > f.MinDelay {
 			delay += time.Duration(p.random.Int64N(int64(f.MaxDelay - f.MinDelay)))
@@ -204,7 +204,7 @@
 	return Fault{}, 0, false
 }
 
-func (p *Proxy) position(length int) int {
+func (p *Proxy) randomIndex(length int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.random.IntN(length)
@@ -212,9 +212,9 @@
 
 // Connection is one connection through the proxy.
 type Connection struct {
-	proxy     *Proxy
-	near, far *net.TCPConn
-	disturbed atomic.Bool
+	proxy          *Proxy
+	client, target *net.TCPConn
+	disturbed      atomic.Bool
 
 	requestsEnded atomic.Bool // the client sends nothing more
 }
@@ -224,10 +224,10 @@
 
 // reset ends both sides at once.
 func (c *Connection) reset() {
-	c.near.SetLinger(0)
-	c.far.SetLinger(0)
-	c.near.Close()
-	c.far.Close()
+	c.client.SetLinger(0)
+	c.target.SetLinger(0)
+	c.client.Close()
+	c.target.Close()
 }
 
 // stream is one direction of a connection.
@@ -235,8 +235,8 @@
 	connection *Connection
 	direction  Direction
 	from, to   *net.TCPConn
-	pieces     int
-	waiting    []byte // held for the next piece
+	chunks     int
+	pending    []byte // held for the next piece
 
 	mu    sync.Mutex // orders writes: repeated pieces go out between others
 	ended bool
@@ -244,10 +244,10 @@
 
 // run carries pieces until the direction ends. What breaks on one side breaks on the other.
 func (s *stream) run() {
-	buffer := make([]byte, maxPiece)
+	buffer := make([]byte, maxChunk)
 	for {
 		n, err := s.from.Read(buffer)
-		if n > 0 && !s.carry(buffer[:n]) {
+		if n > 0 && !s.forward(buffer[:n]) {
 			return
 		}
 		switch {
@@ -255,7 +255,7 @@
 			if s.direction == Requests {
 				s.connection.requestsEnded.Store(true)
 			}
-			s.end()
+			s.closeWrite()
 			if s.direction == Requests && isReset(s.from) { // an answer on its way met the end
 				s.connection.reset()
 			}
@@ -267,12 +267,12 @@
 	}
 }
 
-// carry sends one piece on. It tells false if the direction ends with it.
-func (s *stream) carry(read []byte) bool {
-	s.pieces++
-	piece := append(s.waiting, read...)
-	s.waiting = nil
-	fault, delay, strikes := s.connection.proxy.draw(s.direction, s.pieces)
+// forward sends one piece on. It tells false if the direction ends with it.
+func (s *stream) forward(read []byte) bool {
+	s.chunks++
+	piece := append(s.pending, read...)
+	s.pending = nil
+	fault, delay, strikes := s.connection.proxy.drawFault(s.direction, s.chunks)
 	if !strikes {
 		return s.write(piece)
 	}
@@ -283,31 +283,31 @@
 	case Hold:
 		time.Sleep(delay)
 	case Split:
-		at := s.connection.proxy.position(len(piece))
+		at := s.connection.proxy.randomIndex(len(piece))
 		if !s.write(piece[:at]) {
 			return false
 		}
 		time.Sleep(delay)
 		piece = piece[at:]
 	case Merge:
-		s.waiting = append([]byte(nil), piece...)
-		s.flushAfter(delay)
+		s.pending = append([]byte(nil), piece...)
+		s.merge(delay)
 		return true
 	case Truncate:
-		s.write(piece[:s.connection.proxy.position(len(piece))])
-		s.end()
+		s.write(piece[:s.connection.proxy.randomIndex(len(piece))])
+		s.closeWrite()
 		return false
 	case Drip:
 		return s.drip(piece, delay)
 	case Alter:
 		piece = append([]byte(nil), piece...)
-		piece[s.connection.proxy.position(len(piece))] ^= 0x01
+		piece[s.connection.proxy.randomIndex(len(piece))] ^= 0x01
 	case Reset:
 		s.connection.reset()
 		return false
 	case HalfClose:
 		s.write(piece)
-		s.end()
+		s.closeWrite()
 		return false
 	}
 	return s.write(piece)
@@ -326,14 +326,14 @@
 	return true
 }
 
-// flushAfter sends what waits for the next piece if none comes in time.
-func (s *stream) flushAfter(delay time.Duration) {
+// merge sends what waits for the next piece if none comes in time.
+func (s *stream) merge(delay time.Duration) {
 	s.from.SetReadDeadline(time.Now().Add(delay))
-	buffer := make([]byte, maxPiece)
+	buffer := make([]byte, maxChunk)
 	n, _ := s.from.Read(buffer)
 	s.from.SetReadDeadline(time.Time{})
-	piece := append(s.waiting, buffer[:n]...)
-	s.waiting = nil
+	piece := append(s.pending, buffer[:n]...)
+	s.pending = nil
 	s.write(piece)
 }
 
@@ -365,13 +365,13 @@
 	return true
 }
 
-// resetWithin is more than it takes on loopback, on a busy machine too, until what was written to a closed socket comes
+// resetDelay is more than it takes on loopback, on a busy machine too, until what was written to a closed socket comes
 // back as a reset.
-const resetWithin = 20 * time.Millisecond
+const resetDelay = 20 * time.Millisecond
 
 // isReset tells whether the other side of a connection has reset it.
 func isReset(conn *net.TCPConn) (reset bool) {
-	time.Sleep(resetWithin)
+	time.Sleep(resetDelay)
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return true
@@ -383,8 +383,8 @@
 	return reset
 }
 
-// end tells the other side that nothing more comes in this direction.
-func (s *stream) end() {
+// closeWrite tells the other side that nothing more comes in this direction.
+func (s *stream) closeWrite() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ended = true
--- a/lab/loadgen/knee.go
+++ b/lab/loadgen/knee.go
@@ -19,7 +19,7 @@
 // Sustained tells whether a step of the search was borne: what was offered was sent, nothing failed or was
 // declined, and p99 stayed under the bound.
 func Sustained(l *report.LoadResult, p99 time.Duration) bool {
-	return l.Failed == 0 && l.Declined == 0 && l.Sent > 0.98*l.Offered && l.Millis[2] <= float64(p99)/1e6
+	return l.Failed == 0 && l.Declined == 0 && l.SentRate > 0.98*l.OfferedRate && l.LatencyMs[2] <= float64(p99)/1e6
 }
 
 // FindKnee searches the highest rate that is borne with p99 under a bound: it doubles from the plan's rate until
--- a/lab/loadgen/load.go
+++ b/lab/loadgen/load.go
@@ -153,9 +153,9 @@
 	wg.Wait()
 	took := min(time.Since(began), p.Duration)
 	all, lag := hdrhistogram.New(1e3, int64(60e9), 3), hdrhistogram.New(1e3, maxLag, 3)
-	l := report.LoadResult{Offered: p.Rate, Sent: float64(started.Load()) / took.Seconds()}
+	l := report.LoadResult{OfferedRate: p.Rate, SentRate: float64(started.Load()) / took.Seconds()}
 	if p.EndRate > 0 {
-		l.Offered = (p.Rate + p.EndRate) / 2
+		l.OfferedRate = (p.Rate + p.EndRate) / 2
 	}
 	for _, w := range workers {
 		all.Merge(w.latency)
@@ -163,9 +163,9 @@
 		l.Acked, l.Declined, l.Failed = l.Acked+w.accepted, l.Declined+w.declined, l.Failed+w.failed
 	}
 	for _, q := range runner.Percentiles {
-		l.Millis = append(l.Millis, float64(all.ValueAtQuantile(q))/1e6)
+		l.LatencyMs = append(l.LatencyMs, float64(all.ValueAtQuantile(q))/1e6)
 	}
-	l.LagMs = float64(lag.ValueAtQuantile(99)) / 1e6
+	l.SendLagMs = float64(lag.ValueAtQuantile(99)) / 1e6
 	return l, ctx.Err()
 }
 
--- a/lab/loadgen/load_test.go
+++ b/lab/loadgen/load_test.go
@@ -45,8 +45,8 @@
 	if l.Acked < 450 || l.Failed > 0 {
 		t.Errorf("offered 500: %+v", l)
 	}
-	if l.Millis[1] < 200 { // a third of the second's events came while it stood still: p90 must tell
-		t.Errorf("p90 is %.1f ms, though it stood still for 400 ms", l.Millis[1])
+	if l.LatencyMs[1] < 200 { // a third of the second's events came while it stood still: p90 must tell
+		t.Errorf("p90 is %.1f ms, though it stood still for 400 ms", l.LatencyMs[1])
 	}
 }
 
--- a/lab/report/page.go
+++ b/lab/report/page.go
@@ -119,7 +119,7 @@
 		}
 	}
 	var utility []series
-	for _, s := range f.Sets {
+	for _, s := range f.Variants {
 		if len(s.Results) > 0 && len(s.Results[0].Seconds) > 0 {
 			utility = append(utility, series{name: s.Name, points: secondSeries(s.Results[0].Seconds,
 				func(x *runner.SecondStats) float64 { return x.Utility })})
@@ -128,7 +128,7 @@
 	if len(utility) > 0 {
 		add("Utility delivered of what each second asked for", "share", utility)
 	}
-	for i, s := range f.Sets {
+	for i, s := range f.Variants {
 		if len(s.Results) == 0 || len(s.Results[0].Seconds) == 0 || (i > 0 && f.Kind == "sweep") || i > 2 {
 			continue
 		}
@@ -174,7 +174,7 @@
 		for n, p := range runner.Percentiles {
 			l := series{name: fmt.Sprintf("p%g", p)}
 			for _, at := range f.Loads {
-				l.points = append(l.points, plotter.XY{X: at.Offered, Y: at.Millis[n]})
+				l.points = append(l.points, plotter.XY{X: at.OfferedRate, Y: at.LatencyMs[n]})
 			}
 			lines = append(lines, l)
 		}
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -24,39 +24,39 @@
 
 // VariantResult is what one policy, version or value gave.
 type VariantResult struct {
-	Name    string          `json:"name"`
-	Results []runner.Result `json:"results"`
-	G       stat.Interval   `json:"g"`
-	Broken  int             `json:"broken"`
-	Place   float64         `json:"place"` // between floor and top, where both were played; else 0
+	Name     string          `json:"name"`
+	Results  []runner.Result `json:"results"`
+	G        stat.Interval   `json:"g"`
+	Broken   int             `json:"broken"`
+	Position float64         `json:"place"` // between floor and top, where both were played; else 0
 }
 
 // Difference is what one set makes beside the first.
 type Difference struct {
-	Name   string        `json:"name"`
-	Figure string        `json:"figure"`
-	By     stat.Interval `json:"by"`
+	Name     string        `json:"name"`
+	Metric   string        `json:"figure"`
+	Interval stat.Interval `json:"by"`
 }
 
 // LoadResult is what the load tool measured, beside or without runs.
 type LoadResult struct {
-	Offered  float64   `json:"offered"` // events a second, as intended
-	Sent     float64   `json:"sent"`
-	Acked    int64     `json:"taken"`
-	Declined int64     `json:"declined"`
-	Failed   int64     `json:"failed"`
-	Millis   []float64 `json:"latency_ms"` // by run.Percentiles, from the intended time
-	LagMs    float64   `json:"lag_p99_ms"` // of the tool itself
+	OfferedRate float64   `json:"offered"` // events a second, as intended
+	SentRate    float64   `json:"sent"`
+	Acked       int64     `json:"taken"`
+	Declined    int64     `json:"declined"`
+	Failed      int64     `json:"failed"`
+	LatencyMs   []float64 `json:"latency_ms"` // by run.Percentiles, from the intended time
+	SendLagMs   float64   `json:"lag_p99_ms"` // of the tool itself
 }
 
 // File is one folder's result.json.
 type File struct {
 	Version     int             `json:"version"`
 	Kind        string          `json:"kind"` // run, compare, sweep, hunt or load
-	At          time.Time       `json:"at"`
+	CreatedAt   time.Time       `json:"at"`
 	Command     string          `json:"command"`
 	Scenario    string          `json:"scenario"` // its text
-	Sets        []VariantResult `json:"sets,omitempty"`
+	Variants    []VariantResult `json:"sets,omitempty"`
 	Differences []Difference    `json:"differences,omitempty"`
 	Loads       []LoadResult    `json:"loads,omitempty"`
 	Notes       []string        `json:"notes,omitempty"`
@@ -66,18 +66,18 @@
 func NewFile(kind, command string, day *scenario.Scenario) (*File, error) {
 	text, err := day.Write()
 	return &File{
-		Version:  Version,
-		Kind:     kind,
-		At:       time.Now().UTC(),
-		Command:  command,
-		Scenario: string(text),
+		Version:   Version,
+		Kind:      kind,
+		CreatedAt: time.Now().UTC(),
+		Command:   command,
+		Scenario:  string(text),
 	}, err
 }
 
 // Add adds a set's results.
 func (f *File) Add(name string, results []runner.Result) {
 	broken, first := runner.CountViolations(results)
-	f.Sets = append(f.Sets, VariantResult{Name: name, Results: results, Broken: broken,
+	f.Variants = append(f.Variants, VariantResult{Name: name, Results: results, Broken: broken,
 		G: stat.MeanInterval(runner.MetricValues(results, runner.G), 1)})
 	if broken > 0 {
 		f.Notes = append(f.Notes, fmt.Sprintf("%s: %d broken rules; the first: %s", name, broken, first))
@@ -86,35 +86,35 @@
 
 // findVariant finds a findVariant by its name.
 func (f *File) findVariant(name string) *VariantResult {
-	for i := range f.Sets {
-		if f.Sets[i].Name == name {
-			return &f.Sets[i]
+	for i := range f.Variants {
+		if f.Variants[i].Name == name {
+			return &f.Variants[i]
 		}
 	}
 	return nil
 }
 
-// ComputePlaces tells where each set stands between the floor, one try for each event, and the top, the policy that
+// ComputePositions tells where each set stands between the floor, one try for each event, and the top, the policy that
 // sees everything; where both were played.
-func (f *File) ComputePlaces() {
+func (f *File) ComputePositions() {
 	floor, top := f.findVariant("once"), f.findVariant("informed")
 	if floor == nil || top == nil || top.G.Mean <= floor.G.Mean {
 		return
 	}
-	for i := range f.Sets {
-		f.Sets[i].Place = (f.Sets[i].G.Mean - floor.G.Mean) / (top.G.Mean - floor.G.Mean)
+	for i := range f.Variants {
+		f.Variants[i].Position = (f.Variants[i].G.Mean - floor.G.Mean) / (top.G.Mean - floor.G.Mean)
 	}
 }
 
 // ComputeDifferences notes the difference of each set to the first, in G and in what it is made of.
 func (f *File) ComputeDifferences() {
-	if len(f.Sets) < 2 {
+	if len(f.Variants) < 2 {
 		return
 	}
-	for _, s := range f.Sets[1:] {
+	for _, s := range f.Variants[1:] {
 		for _, figure := range metrics {
 			f.Differences = append(f.Differences, Difference{s.Name, figure.name,
-				runner.PairedDifference(f.Sets[0].Results, s.Results, figure.of)})
+				runner.PairedDifference(f.Variants[0].Results, s.Results, figure.of)})
 		}
 	}
 }
@@ -229,7 +229,7 @@
 		"p999_ms",
 	}
 	return csvTable(head, func(add func(...any)) {
-		for _, s := range f.Sets {
+		for _, s := range f.Variants {
 			for _, r := range s.Results {
 				add(
 					s.Name,
@@ -262,7 +262,7 @@
 		head = append(head, o)
 	}
 	return csvTable(head, func(add func(...any)) {
-		for _, s := range f.Sets {
+		for _, s := range f.Variants {
 			for _, r := range s.Results {
 				for _, at := range r.Seconds {
 					row := []any{s.Name, r.Seed, at.Start, at.Utility, at.ActiveEvents, at.LatencyMs[0], at.LatencyMs[2],
@@ -280,7 +280,7 @@
 func (f *File) differencesCSV() []byte {
 	return csvTable([]string{"set", "figure", "by", "least", "most", "pairs"}, func(add func(...any)) {
 		for _, d := range f.Differences {
-			add(d.Name, d.Figure, d.By.Mean, d.By.Least, d.By.Most, d.By.N)
+			add(d.Name, d.Metric, d.Interval.Mean, d.Interval.Least, d.Interval.Most, d.Interval.N)
 		}
 	})
 }
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -38,8 +38,8 @@
 	for i, s := range sets {
 		f.Add(s.Name, results[i])
 	}
-	f.Sets[0].Broken, f.Notes = 1, append(f.Notes, "once: 1 broken rules; the first: <b>")
-	f.ComputePlaces()
+	f.Variants[0].Broken, f.Notes = 1, append(f.Notes, "once: 1 broken rules; the first: <b>")
+	f.ComputePositions()
 	f.ComputeDifferences()
 	folder := filepath.Join(t.TempDir(), "result")
 	if err := f.Write(folder); err != nil {
@@ -56,7 +56,7 @@
 		t.Errorf("%d charts", n)
 	}
 	again, err := Read(folder)
-	if err != nil || len(again.Sets) != 4 || again.Sets[2].Place != 1 ||
+	if err != nil || len(again.Variants) != 4 || again.Variants[2].Position != 1 ||
 		len(again.Differences) != 3*len(metrics) {
 		t.Fatalf("read back as %+v, %v", again, err)
 	}
--- a/lab/runner/run.go
+++ b/lab/runner/run.go
@@ -122,16 +122,16 @@
 
 // Variant is a policy or version to play.
 type Variant struct {
-	Name      string
-	Scenario  *scenario.Scenario
-	Launch    simulator.SchedulerFactory
-	NoiseSeed uint64
+	Name         string
+	Scenario     *scenario.Scenario
+	NewScheduler simulator.SchedulerFactory
+	NoiseSeed    uint64
 }
 
 // NewVariant is a policy played on a scenario.
 func NewVariant(name string, day *scenario.Scenario, luck uint64) (Variant, error) {
 	launch, err := policy.Find(name)
-	return Variant{Name: name, Scenario: day, Launch: launch, NoiseSeed: luck}, err
+	return Variant{Name: name, Scenario: day, NewScheduler: launch, NoiseSeed: luck}, err
 }
 
 // RunAll plays each set on each seed, on as many cores as there are, and hands the results back in order. Each
@@ -159,7 +159,7 @@
 			defer wg.Done()
 			for j := range jobs {
 				s := &sets[j.set]
-				r := Run(s.Scenario, seeds[j.seed], s.NoiseSeed, s.Launch, detail && j.seed == 0, nil)
+				r := Run(s.Scenario, seeds[j.seed], s.NoiseSeed, s.NewScheduler, detail && j.seed == 0, nil)
 				mu.Lock()
 				results[j.set][j.seed] = r
 				if done++; progress != nil {
--- a/lab/runner/run_test.go
+++ b/lab/runner/run_test.go
@@ -109,7 +109,7 @@
 	} else {
 		day.Length = scenario.Duration(20e9)
 	}
-	sets := []Variant{{Name: "module", Scenario: day, Launch: policy.NewScheduler}}
+	sets := []Variant{{Name: "module", Scenario: day, NewScheduler: policy.NewScheduler}}
 	results, err := RunAll(context.Background(), sets, Seeds(1, n), false, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -138,8 +138,8 @@
 	holds := 0
 	for c := range comparisons {
 		sets := []Variant{
-			{Scenario: day, Launch: policy.NewScheduler, NoiseSeed: uint64(2*c + 1)},
-			{Scenario: day, Launch: policy.NewScheduler, NoiseSeed: uint64(2*c + 2)},
+			{Scenario: day, NewScheduler: policy.NewScheduler, NoiseSeed: uint64(2*c + 1)},
+			{Scenario: day, NewScheduler: policy.NewScheduler, NoiseSeed: uint64(2*c + 2)},
 		}
 		r, err := RunAll(context.Background(), sets, Seeds(uint64(1+c*seeds), seeds), false, nil)
 		if err != nil {
--- a/lab/soak/discovery.go
+++ b/lab/soak/discovery.go
@@ -13,14 +13,14 @@
 	"time"
 )
 
-const signOfLife = 2 * time.Second // between the empty lines of a watch: the protocol's
+const watchKeepalive = 2 * time.Second // between the empty lines of a watch: the protocol's
 
 // discovery serves the list of endpoints and takes the notices, at an address for each node.
 type discovery struct {
-	ledger    *ledger
+	history   *history
 	endpoints []*endpoint
 	listeners []net.Listener
-	paths     *paths
+	network   *network
 
 	mu       sync.Mutex
 	sequence int
@@ -31,8 +31,8 @@
 	conns    map[net.Conn]struct{}
 }
 
-func newDiscovery(l *ledger, endpoints []*endpoint, nodes int) (*discovery, error) {
-	d := &discovery{ledger: l, endpoints: endpoints, sequence: 1, draining: map[int]bool{}, silent: map[int]bool{},
+func newDiscovery(l *history, endpoints []*endpoint, nodes int) (*discovery, error) {
+	d := &discovery{history: l, endpoints: endpoints, sequence: 1, draining: map[int]bool{}, silent: map[int]bool{},
 		changed: make(chan struct{}), conns: map[net.Conn]struct{}{}}
 	for node := range nodes {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -59,7 +59,7 @@
 	}
 }
 
-func (d *discovery) change(do func()) {
+func (d *discovery) update(do func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	do()
@@ -69,22 +69,22 @@
 
 // drain marks an endpoint as one that wants nothing new.
 func (d *discovery) drain(endpoint int) {
-	d.change(func() {
+	d.update(func() {
 		d.sequence++
 		d.draining[endpoint] = true
 	})
 }
 
-// silence has the open watches of a node tell nothing any more.
-func (d *discovery) silence(node int) { d.change(func() { d.silent[node] = true }) }
+// silenceWatches has the open watches of a node tell nothing any more.
+func (d *discovery) silenceWatches(node int) { d.update(func() { d.silent[node] = true }) }
 
-// fail takes discovery down or up again. Notices are taken all the while.
-func (d *discovery) fail(down bool) {
-	d.change(func() { d.down = down })
+// setDown takes discovery down or up again. Notices are taken all the while.
+func (d *discovery) setDown(down bool) {
+	d.update(func() { d.down = down })
 	if !down {
 		return
 	}
-	d.ledger.drops()
+	d.history.recordPlatformDisconnect()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for conn := range d.conns {
@@ -102,7 +102,7 @@
 		d.conns[conn] = struct{}{}
 		d.mu.Unlock()
 		go func() {
-			d.attend(node, conn)
+			d.handle(node, conn)
 			conn.Close()
 			d.mu.Lock()
 			delete(d.conns, conn)
@@ -111,14 +111,14 @@
 	}
 }
 
-func (d *discovery) attend(node int, conn net.Conn) {
+func (d *discovery) handle(node int, conn net.Conn) {
 	in := bufio.NewReader(conn)
 	for {
 		call, err := http.ReadRequest(in)
 		if err != nil {
 			return
 		}
-		body, err := io.ReadAll(io.LimitReader(call.Body, mostCallBytes))
+		body, err := io.ReadAll(io.LimitReader(call.Body, maxCallBytes))
 		if err != nil {
 			return
 		}
@@ -138,7 +138,7 @@
 		if call.URL.Query().Get("watch") == "" {
 			text, _ := d.list(node)
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
-			d.told(node, conn)
+			d.recordDrains(node, conn)
 			continue
 		}
 		d.watch(node, conn)
@@ -150,11 +150,11 @@
 	for line := range strings.Lines(string(body)) {
 		var n struct{ ID, Status string }
 		if err := json.Unmarshal([]byte(line), &n); err != nil {
-			d.ledger.broke(RuleAnswer, "a notice that cannot be read: %q", line)
+			d.history.addViolation(RuleAnswer, "a notice that cannot be read: %q", line)
 			_, err = io.WriteString(conn, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 			return err
 		}
-		d.ledger.notices(n.ID, n.Status)
+		d.history.recordNotice(n.ID, n.Status)
 	}
 	_, err := io.WriteString(conn, "HTTP/1.1 204 No Content\r\n\r\n")
 	return err
@@ -171,18 +171,18 @@
 			health = "Terminating"
 		}
 		hosts = append(hosts, fmt.Sprintf(`{"host":"e%d","dial":%q,"site":"here","class":"m0","block":%d,"health":%q,`+
-			`"share":1.0,"born_ms":0}`, e.number, d.paths.endpoints[node][e.number].Address(), e.dest, health))
+			`"share":1.0,"born_ms":0}`, e.number, d.network.endpoints[node][e.number].Address(), e.dest, health))
 	}
 	return `{"seq":` + strconv.Itoa(d.sequence) + `,"whole":true,"hosts":[` + strings.Join(hosts, ",") + "]}\n", d.changed
 }
 
-// told notes which endpoints a node knows by now to be draining.
-func (d *discovery) told(node int, conn net.Conn) {
-	by := d.paths.discovery[node].ConnToTarget(conn.RemoteAddr())
+// recordDrains notes which endpoints a node knows by now to be draining.
+func (d *discovery) recordDrains(node int, conn net.Conn) {
+	by := d.network.discovery[node].ConnToTarget(conn.RemoteAddr())
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for number := range d.draining {
-		d.endpoints[number].toldToDrain(node, by)
+		d.endpoints[number].recordDrain(node, by)
 	}
 }
 
@@ -198,7 +198,7 @@
 		return err
 	}
 	newest := ""
-	alive := time.NewTicker(signOfLife)
+	alive := time.NewTicker(watchKeepalive)
 	defer alive.Stop()
 	for {
 		text, changed := d.list(node)
@@ -216,7 +216,7 @@
 			if say(text) != nil {
 				return
 			}
-			d.told(node, conn)
+			d.recordDrains(node, conn)
 		}
 		select {
 		case <-changed:
--- a/lab/soak/endpoint.go
+++ b/lab/soak/endpoint.go
@@ -21,8 +21,8 @@
 	"jaspersill/lab/faultproxy"
 )
 
-// toldAnyway is the time after which a change counts as told, whether or not it arrived.
-const toldAnyway = 6 * time.Second
+// assumedToldAfter is the time after which a change counts as told, whether or not it arrived.
+const assumedToldAfter = 6 * time.Second
 
 // mode is how an endpoint behaves.
 type mode string
@@ -39,46 +39,46 @@
 )
 
 const (
-	usualAnswer   = 4 * time.Millisecond
-	slowAnswer    = 300 * time.Millisecond
-	retryAfter    = 800 * time.Millisecond
-	endpointIdle  = 4 * time.Second
-	resetWithin   = 100 * time.Millisecond // a reset takes no time on loopback, but for a proxy on a busy machine
-	mostCallBytes = 1 << 20
+	responseDelay       = 4 * time.Millisecond
+	slowResponseDelay   = 300 * time.Millisecond
+	retryAfter          = 800 * time.Millisecond
+	endpointIdleTimeout = 4 * time.Second
+	resetDelay          = 100 * time.Millisecond // a reset takes no time on loopback, but for a proxy on a busy machine
+	maxCallBytes        = 1 << 20
 )
 
 // endpoint is one emulated endpoint.
 type endpoint struct {
 	number, dest int
-	ledger       *ledger
+	history      *history
 	listener     net.Listener
-	limit        float64 // calls a second that it reports
-	steady       bool    // it answers as a partner at some distance does, and refuses a share
-	refusals     float64
-	paths        []*faultproxy.Proxy // that lead to it, by node
+	capacity     float64 // calls a second that it reports
+	remote       bool    // it answers as a partner at some distance does, and refuses a share
+	refusalRate  float64
+	proxies      []*faultproxy.Proxy // that lead to it, by node
 
-	mu        sync.Mutex
-	mode      mode
-	random    *rand.Rand
-	conns     map[net.Conn]struct{}
-	closed    bool
-	toldUntil map[int]toldWait // by node
-	outage    map[int]bool     // nodes that met the last outage
-	back      time.Duration
-	arrivals  []arrival // since it is back
-	drains    map[int]toldDrain
+	mu          sync.Mutex
+	mode        mode
+	random      *rand.Rand
+	conns       map[net.Conn]struct{}
+	closed      bool
+	retryWaits  map[int]retryWait // by node
+	sawOutage   map[int]bool      // nodes that met the last outage
+	recoveredAt time.Duration
+	arrivals    []arrival // since it is back
+	drains      map[int]drainNotice
 }
 
-// toldWait is a wait that a node was told, and the connection that told it: a disturbed one may not have.
-type toldWait struct {
-	span
-	by *faultproxy.Connection
+// retryWait is a wait that a node was told, and the connection that told it: a disturbed one may not have.
+type retryWait struct {
+	interval
+	conn *faultproxy.Connection
 }
 
-// toldDrain is when a node was told that the endpoint drains, and the connection that told it.
-type toldDrain struct {
-	at time.Duration
-	by *faultproxy.Connection
+// drainNotice is when a node was told that the endpoint drains, and the connection that told it.
+type drainNotice struct {
+	at   time.Duration
+	conn *faultproxy.Connection
 }
 
 type arrival struct {
@@ -86,15 +86,15 @@
 	node int
 }
 
-func newEndpoint(number, dest int, l *ledger, p *plan, random *rand.Rand) (*endpoint, error) {
+func newEndpoint(number, dest int, l *history, p *plan, random *rand.Rand) (*endpoint, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	e := &endpoint{number: number, dest: dest, ledger: l, listener: listener, limit: endpointLimit, mode: healthy,
-		steady: p.steady, refusals: p.refusals,
-		random: random, conns: map[net.Conn]struct{}{}, toldUntil: map[int]toldWait{}, outage: map[int]bool{},
-		drains: map[int]toldDrain{}}
+	e := &endpoint{number: number, dest: dest, history: l, listener: listener, capacity: endpointCapacity, mode: healthy,
+		remote: p.remote, refusalRate: p.refusalRate,
+		random: random, conns: map[net.Conn]struct{}{}, retryWaits: map[int]retryWait{}, sawOutage: map[int]bool{},
+		drains: map[int]drainNotice{}}
 	go e.serve()
 	return e, nil
 }
@@ -110,7 +110,7 @@
 		e.mu.Lock()
 		e.conns[conn] = struct{}{}
 		e.mu.Unlock()
-		go e.attend(conn)
+		go e.handle(conn)
 	}
 }
 
@@ -124,36 +124,36 @@
 	}
 }
 
-// behave sets how it behaves from now on.
-func (e *endpoint) behave(m mode) {
+// setMode sets how it behaves from now on.
+func (e *endpoint) setMode(m mode) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	now := e.ledger.now()
+	now := e.history.now()
 	if m == unavailable && e.mode != unavailable {
-		e.outage, e.back, e.arrivals = map[int]bool{}, 0, nil
+		e.sawOutage, e.recoveredAt, e.arrivals = map[int]bool{}, 0, nil
 	}
 	if m != unavailable && e.mode == unavailable {
-		e.back, e.arrivals = now, nil
+		e.recoveredAt, e.arrivals = now, nil
 	}
 	e.mode = m
 }
 
-// toldToDrain notes that a node was told that the endpoint drains.
-func (e *endpoint) toldToDrain(node int, by *faultproxy.Connection) {
+// recordDrain notes that a node was told that the endpoint drains.
+func (e *endpoint) recordDrain(node int, by *faultproxy.Connection) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if told, before := e.drains[node]; !before || told.by.Disturbed() {
-		at := e.ledger.now()
+	if told, before := e.drains[node]; !before || told.conn.Disturbed() {
+		at := e.history.now()
 		if before {
-			at = min(at, told.at+toldAnyway)
+			at = min(at, told.at+assumedToldAfter)
 		}
-		e.drains[node] = toldDrain{at, by}
+		e.drains[node] = drainNotice{at, by}
 	}
 }
 
-// path is the connection through a proxy that a call came on.
-func (e *endpoint) path(conn net.Conn) *faultproxy.Connection {
-	for _, proxy := range e.paths {
+// proxyConn is the connection through a proxy that a call came on.
+func (e *endpoint) proxyConn(conn net.Conn) *faultproxy.Connection {
+	for _, proxy := range e.proxies {
 		if c := proxy.ConnToTarget(conn.RemoteAddr()); c != nil {
 			return c
 		}
@@ -161,7 +161,7 @@
 	return nil
 }
 
-func (e *endpoint) attend(conn net.Conn) {
+func (e *endpoint) handle(conn net.Conn) {
 	defer func() {
 		conn.Close()
 		e.mu.Lock()
@@ -171,20 +171,20 @@
 	in := bufio.NewReader(conn)
 	var last []part
 	for {
-		conn.SetReadDeadline(time.Now().Add(endpointIdle))
+		conn.SetReadDeadline(time.Now().Add(endpointIdleTimeout))
 		call, err := http.ReadRequest(in)
-		if errors.Is(err, syscall.ECONNRESET) || (errors.Is(err, io.EOF) && cameBack(conn)) {
-			e.ledger.crossed(last)
+		if errors.Is(err, syscall.ECONNRESET) || (errors.Is(err, io.EOF) && wasReset(conn)) {
+			e.history.recordUnreadResponses(last)
 		}
 		if err != nil {
 			return
 		}
-		body, err := io.ReadAll(io.LimitReader(call.Body, mostCallBytes))
+		body, err := io.ReadAll(io.LimitReader(call.Body, maxCallBytes))
 		if err != nil {
 			return
 		}
 		var open bool
-		if last, open = e.answer(conn, in, call, body); !open {
+		if last, open = e.handleCall(conn, in, call, body); !open {
 			return
 		}
 	}
@@ -196,8 +196,8 @@
 	attempt int
 }
 
-// ids are the requests that a call carries.
-func ids(call *http.Request, body []byte) (list []string) {
+// requestIDs are the requests that a call carries.
+func requestIDs(call *http.Request, body []byte) (list []string) {
 	if !strings.HasSuffix(call.URL.Path, "/bulk") {
 		return []string{call.Header.Get("Req-Id")}
 	}
@@ -217,29 +217,29 @@
 	return list
 }
 
-// answer plays one call. It tells what was delivered, and whether the connection stays open.
-func (e *endpoint) answer(conn net.Conn, in *bufio.Reader, call *http.Request, body []byte) (delivered []part, open bool) {
+// handleCall plays one call. It tells what was delivered, and whether the connection stays open.
+func (e *endpoint) handleCall(conn net.Conn, in *bufio.Reader, call *http.Request, body []byte) (delivered []part, open bool) {
 	var parts []part
-	path := e.path(conn)
-	for _, id := range ids(call, body) {
-		r := e.ledger.reaches(id, e.number, path)
+	path := e.proxyConn(conn)
+	for _, id := range requestIDs(call, body) {
+		r := e.history.recordAttempt(id, e.number, path)
 		if r == nil {
 			fmt.Fprint(conn, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 			return nil, false
 		}
-		parts = append(parts, part{r, e.ledger.attemptsOf(r) - 1})
+		parts = append(parts, part{r, e.history.attemptCount(r) - 1})
 	}
 	note := func(outcome string, ran, delivered bool) {
 		for _, p := range parts {
-			e.ledger.answers(p.request, p.attempt, outcome, ran, delivered)
+			e.history.recordOutcome(p.request, p.attempt, outcome, ran, delivered)
 		}
 	}
 	if len(parts) == 0 {
 		return nil, false
 	}
 	node := parts[0].request.node
-	m, delay, refused := e.arrives(node, path)
-	report := fmt.Sprintf("Srv-Load: x0=0.5,x1=%g\r\n", e.limit)
+	m, delay, refused := e.admit(node, path)
+	report := fmt.Sprintf("Srv-Load: x0=0.5,x1=%g\r\n", e.capacity)
 	switch m {
 	case failing:
 		note("500", true, false)
@@ -249,7 +249,7 @@
 		note("429", false, false)
 		_, err := fmt.Fprintf(conn, "HTTP/1.1 429 Wait\r\n%sRetry-After: %.3f\r\nContent-Length: 0\r\n\r\n", report,
 			retryAfter.Seconds())
-		e.tellsToWait(node, path)
+		e.recordRetryAfter(node, path)
 		return nil, err == nil
 	case hanging:
 		note("hangs", true, false)
@@ -275,7 +275,7 @@
 	}
 	note("runs", true, false)
 	time.Sleep(delay)
-	if !stands(conn, in) {
+	if !isOpen(conn, in) {
 		note("given up by the node", true, false)
 		return nil, false
 	}
@@ -290,9 +290,9 @@
 	return parts, err == nil
 }
 
-// stands tells whether the other side still holds a connection open. It may have sent its next call already, if it took
+// isOpen tells whether the other side still holds a connection open. It may have sent its next call already, if it took
 // another answer for that to this one.
-func stands(conn net.Conn, in *bufio.Reader) (open bool) {
+func isOpen(conn net.Conn, in *bufio.Reader) (open bool) {
 	raw, err := conn.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return false
@@ -308,10 +308,10 @@
 	return open
 }
 
-// cameBack tells whether the last answer on a connection that the other side has ended came back unread: it had ended
+// wasReset tells whether the last answer on a connection that the other side has ended came back unread: it had ended
 // the connection before.
-func cameBack(conn net.Conn) (unread bool) {
-	time.Sleep(resetWithin)
+func wasReset(conn net.Conn) (unread bool) {
+	time.Sleep(resetDelay)
 	raw, err := conn.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return false
@@ -323,66 +323,66 @@
 	return unread
 }
 
-func (e *endpoint) tellsToWait(node int, by *faultproxy.Connection) {
+func (e *endpoint) recordRetryAfter(node int, by *faultproxy.Connection) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	now := e.ledger.now()
-	before := e.toldUntil[node]
-	if before.by.Disturbed() {
-		before = toldWait{}
+	now := e.history.now()
+	before := e.retryWaits[node]
+	if before.conn.Disturbed() {
+		before = retryWait{}
 	}
-	e.toldUntil[node] = toldWait{span{now, max(now+retryAfter, before.to)}, by}
+	e.retryWaits[node] = retryWait{interval{now, max(now+retryAfter, before.to)}, by}
 }
 
-// arrives holds a call to the rules on draining, waiting and slow start, and tells how it is to be answered. A call on a
+// admit holds a call to the rules on draining, waiting and slow start, and tells how it is to be answered. A call on a
 // disturbed connection may have been held on its way, so when it left is not known.
-func (e *endpoint) arrives(node int, path *faultproxy.Connection) (m mode, delay time.Duration, refused bool) {
+func (e *endpoint) admit(node int, path *faultproxy.Connection) (m mode, delay time.Duration, refused bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	now := e.ledger.now()
+	now := e.history.now()
 	if !path.Disturbed() {
-		e.judgeArrival(node, now)
+		e.checkArrival(node, now)
 	}
 	if e.mode == unavailable {
-		e.outage[node] = true
-	} else if e.back > 0 && now < e.back+warmAfter {
+		e.sawOutage[node] = true
+	} else if e.recoveredAt > 0 && now < e.recoveredAt+rampTime {
 		e.arrivals = append(e.arrivals, arrival{now, node})
-		e.slowStart(now)
+		e.checkSlowStart(now)
 	}
-	delay = usualAnswer + time.Duration(e.random.Int64N(int64(usualAnswer)))
-	if e.steady {
-		delay = steadyAnswerLeast + time.Duration(e.random.Int64N(int64(steadyAnswerRange)))
-		refused = e.random.Float64() < e.refusals
+	delay = responseDelay + time.Duration(e.random.Int64N(int64(responseDelay)))
+	if e.remote {
+		delay = remoteResponseDelay + time.Duration(e.random.Int64N(int64(remoteResponseJitter)))
+		refused = e.random.Float64() < e.refusalRate
 	}
 	if e.mode == slow {
-		delay += slowAnswer
+		delay += slowResponseDelay
 	}
 	return e.mode, delay, refused
 }
 
-// judgeArrival holds a call to the rules on draining and waiting; the lock is held.
-func (e *endpoint) judgeArrival(node int, now time.Duration) {
+// checkArrival holds a call to the rules on draining and waiting; the lock is held.
+func (e *endpoint) checkArrival(node int, now time.Duration) {
 	if told, drains := e.drains[node]; drains {
 		at := told.at
-		if told.by.Disturbed() {
-			at += toldAnyway
+		if told.conn.Disturbed() {
+			at += assumedToldAfter
 		}
-		if now > at+drainGrace+socketGrace+crossingGrace {
-			e.ledger.broke(RuleDrain, "node %d sent to endpoint %d %v after it was told that it drains", node, e.number, now-at)
+		if now > at+drainGrace+socketGrace+processingGrace {
+			e.history.addViolation(RuleDrain, "node %d sent to endpoint %d %v after it was told that it drains", node, e.number, now-at)
 		}
 	}
-	if w, told := e.toldUntil[node]; told && !w.by.Disturbed() && now > w.from+waitGrace && now < w.to-socketGrace {
-		e.ledger.broke(RuleRetryAfter, "node %d sent to endpoint %d %v before the wait that it was told is over", node, e.number,
+	if w, told := e.retryWaits[node]; told && !w.conn.Disturbed() && now > w.from+retryAfterGrace && now < w.to-socketGrace {
+		e.history.addViolation(RuleRetryAfter, "node %d sent to endpoint %d %v before the wait that it was told is over", node, e.number,
 			w.to-now)
 	}
 }
 
-// slowStart holds the calls of the rule's window to what an endpoint that returns cold can do then, which grows until
+// checkSlowStart holds the calls of the rule's window to what an endpoint that returns cold can do then, which grows until
 // it is warm; the lock is held.
-func (e *endpoint) slowStart(now time.Duration) {
-	middle := max(0, now-fallAfter/2-e.back)
-	share := coldShare + (1-coldShare)*middle.Seconds()/warmAfter.Seconds()
-	n := fallMultiple * share * e.limit * fallAfter.Seconds()
+func (e *endpoint) checkSlowStart(now time.Duration) {
+	middle := max(0, now-fallAfter/2-e.recoveredAt)
+	share := coldShare + (1-coldShare)*middle.Seconds()/rampTime.Seconds()
+	n := fallMultiple * share * e.capacity * fallAfter.Seconds()
 	most := n + 2*math.Sqrt(n) + 2
 	if n < 30 {
 		most = n + 3*math.Sqrt(n) + 3
@@ -391,22 +391,22 @@
 	for _, a := range e.arrivals {
 		if now-a.at < fallAfter {
 			calls++
-			if e.outage[a.node] {
+			if e.sawOutage[a.node] {
 				informed++
 			}
 		}
 	}
 	if float64(calls) > most && informed*3 > calls*2 {
-		e.ledger.broke(RuleSlowStart, "endpoint %d, back for %v, got %d calls in %v, %d of nodes that met its outage: at most %.0f",
-			e.number, now-e.back, calls, fallAfter, informed, most)
-		e.back = 0
+		e.history.addViolation(RuleSlowStart, "endpoint %d, back for %v, got %d calls in %v, %d of nodes that met its outage: at most %.0f",
+			e.number, now-e.recoveredAt, calls, fallAfter, informed, most)
+		e.recoveredAt = 0
 	}
 }
 
-// forget drops the wait that a process was told: a restart ends it.
-func (e *endpoint) forget(node int) {
+// forgetNode drops the wait that a process was told: a restart ends it.
+func (e *endpoint) forgetNode(node int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	delete(e.toldUntil, node)
-	delete(e.outage, node)
+	delete(e.retryWaits, node)
+	delete(e.sawOutage, node)
 }
--- a/lab/soak/history.go
+++ b/lab/soak/history.go
@@ -14,13 +14,13 @@
 
 // The protocol's times, to which requests are held.
 const (
-	answerPatience = 400 * time.Millisecond  // a client waits so long for the answer to a request
-	finalGrace     = 500 * time.Millisecond  // a final answer later than its deadline by more is lost
-	noticeGrace    = 300 * time.Millisecond  // in which a notice is told that can be told
-	socketGrace    = 50 * time.Millisecond   // every limit is so much longer on sockets
-	readyGrace     = 1500 * time.Millisecond // no notice is overdue until so long after a restarted node is ready
-	crossingGrace  = 150 * time.Millisecond  // a node may be held up so long between its clock and its write
-	waitGrace      = 100 * time.Millisecond  // calls so soon after a retry-after was told are let through
+	responseTimeout  = 400 * time.Millisecond  // a client waits so long for the answer to a request
+	finalAnswerGrace = 500 * time.Millisecond  // a final answer later than its deadline by more is lost
+	noticeGrace      = 300 * time.Millisecond  // in which a notice is told that can be told
+	socketGrace      = 50 * time.Millisecond   // every limit is so much longer on sockets
+	readyGrace       = 1500 * time.Millisecond // no notice is overdue until so long after a restarted node is ready
+	processingGrace  = 150 * time.Millisecond  // a node may be held up so long between its clock and its write
+	retryAfterGrace  = 100 * time.Millisecond  // calls so soon after a retry-after was told are let through
 )
 
 // Class is what repeating a request may do.
@@ -57,30 +57,30 @@
 	endpoint int
 	ran      bool
 	outcome  string
-	path     *faultproxy.Connection
+	conn     *faultproxy.Connection
 }
 
-// span is a time between two moments.
-type span struct{ from, to time.Duration }
+// interval is a time between two moments.
+type interval struct{ from, to time.Duration }
 
 // request is all that is known of one request.
 type request struct {
-	id       string
-	class    Class
-	node     int
-	dest     int
-	sent     time.Duration
-	deadline time.Duration
-	status   int // that its client heard, 0 for none
-	heard    time.Duration
-	trouble  string // why its client has no complete answer
-
-	disturbed bool // the connection that it was written to was disturbed
-	attempts  []attempt
-	done      time.Duration // when an endpoint's 200 was written
+	id          string
+	class       Class
+	node        int
+	dest        int
+	sentAt      time.Duration
+	deadline    time.Duration
+	status      int // that its client heard, 0 for none
+	answeredAt  time.Duration
+	responseErr string // why its client has no complete answer
+
+	disturbed   bool // the connection that it was written to was disturbed
+	attempts    []attempt
+	deliveredAt time.Duration // when an endpoint's 200 was written
 
 	deliveredBy int // the attempt that it answered
-	noticed     time.Duration
+	noticedAt   time.Duration
 	notice      string
 }
 
@@ -96,47 +96,47 @@
 	return fmt.Sprintf("%s at %v: %s\n    %s", v.Rule, v.At.Round(time.Millisecond), v.Text, strings.Join(v.Timeline, "\n    "))
 }
 
-// ledger knows what each client heard, each endpoint received and the platform was told. It asks the nodes nothing.
-type ledger struct {
-	began time.Time
-
-	mu         sync.Mutex
-	requests   map[string]*request
-	order      []*request
-	away       map[int][]span // by node, from its signal until it was ready again
-	deaths     map[int][]time.Duration
-	mute       map[int][]span  // by node, while all writes on its sockets fail
-	diskFaults map[int][]span  // by node, while calls on its folder fail
-	deaf       map[int][]span  // by node, while all reads on its sockets fail
-	unopenable map[int][]span  // by node, while it can open no connection
-	dropped    []time.Duration // when the platform ended all its connections
-	platform   map[int][]span  // by node, while its connections to the platform are disturbed
-	violations []Violation
-	counts     map[string]int
-	events     []string // what was done to the system
+// history knows what each client heard, each endpoint received and the platform was told. It asks the nodes nothing.
+type history struct {
+	startedAt time.Time
+
+	mu                  sync.Mutex
+	requests            map[string]*request
+	ordered             []*request
+	unavailable         map[int][]interval // by node, from its signal until it was ready again
+	exits               map[int][]time.Duration
+	writeOutages        map[int][]interval // by node, while all writes on its sockets fail
+	diskFaults          map[int][]interval // by node, while calls on its folder fail
+	readOutages         map[int][]interval // by node, while all reads on its sockets fail
+	connectOutages      map[int][]interval // by node, while it can open no connection
+	platformDisconnects []time.Duration    // when the platform ended all its connections
+	platformFaults      map[int][]interval // by node, while its connections to the platform are disturbed
+	violations          []Violation
+	counts              map[string]int
+	actions             []string // what was done to the system
 }
 
-func newLedger() *ledger {
-	return &ledger{began: time.Now(), requests: map[string]*request{}, away: map[int][]span{}, deaths: map[int][]time.Duration{}, mute: map[int][]span{}, diskFaults: map[int][]span{},
-		platform: map[int][]span{}, deaf: map[int][]span{}, unopenable: map[int][]span{},
+func newHistory() *history {
+	return &history{startedAt: time.Now(), requests: map[string]*request{}, unavailable: map[int][]interval{}, exits: map[int][]time.Duration{}, writeOutages: map[int][]interval{}, diskFaults: map[int][]interval{},
+		platformFaults: map[int][]interval{}, readOutages: map[int][]interval{}, connectOutages: map[int][]interval{},
 		counts: map[string]int{}}
 }
 
-func (l *ledger) now() time.Duration { return time.Since(l.began) }
+func (l *history) now() time.Duration { return time.Since(l.startedAt) }
 
-func (l *ledger) did(format string, arguments ...any) {
+func (l *history) logAction(format string, arguments ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.events = append(l.events, fmt.Sprintf("%8v ", l.now().Round(time.Millisecond))+fmt.Sprintf(format, arguments...))
+	l.actions = append(l.actions, fmt.Sprintf("%8v ", l.now().Round(time.Millisecond))+fmt.Sprintf(format, arguments...))
 }
 
-func (l *ledger) count(what string) {
+func (l *history) count(what string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts[what]++
 }
 
-func (l *ledger) violate(rule Rule, at time.Duration, r *request, format string, arguments ...any) {
+func (l *history) addViolationLocked(rule Rule, at time.Duration, r *request, format string, arguments ...any) {
 	v := Violation{Rule: rule, At: at, Text: fmt.Sprintf(format, arguments...)}
 	if r != nil {
 		v.Timeline = r.timeline()
@@ -144,164 +144,164 @@
 	l.violations = append(l.violations, v)
 }
 
-func (l *ledger) broke(rule Rule, format string, arguments ...any) {
+func (l *history) addViolation(rule Rule, format string, arguments ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.violate(rule, l.now(), nil, format, arguments...)
+	l.addViolationLocked(rule, l.now(), nil, format, arguments...)
 }
 
-// sends notes that a client is about to write a request.
-func (l *ledger) sends(id string, class Class, node, dest int, left time.Duration) *request {
+// recordRequest notes that a client is about to write a request.
+func (l *history) recordRequest(id string, class Class, node, dest int, left time.Duration) *request {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	r := &request{id: id, class: class, node: node, dest: dest, sent: now, deadline: now + left}
+	r := &request{id: id, class: class, node: node, dest: dest, sentAt: now, deadline: now + left}
 	l.requests[id] = r
-	l.order = append(l.order, r)
+	l.ordered = append(l.ordered, r)
 	return r
 }
 
-// hears notes the answer to a request, or why there is no complete one.
-func (l *ledger) hears(r *request, status int, trouble string) {
+// recordResponse notes the answer to a request, or why there is no complete one.
+func (l *history) recordResponse(r *request, status int, trouble string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r.status, r.trouble, r.heard = status, trouble, l.now()
+	r.status, r.responseErr, r.answeredAt = status, trouble, l.now()
 }
 
-// reaches notes that an endpoint read a call of a request whole. It tells the request's node, and nil for a request
+// recordAttempt notes that an endpoint read a call of a request whole. It tells the request's node, and nil for a request
 // that no client handed in.
-func (l *ledger) reaches(id string, endpoint int, path *faultproxy.Connection) *request {
+func (l *history) recordAttempt(id string, endpoint int, path *faultproxy.Connection) *request {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.requests[id]
 	if r == nil {
-		l.violate(RuleAnswer, l.now(), nil, "endpoint %d was sent %q, which no client handed in", endpoint, id)
+		l.addViolationLocked(RuleAnswer, l.now(), nil, "endpoint %d was sent %q, which no client handed in", endpoint, id)
 		return nil
 	}
-	r.attempts = append(r.attempts, attempt{at: l.now(), endpoint: endpoint, outcome: "no answer", path: path})
+	r.attempts = append(r.attempts, attempt{at: l.now(), endpoint: endpoint, outcome: "no answer", conn: path})
 	return r
 }
 
-// answers notes how an endpoint answered the newest call of a request.
-func (l *ledger) answers(r *request, at int, outcome string, ran, delivered bool) {
+// recordOutcome notes how an endpoint answered the newest call of a request.
+func (l *history) recordOutcome(r *request, at int, outcome string, ran, delivered bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r.attempts[at].outcome = outcome
 	r.attempts[at].ran = r.attempts[at].ran || ran
-	if delivered && r.done == 0 {
-		r.done, r.deliveredBy = l.now(), at
+	if delivered && r.deliveredAt == 0 {
+		r.deliveredAt, r.deliveredBy = l.now(), at
 	}
 }
 
-// crossed notes that answers came back unread: the node had closed the connection before they were written. On a disturbed
+// recordUnreadResponses notes that answers came back unread: the node had closed the connection before they were written. On a disturbed
 // connection it may be something else that was not read, such as a second copy.
-func (l *ledger) crossed(parts []part) {
+func (l *history) recordUnreadResponses(parts []part) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, p := range parts {
-		if p.request.attempts[p.attempt].path.Disturbed() {
+		if p.request.attempts[p.attempt].conn.Disturbed() {
 			continue
 		}
 		p.request.attempts[p.attempt].outcome = "given up by the node, unheard"
 		if p.request.deliveredBy == p.attempt {
-			p.request.done = 0
+			p.request.deliveredAt = 0
 		}
 	}
 }
 
-func (l *ledger) attemptsOf(r *request) int {
+func (l *history) attemptCount(r *request) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(r.attempts)
 }
 
-// notices notes what the platform was told.
-func (l *ledger) notices(id, status string) {
+// recordNotice notes what the platform was told.
+func (l *history) recordNotice(id, status string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.requests[id]
 	if r == nil {
-		l.violate(RuleAnswer, l.now(), nil, "a notice for %q, which no client handed in", id)
+		l.addViolationLocked(RuleAnswer, l.now(), nil, "a notice for %q, which no client handed in", id)
 		return
 	}
-	if r.noticed == 0 {
-		r.noticed, r.notice = l.now(), status
+	if r.noticedAt == 0 {
+		r.noticedAt, r.notice = l.now(), status
 	}
 }
 
-// disturbs notes that a request was written to a connection that was disturbed.
-func (l *ledger) disturbs(r *request) {
+// recordDisturbedRequest notes that a request was written to a connection that was disturbed.
+func (l *history) recordDisturbedRequest(r *request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r.disturbed = true
 }
 
-func (l *ledger) leaves(node int) {
+func (l *history) recordUnavailable(node int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.away[node] = append(l.away[node], span{l.now(), math.MaxInt64})
+	l.unavailable[node] = append(l.unavailable[node], interval{l.now(), math.MaxInt64})
 }
 
-func (l *ledger) ready(node int) {
+func (l *history) recordReady(node int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if list := l.away[node]; len(list) > 0 {
+	if list := l.unavailable[node]; len(list) > 0 {
 		list[len(list)-1].to = l.now()
 	}
 }
 
-// failsDisk notes that calls on a node's folder fail for so long.
-func (l *ledger) failsDisk(node int, long time.Duration) {
+// recordDiskFault notes that calls on a node's folder fail for so long.
+func (l *history) recordDiskFault(node int, long time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.diskFaults[node] = append(l.diskFaults[node], span{l.now(), l.now() + long})
+	l.diskFaults[node] = append(l.diskFaults[node], interval{l.now(), l.now() + long})
 }
 
-// mutes notes that all writes on a node's sockets fail for so long.
-func (l *ledger) mutes(node int, long time.Duration) {
+// recordWriteOutage notes that all writes on a node's sockets fail for so long.
+func (l *history) recordWriteOutage(node int, long time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.mute[node] = append(l.mute[node], span{l.now(), l.now() + long})
+	l.writeOutages[node] = append(l.writeOutages[node], interval{l.now(), l.now() + long})
 }
 
-// deafens notes that all reads on a node's sockets fail for so long.
-func (l *ledger) deafens(node int, long time.Duration) {
+// recordReadOutage notes that all reads on a node's sockets fail for so long.
+func (l *history) recordReadOutage(node int, long time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.deaf[node] = append(l.deaf[node], span{l.now(), l.now() + long})
+	l.readOutages[node] = append(l.readOutages[node], interval{l.now(), l.now() + long})
 }
 
-// sealsOff notes that a node can open no connection for so long.
-func (l *ledger) sealsOff(node int, long time.Duration) {
+// recordConnectOutage notes that a node can open no connection for so long.
+func (l *history) recordConnectOutage(node int, long time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.unopenable[node] = append(l.unopenable[node], span{l.now(), l.now() + long})
+	l.connectOutages[node] = append(l.connectOutages[node], interval{l.now(), l.now() + long})
 }
 
-// drops notes that the platform ends all its connections.
-func (l *ledger) drops() {
+// recordPlatformDisconnect notes that the platform ends all its connections.
+func (l *history) recordPlatformDisconnect() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.dropped = append(l.dropped, l.now())
+	l.platformDisconnects = append(l.platformDisconnects, l.now())
 }
 
-// disturbsPlatform notes that a node's connections to the platform are disturbed for so long.
-func (l *ledger) disturbsPlatform(node int, long time.Duration) {
+// recordPlatformFault notes that a node's connections to the platform are disturbed for so long.
+func (l *history) recordPlatformFault(node int, long time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.platform[node] = append(l.platform[node], span{l.now(), l.now() + long})
+	l.platformFaults[node] = append(l.platformFaults[node], interval{l.now(), l.now() + long})
 }
 
-// died notes that a node's process is gone.
-func (l *ledger) died(node int) {
+// recordExit notes that a node's process is gone.
+func (l *history) recordExit(node int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.deaths[node] = append(l.deaths[node], l.now())
+	l.exits[node] = append(l.exits[node], l.now())
 }
 
-// diedBetween tells whether a node's process ended at a moment of a span, or just after it.
-func (l *ledger) diedBetween(node int, from, to time.Duration) bool {
-	return slices.ContainsFunc(l.deaths[node], func(at time.Duration) bool { return from <= at && at <= to+socketGrace })
+// exitedBetween tells whether a node's process ended at a moment of a span, or just after it.
+func (l *history) exitedBetween(node int, from, to time.Duration) bool {
+	return slices.ContainsFunc(l.exits[node], func(at time.Duration) bool { return from <= at && at <= to+socketGrace })
 }
 
 func (r *request) timeline() []string {
@@ -309,20 +309,20 @@
 		at   time.Duration
 		text string
 	}
-	list := []moment{{r.sent, fmt.Sprintf("request %s (%s) written to node %d for destination %d, deadline %v", r.id, r.class,
+	list := []moment{{r.sentAt, fmt.Sprintf("request %s (%s) written to node %d for destination %d, deadline %v", r.id, r.class,
 		r.node, r.dest, r.deadline.Round(time.Millisecond))}}
-	if r.heard > 0 {
-		list = append(list, moment{r.heard, fmt.Sprintf("its client heard %d %s", r.status, r.trouble)})
+	if r.answeredAt > 0 {
+		list = append(list, moment{r.answeredAt, fmt.Sprintf("its client heard %d %s", r.status, r.responseErr)})
 	}
 	for _, a := range r.attempts {
 		list = append(list, moment{a.at, fmt.Sprintf("endpoint %d read a call: %s, ran %v, disturbed %v", a.endpoint, a.outcome, a.ran,
-			a.path.Disturbed())})
+			a.conn.Disturbed())})
 	}
-	if r.done > 0 {
-		list = append(list, moment{r.done, "delivered"})
+	if r.deliveredAt > 0 {
+		list = append(list, moment{r.deliveredAt, "delivered"})
 	}
-	if r.noticed > 0 {
-		list = append(list, moment{r.noticed, "the platform heard " + r.notice})
+	if r.noticedAt > 0 {
+		list = append(list, moment{r.noticedAt, "the platform heard " + r.notice})
 	}
 	slices.SortStableFunc(list, func(a, b moment) int { return cmp.Compare(a.at, b.at) })
 	var lines []string
--- a/lab/soak/process.go
+++ b/lab/soak/process.go
@@ -23,60 +23,60 @@
 
 // What the platform does and asks of a process.
 const (
-	killAfterTerm  = 3700 * time.Millisecond // the earliest time from SIGTERM to SIGKILL
-	newConnections = 300 * time.Millisecond  // new connections go on coming so long after SIGTERM
-	restartAfter   = 600 * time.Millisecond
-	readyWithin    = 10 * time.Second
-	connectMillis  = 500
-	slots          = 16
-	mostRequests   = 200
-	mostAttempts   = 6
-	keyedWindow    = 1500 * time.Millisecond
-	drainGrace     = 300 * time.Millisecond
-	coldShare      = 0.2
-	fallMultiple   = 2.0
-	fallAfter      = 2 * time.Second
-	warmAfter      = 4 * time.Second
-	endpointLimit  = 200.0
-	usualSockets   = 1024
-	crowdedSockets = 160
+	killAfterTerm           = 3700 * time.Millisecond // the earliest time from SIGTERM to SIGKILL
+	newConnectionsAfterTerm = 300 * time.Millisecond  // new connections go on coming so long after SIGTERM
+	restartDelay            = 600 * time.Millisecond
+	readyTimeout            = 10 * time.Second
+	connectMillis           = 500
+	slots                   = 16
+	maxOpenRequests         = 200
+	maxAttempts             = 6
+	keyedWindow             = 1500 * time.Millisecond
+	drainGrace              = 300 * time.Millisecond
+	coldShare               = 0.2
+	fallMultiple            = 2.0
+	fallAfter               = 2 * time.Second
+	rampTime                = 4 * time.Second
+	endpointCapacity        = 200.0
+	socketLimit             = 1024
+	crowdedSocketLimit      = 160
 )
 
 // process is one delivery node that is started, signalled, killed and started again on one folder.
 type process struct {
-	number  int
-	program string
-	listen  string
-	config  string
-	folder  string
-	logFile string
-	ledger  *ledger
+	number     int
+	program    string
+	listen     string
+	configFile string
+	folder     string
+	logFile    string
+	history    *history
 
 	peerListen string
 
-	mu         sync.Mutex
-	command    *exec.Cmd
-	supervisor *sysfault.Supervisor
-	ended      chan struct{}
-	serving    bool // new connections go to it
-	expected   bool // it was asked to end
-	settings   map[string]any
-	restarting atomic.Bool
+	mu           sync.Mutex
+	cmd          *exec.Cmd
+	supervisor   *sysfault.Supervisor
+	exited       chan struct{}
+	accepting    bool // new connections go to it
+	exitExpected bool // it was asked to end
+	settings     map[string]any
+	restarting   atomic.Bool
 }
 
-func newProcess(number int, options *Options, l *ledger, paths *paths, crowded bool) (*process, error) {
+func newProcess(number int, options *Options, l *history, paths *network, crowded bool) (*process, error) {
 	name := "n" + strconv.Itoa(number)
-	p := &process{number: number, program: options.Program, ledger: l,
-		config: filepath.Join(options.Folder, name+".json"), folder: filepath.Join(options.Folder, name),
+	p := &process{number: number, program: options.Program, history: l,
+		configFile: filepath.Join(options.Folder, name+".json"), folder: filepath.Join(options.Folder, name),
 		logFile: filepath.Join(options.Folder, name+".log")}
 	// An address of its own on the loopback network, since a port of 127.0.0.1 may be given away between two starts.
-	listener, err := net.Listen("tcp", loopback(options.Seed, number))
+	listener, err := net.Listen("tcp", loopbackAddress(options.Seed, number))
 	if err != nil {
 		return nil, err
 	}
 	p.listen = listener.Addr().String()
 	listener.Close()
-	datagrams, err := net.ListenPacket("udp", loopback(options.Seed, number))
+	datagrams, err := net.ListenPacket("udp", loopbackAddress(options.Seed, number))
 	if err != nil {
 		return nil, err
 	}
@@ -86,9 +86,9 @@
 	for _, d := range paths.peers {
 		peers = append(peers, d.Address())
 	}
-	sockets := usualSockets
+	sockets := socketLimit
 	if crowded {
-		sockets = crowdedSockets
+		sockets = crowdedSocketLimit
 	}
 	p.settings = map[string]any{"name": name, "listen": p.listen, "discovery": paths.discovery[number].Address(),
 		"peer_listen": p.peerListen, "peers": peers, "peers_all": paths.peers[number].Address(),
@@ -98,14 +98,14 @@
 	if err := os.MkdirAll(p.folder, 0o755); err != nil {
 		return nil, err
 	}
-	return p, p.configure()
+	return p, p.writeConfig()
 }
 
 // settings is the part of the configuration that the platform calls so.
 func settings(nodes, me int) map[string]any {
 	class := func(name Class, semantics string) map[string]any {
 		return map[string]any{"name": name, "semantics": semantics, "group": "all", "aim_ms": 500,
-			"deadline_ms": mostDeadline.Milliseconds(), "value": 1, "late_value": 0.5, "memory_span_ms": keyedWindow.Milliseconds()}
+			"deadline_ms": maxDeadline.Milliseconds(), "value": 1, "late_value": 0.5, "memory_span_ms": keyedWindow.Milliseconds()}
 	}
 	return map[string]any{"me": me, "replicas_of_me": nodes, "tick_ms": 2, "models": []any{"m0"}, "areas": []any{"here"},
 		"discovery": "subscribe", "weight_kind": "silent",
@@ -114,24 +114,24 @@
 		"family_info": map[string]any{"slots": slots, "per_call": []any{3}, "own_limits": []any{false},
 			"late": "even"},
 		"feedback": map[string]any{"names": []any{"x0", "x1"}},
-		"ceilings": map[string]any{"max_open": mostRequests, "max_attempts": mostAttempts, "may_duplicate": true, "cancel": true,
+		"ceilings": map[string]any{"max_open": maxOpenRequests, "max_attempts": maxAttempts, "may_duplicate": true, "cancel": true,
 			"peer_messages": true,
-			"retry_after":   true, "max_retry_after_ms": 1000, "conn_idle_ms": endpointIdle.Milliseconds(),
+			"retry_after":   true, "max_retry_after_ms": 1000, "conn_idle_ms": endpointIdleTimeout.Milliseconds(),
 			"connect_timeout_ms": connectMillis},
-		"rules": map[string]any{"cold_share": coldShare, "ramp_time_ms": warmAfter.Milliseconds(), "fall_multiple": fallMultiple,
+		"rules": map[string]any{"cold_share": coldShare, "ramp_time_ms": rampTime.Milliseconds(), "fall_multiple": fallMultiple,
 			"tip_after_ms": fallAfter.Milliseconds(), "drain_grace_ms": drainGrace.Milliseconds(), "ask_within_ms": 5000}}
 }
 
-func (p *process) configure() error {
+func (p *process) writeConfig() error {
 	text, err := json.Marshal(p.settings)
 	if err != nil {
 		return err
 	}
-	next := p.config + ".next"
+	next := p.configFile + ".next"
 	if err := os.WriteFile(next, text, 0o600); err != nil {
 		return err
 	}
-	return os.Rename(next, p.config)
+	return os.Rename(next, p.configFile)
 }
 
 // start starts the process; faults are in force from its first call on.
@@ -142,7 +142,7 @@
 	}
 	defer log.Close()
 	c := exec.Command(p.program, "serve")
-	c.Env = append(os.Environ(), "RELAY_CONFIG="+p.config, "RELAY_STATE="+p.folder, "GOMEMLIMIT=64MiB")
+	c.Env = append(os.Environ(), "RELAY_CONFIG="+p.configFile, "RELAY_STATE="+p.folder, "GOMEMLIMIT=64MiB")
 	c.Stdout, c.Stderr = log, log
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -155,15 +155,15 @@
 		s.Add(f)
 	}
 	ended := make(chan struct{})
-	p.command, p.supervisor, p.ended, p.expected = c, s, ended, false
+	p.cmd, p.supervisor, p.exited, p.exitExpected = c, s, ended, false
 	go func() {
 		c.Wait()
-		p.ledger.died(p.number)
+		p.history.recordExit(p.number)
 		p.mu.Lock()
-		if !p.expected {
-			p.ledger.broke(RuleCrash, "node %d ended unasked: %v", p.number, c.ProcessState)
+		if !p.exitExpected {
+			p.history.addViolation(RuleCrash, "node %d ended unasked: %v", p.number, c.ProcessState)
 		}
-		p.serving = false
+		p.accepting = false
 		p.mu.Unlock()
 		close(ended)
 	}()
@@ -175,19 +175,19 @@
 	client := http.Client{Timeout: time.Second}
 	defer client.CloseIdleConnections()
 	began := time.Now()
-	for time.Since(began) < readyWithin {
+	for time.Since(began) < readyTimeout {
 		if r, err := client.Get("http://" + p.listen + "/up"); err == nil {
 			r.Body.Close()
 			if r.StatusCode == http.StatusOK {
 				p.mu.Lock()
-				p.serving = true
+				p.accepting = true
 				p.mu.Unlock()
-				p.ledger.ready(p.number)
+				p.history.recordReady(p.number)
 				return nil
 			}
 		}
 		p.mu.Lock()
-		ended := p.ended
+		ended := p.exited
 		p.mu.Unlock()
 		select {
 		case <-ctx.Done():
@@ -197,12 +197,12 @@
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
-	return fmt.Errorf("it is not ready after %v", readyWithin)
+	return fmt.Errorf("it is not ready after %v", readyTimeout)
 }
 
 // violations reads how many violations the process has counted, by what its metrics say of them.
 func (p *process) violations(ctx context.Context) (lines []string, err error) {
-	ctx, cancel := context.WithTimeout(ctx, connectPatience)
+	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
 	call, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.listen+"/metrics", nil)
 	if err != nil {
@@ -227,13 +227,13 @@
 // violationsMetric counts what a node itself sees of its own faults.
 const violationsMetric = "jaspersill_violations_total"
 
-func (p *process) accepts() bool {
+func (p *process) isAccepting() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.serving
+	return p.accepting
 }
 
-func (p *process) fault(f sysfault.Fault) {
+func (p *process) addFault(f sysfault.Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.supervisor != nil {
@@ -241,20 +241,20 @@
 	}
 }
 
-// hangUp has the process read its configuration again.
-func (p *process) hangUp() {
+// reload has the process read its configuration again.
+func (p *process) reload() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.command.Process.Signal(syscall.SIGHUP)
+	p.cmd.Process.Signal(syscall.SIGHUP)
 }
 
 // kill ends the process at once and waits until it is gone.
 func (p *process) kill() {
 	p.mu.Lock()
-	p.expected, p.serving = true, false
-	command, ended := p.command, p.ended
+	p.exitExpected, p.accepting = true, false
+	command, ended := p.cmd, p.exited
 	p.mu.Unlock()
-	p.ledger.leaves(p.number)
+	p.history.recordUnavailable(p.number)
 	command.Process.Kill()
 	<-ended
 }
@@ -262,16 +262,16 @@
 // terminate asks the process to end, and kills it at the earliest time that the platform does.
 func (p *process) terminate() {
 	p.mu.Lock()
-	p.expected = true
-	command, ended := p.command, p.ended
+	p.exitExpected = true
+	command, ended := p.cmd, p.exited
 	p.mu.Unlock()
-	p.ledger.leaves(p.number)
+	p.history.recordUnavailable(p.number)
 	command.Process.Signal(syscall.SIGTERM)
-	time.AfterFunc(newConnections, func() {
+	time.AfterFunc(newConnectionsAfterTerm, func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		if p.command == command {
-			p.serving = false
+		if p.cmd == command {
+			p.accepting = false
 		}
 	})
 	select {
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -47,76 +47,76 @@
 }
 
 const (
-	clientsOfNode    = 5
-	clientInterval   = 60 * time.Millisecond
-	settleTime       = mostDeadline + finalGrace + 2*time.Second
-	mostDestinations = 3
-	crowdSize        = 150
-	largeBody        = 6000 // bytes
+	clientsPerNode  = 5
+	clientInterval  = 60 * time.Millisecond
+	settleTime      = maxDeadline + finalAnswerGrace + 2*time.Second
+	maxDestinations = 3
+	idleConnections = 150
+	largeBodySize   = 6000 // bytes
 )
 
 // run is one run under way.
 type run struct {
 	options   Options
 	plan      *plan
-	ledger    *ledger
+	history   *history
 	endpoints []*endpoint
 	discovery *discovery
 	processes []*process
-	paths     paths
+	network   network
 
 	mu       sync.Mutex
-	restarts map[int][]span // by node, from the kill until it was ready again
+	restarts map[int][]interval // by node, from the kill until it was ready again
 }
 
 // Run plays one run and judges it. The error is for a run that could not be played.
 func Run(ctx context.Context, options Options) (*Report, error) {
-	r := &run{options: options, ledger: newLedger(), restarts: map[int][]span{}}
-	r.plan = draw(options)
-	defer r.close()
-	if err := r.open(); err != nil {
+	r := &run{options: options, history: newHistory(), restarts: map[int][]interval{}}
+	r.plan = newPlan(options)
+	defer r.tearDown()
+	if err := r.setUp(); err != nil {
 		return nil, err
 	}
-	if err := r.startAll(ctx); err != nil {
+	if err := r.startNodes(ctx); err != nil {
 		return nil, err
 	}
 	var done sync.WaitGroup
 	playing, stop := context.WithTimeout(ctx, options.Length)
 	defer stop()
-	r.ledger.did("the clients begin")
+	r.history.logAction("the clients begin")
 	for _, s := range r.plan.steps {
 		done.Go(func() {
-			pause(playing, s.at)
+			sleep(playing, s.at)
 			if playing.Err() == nil {
 				s.do(ctx, r)
 			}
 		})
 	}
-	r.hire(playing, &done)
+	r.startClients(playing, &done)
 	done.Wait()
-	pause(ctx, settleTime)
+	sleep(ctx, settleTime)
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
 	for _, p := range r.processes {
 		r.readViolations(ctx, p)
 	}
-	r.ledger.judge(keyedWindow)
-	r.ledger.judgeUntried(r.restarts)
-	l := r.ledger
+	r.history.check(keyedWindow)
+	r.history.checkUntried(r.restarts)
+	l := r.history
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if struck := r.paths.struck(); struck > 0 {
+	if struck := r.network.faultCount(); struck > 0 {
 		l.counts["disturbed on the way"] = struck
 	}
-	return &Report{Seed: options.Seed, Requests: len(l.order), Counts: l.counts, Violations: l.violations, Actions: l.events}, nil
+	return &Report{Seed: options.Seed, Requests: len(l.ordered), Counts: l.counts, Violations: l.violations, Actions: l.actions}, nil
 }
 
-func (r *run) open() error {
+func (r *run) setUp() error {
 	for dest := range r.plan.destinations {
-		for range r.plan.endpointsOfDestination {
+		for range r.plan.endpointsPerDestination {
 			number := len(r.endpoints)
-			e, err := newEndpoint(number, dest, r.ledger, r.plan, rand.New(rand.NewPCG(r.options.Seed, uint64(number))))
+			e, err := newEndpoint(number, dest, r.history, r.plan, rand.New(rand.NewPCG(r.options.Seed, uint64(number))))
 			if err != nil {
 				return err
 			}
@@ -124,29 +124,29 @@
 		}
 	}
 	var err error
-	if r.discovery, err = newDiscovery(r.ledger, r.endpoints, r.options.Nodes); err != nil {
+	if r.discovery, err = newDiscovery(r.history, r.endpoints, r.options.Nodes); err != nil {
 		return err
 	}
 	for number := range r.options.Nodes {
-		if err := r.openPathsOfNode(number, r.discovery.address(number)); err != nil {
+		if err := r.openNodeProxies(number, r.discovery.address(number)); err != nil {
 			return err
 		}
 	}
-	r.discovery.paths = &r.paths
+	r.discovery.network = &r.network
 	for number := range r.options.Nodes {
-		p, err := newProcess(number, &r.options, r.ledger, &r.paths, r.plan.crowded[number])
+		p, err := newProcess(number, &r.options, r.history, &r.network, r.plan.crowded[number])
 		if err != nil {
 			return err
 		}
 		r.processes = append(r.processes, p)
 	}
-	if err := r.openPaths(); err != nil {
+	if err := r.openClientProxies(); err != nil {
 		return err
 	}
-	return r.joinPeers()
+	return r.connectPeers()
 }
 
-func (r *run) startAll(ctx context.Context) error {
+func (r *run) startNodes(ctx context.Context) error {
 	for _, p := range r.processes {
 		if err := p.start(nil); err != nil {
 			return fmt.Errorf("node %d: %w", p.number, err)
@@ -161,16 +161,16 @@
 	return nil
 }
 
-func (r *run) hire(ctx context.Context, done *sync.WaitGroup) {
+func (r *run) startClients(ctx context.Context, done *sync.WaitGroup) {
 	for number, p := range r.processes {
-		for i := range clientsOfNode {
-			c := &client{ledger: r.ledger, node: number, dests: r.plan.destinations, at: r.paths.clients[number].Address(),
-				path: r.paths.clients[number], body: r.plan.body, crowded: r.plan.crowded[number],
+		for i := range clientsPerNode {
+			c := &client{history: r.history, node: number, destinations: r.plan.destinations, address: r.network.clients[number].Address(),
+				proxy: r.network.clients[number], bodySize: r.plan.bodySize, crowded: r.plan.crowded[number],
 				random: rand.New(rand.NewPCG(r.options.Seed, uint64(1000*number+i)))}
-			done.Go(func() { c.run(ctx, clientInterval, p.accepts) })
+			done.Go(func() { c.run(ctx, clientInterval, p.isAccepting) })
 		}
 		if r.plan.crowded[number] {
-			done.Go(func() { crowd(ctx, p.listen, crowdSize) })
+			done.Go(func() { holdIdleConnections(ctx, p.listen, idleConnections) })
 		}
 	}
 }
@@ -179,18 +179,18 @@
 func (r *run) readViolations(ctx context.Context, p *process) {
 	lines, err := p.violations(ctx)
 	if err != nil {
-		r.ledger.count("metrics not read")
+		r.history.count("metrics not read")
 		return
 	}
 	for _, line := range lines {
-		r.ledger.broke(RuleInternal, "node %d: %s", p.number, line)
+		r.history.addViolation(RuleInternal, "node %d: %s", p.number, line)
 	}
 }
 
-func (r *run) close() {
+func (r *run) tearDown() {
 	for _, p := range r.processes {
 		p.mu.Lock()
-		running := p.command != nil && p.ended != nil
+		running := p.cmd != nil && p.exited != nil
 		p.mu.Unlock()
 		if running {
 			p.kill()
@@ -202,7 +202,7 @@
 	if r.discovery != nil {
 		r.discovery.close()
 	}
-	r.paths.close()
+	r.network.close()
 }
 
 // Logs names the nodes' logs of a run.
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -37,9 +37,9 @@
 func TestRulesAreKeptWhileFaultsOverlap(t *testing.T) {
 	for _, run := range []Options{
 		{Seed: 11, Nodes: 10, Length: 6 * time.Second},
-		{Seed: 2, Nodes: 4, Length: 8 * time.Second, Only: onlyDisk},
-		{Seed: 4, Nodes: 4, Length: 8 * time.Second, Only: onlySockets},
-		{Seed: 3, Nodes: 4, Length: 6 * time.Second, Only: onlySlow},
+		{Seed: 2, Nodes: 4, Length: 8 * time.Second, Only: groupDisk},
+		{Seed: 4, Nodes: 4, Length: 8 * time.Second, Only: groupSockets},
+		{Seed: 3, Nodes: 4, Length: 6 * time.Second, Only: groupSlow},
 	} {
 		play(t, run)
 	}
@@ -49,69 +49,69 @@
 func TestTheLedgerSeesEachBrokenRule(t *testing.T) {
 	const second = time.Second
 	accepted := func() *request {
-		return &request{id: "x", class: Once, sent: second, heard: second, status: 202, deadline: 3 * second, done: 2 * second,
+		return &request{id: "x", class: Once, sentAt: second, answeredAt: second, status: 202, deadline: 3 * second, deliveredAt: 2 * second,
 			attempts: []attempt{{at: second, ran: true}}}
 	}
 	for _, c := range []struct {
 		name  string
 		rule  Rule
-		spoil func(r *request, l *ledger)
+		spoil func(r *request, l *history)
 	}{
-		{"all is well", "", func(*request, *ledger) {}},
-		{"no complete answer", RuleAnswer, func(r *request, _ *ledger) { r.status, r.trouble = 0, "cut off" }},
-		{"a wrong answer", RuleAnswer, func(r *request, _ *ledger) { r.status = 400 }},
-		{"no end", RuleFinal, func(r *request, _ *ledger) { r.done = 0 }},
-		{"a late end", RuleFinal, func(r *request, _ *ledger) { r.done, r.noticed = 0, 4*second }},
-		{"a late end, but writes failed until then", "", func(r *request, l *ledger) {
-			r.done, r.noticed = 0, 4*second
-			l.mute[0] = []span{{2 * second, 4 * second}}
+		{"all is well", "", func(*request, *history) {}},
+		{"no complete answer", RuleAnswer, func(r *request, _ *history) { r.status, r.responseErr = 0, "cut off" }},
+		{"a wrong answer", RuleAnswer, func(r *request, _ *history) { r.status = 400 }},
+		{"no end", RuleFinal, func(r *request, _ *history) { r.deliveredAt = 0 }},
+		{"a late end", RuleFinal, func(r *request, _ *history) { r.deliveredAt, r.noticedAt = 0, 4*second }},
+		{"a late end, but writes failed until then", "", func(r *request, l *history) {
+			r.deliveredAt, r.noticedAt = 0, 4*second
+			l.writeOutages[0] = []interval{{2 * second, 4 * second}}
 		}},
-		{"a late end, and no connection could be opened until then", RuleFinal, func(r *request, l *ledger) {
-			r.done, r.noticed = 0, 4*second
-			l.unopenable[0] = []span{{2 * second, 4 * second}}
+		{"a late end, and no connection could be opened until then", RuleFinal, func(r *request, l *history) {
+			r.deliveredAt, r.noticedAt = 0, 4*second
+			l.connectOutages[0] = []interval{{2 * second, 4 * second}}
 		}},
-		{"a late end, but the platform had ended all connections and none could be opened", "", func(r *request, l *ledger) {
-			r.done, r.noticed = 0, 4*second
-			l.unopenable[0] = []span{{2 * second, 4 * second}}
-			l.dropped = []time.Duration{3 * second}
+		{"a late end, but the platform had ended all connections and none could be opened", "", func(r *request, l *history) {
+			r.deliveredAt, r.noticedAt = 0, 4*second
+			l.connectOutages[0] = []interval{{2 * second, 4 * second}}
+			l.platformDisconnects = []time.Duration{3 * second}
 		}},
-		{"forwarded though refused", RuleAfterEnd, func(r *request, _ *ledger) { r.status = 503 }},
-		{"forwarded after its notice", RuleAfterEnd, func(r *request, _ *ledger) {
-			r.done, r.noticed = 0, 2*second
+		{"forwarded though refused", RuleAfterEnd, func(r *request, _ *history) { r.status = 503 }},
+		{"forwarded after its notice", RuleAfterEnd, func(r *request, _ *history) {
+			r.deliveredAt, r.noticedAt = 0, 2*second
 			r.attempts[0].at = 2*second + second/2
 		}},
-		{"forwarded after its deadline", RuleAfterEnd, func(r *request, _ *ledger) { r.attempts[0].at, r.done = 4*second, 0; r.noticed = 3 * second }},
-		{"forwarded after its delivery", RuleAfterEnd, func(r *request, _ *ledger) {
+		{"forwarded after its deadline", RuleAfterEnd, func(r *request, _ *history) { r.attempts[0].at, r.deliveredAt = 4*second, 0; r.noticedAt = 3 * second }},
+		{"forwarded after its delivery", RuleAfterEnd, func(r *request, _ *history) {
 			r.class = Keyed
 			r.attempts = append(r.attempts, attempt{at: 5 * second / 2})
 		}},
-		{"forwarded after a delivery that its node could not read before it died", "", func(r *request, l *ledger) {
+		{"forwarded after a delivery that its node could not read before it died", "", func(r *request, l *history) {
 			r.class = Keyed
 			r.attempts = append(r.attempts, attempt{at: 5 * second / 2})
-			l.deaf[0] = []span{{second, 22 * second / 10}}
-			l.deaths[0] = []time.Duration{23 * second / 10}
+			l.readOutages[0] = []interval{{second, 22 * second / 10}}
+			l.exits[0] = []time.Duration{23 * second / 10}
 		}},
 		{"forwarded after a delivery that its node had time to read and write down before it died", RuleAfterEnd,
-			func(r *request, l *ledger) {
+			func(r *request, l *history) {
 				r.class, r.deadline = Keyed, 4*second
 				r.attempts = append(r.attempts, attempt{at: 7 * second / 2})
-				l.deaf[0] = []span{{second, 22 * second / 10}}
-				l.deaths[0] = []time.Duration{3 * second}
+				l.readOutages[0] = []interval{{second, 22 * second / 10}}
+				l.exits[0] = []time.Duration{3 * second}
 			}},
-		{"ran twice", RuleRepeat, func(r *request, _ *ledger) {
+		{"ran twice", RuleRepeat, func(r *request, _ *history) {
 			r.attempts = append(r.attempts, attempt{at: second + second/10, ran: true})
 		}},
-		{"ran again after its window", RuleRepeat, func(r *request, _ *ledger) {
-			r.class, r.done = Keyed, 5*second/2
+		{"ran again after its window", RuleRepeat, func(r *request, _ *history) {
+			r.class, r.deliveredAt = Keyed, 5*second/2
 			r.attempts = append(r.attempts, attempt{at: 5 * second / 2, ran: true})
 			r.attempts[0].at = second / 2
 		}},
 	} {
-		l := newLedger()
+		l := newHistory()
 		r := accepted()
-		l.order = []*request{r}
+		l.ordered = []*request{r}
 		c.spoil(r, l)
-		l.judge(keyedWindow)
+		l.check(keyedWindow)
 		switch {
 		case c.rule == "" && len(l.violations) > 0:
 			t.Errorf("%s: %v", c.name, l.violations)
--- a/lab/sysfault/launch.go
+++ b/lab/sysfault/launch.go
@@ -17,25 +17,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// launcherVariable marks a process that is to install the filter and become the program named in its arguments.
-const launcherVariable = "JASPERSILL_LAB_UNDER_FILTER"
+// launcherEnv marks a process that is to install the filter and become the program named in its arguments.
+const launcherEnv = "JASPERSILL_LAB_UNDER_FILTER"
 
-const handOverDescriptor = 3 // where the launcher finds its socket to the parent
+const parentSocket = 3 // where the launcher finds its socket to the parent
 
 // ExecUnderFilterIfRequested turns this process into the program in its arguments when Command started it. A program
 // that calls Command calls this first in its main function.
 func ExecUnderFilterIfRequested() {
-	if os.Getenv(launcherVariable) == "" {
+	if os.Getenv(launcherEnv) == "" {
 		return
 	}
-	err := becomeProgram()
+	err := execUnderFilter()
 	fmt.Fprintln(os.Stderr, "sysfault:", err)
 	os.Exit(1)
 }
 
-func becomeProgram() error {
+func execUnderFilter() error {
 	runtime.LockOSThread()
-	os.Unsetenv(launcherVariable)
+	os.Unsetenv(launcherEnv)
 	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
 		return fmt.Errorf("no new privileges: %w", err)
 	}
@@ -46,11 +46,11 @@
 	if err != nil {
 		return fmt.Errorf("install the filter: %w", err)
 	}
-	if err := unix.Sendmsg(handOverDescriptor, []byte{0}, unix.UnixRights(listener), nil, 0); err != nil {
+	if err := unix.Sendmsg(parentSocket, []byte{0}, unix.UnixRights(listener), nil, 0); err != nil {
 		return fmt.Errorf("hand over the filter: %w", err)
 	}
 	unix.Close(listener)
-	unix.Close(handOverDescriptor)
+	unix.Close(parentSocket)
 	return syscall.Exec(arguments[0], arguments, environment)
 }
 
@@ -71,7 +71,7 @@
 	}
 	program := []unix.SockFilter{load(offsetOfArchitecture), equal(unix.AUDIT_ARCH_X86_64, 1, 0), ret(unix.SECCOMP_RET_ALLOW),
 		load(offsetOfNumber)}
-	for number := range trapped {
+	for number := range interceptedCalls {
 		program = append(program, equal(uint32(number), 0, 1), ret(unix.SECCOMP_RET_USER_NOTIF))
 	}
 	program = append(program, ret(unix.SECCOMP_RET_ALLOW))
@@ -104,7 +104,7 @@
 	if command.Env == nil {
 		command.Env = os.Environ()
 	}
-	command.Env = append(command.Env, launcherVariable+"=1")
+	command.Env = append(command.Env, launcherEnv+"=1")
 	command.ExtraFiles = []*os.File{childSide}
 	if err := command.Start(); err != nil {
 		return nil, err
--- a/lab/sysfault/supervisor.go
+++ b/lab/sysfault/supervisor.go
@@ -34,7 +34,7 @@
 	otherCall    Call = ""
 )
 
-var trapped = map[int]Call{
+var interceptedCalls = map[int]Call{
 	unix.SYS_WRITE:     FileWrite, // or SocketWrite
 	unix.SYS_READ:      FileRead,  // or SocketRead
 	unix.SYS_OPENAT:    FileOpen,
@@ -62,7 +62,7 @@
 type Supervisor struct {
 	listener int
 	done     chan struct{}
-	failed   atomic.Int64
+	faulted  atomic.Int64
 
 	mu     sync.Mutex
 	folder string
@@ -84,7 +84,7 @@
 }
 
 // FaultCount counts the calls that were failed, shortened or delayed.
-func (s *Supervisor) FaultCount() int64 { return s.failed.Load() }
+func (s *Supervisor) FaultCount() int64 { return s.faulted.Load() }
 
 // Wait returns once the child has ended.
 func (s *Supervisor) Wait() { <-s.done }
@@ -124,14 +124,14 @@
 			continue
 		}
 		var n notification
-		if err := s.control(unix.SECCOMP_IOCTL_NOTIF_RECV, unsafe.Pointer(&n)); err != nil {
+		if err := s.ioctl(unix.SECCOMP_IOCTL_NOTIF_RECV, unsafe.Pointer(&n)); err != nil {
 			continue // the call ended meanwhile
 		}
 		s.decide(&n)
 	}
 }
 
-func (s *Supervisor) control(request uintptr, argument unsafe.Pointer) error {
+func (s *Supervisor) ioctl(request uintptr, argument unsafe.Pointer) error {
 	_, _, errno := unix.Syscall(unix.SYS_IOCTL, uintptr(s.listener), request, uintptr(argument))
 	if errno != 0 {
 		return errno
@@ -139,10 +139,10 @@
 	return nil
 }
 
-func (s *Supervisor) answer(r response) { s.control(unix.SECCOMP_IOCTL_NOTIF_SEND, unsafe.Pointer(&r)) }
+func (s *Supervisor) respond(r response) { s.ioctl(unix.SECCOMP_IOCTL_NOTIF_SEND, unsafe.Pointer(&r)) }
 
 func (s *Supervisor) proceed(id uint64) {
-	s.answer(response{id: id, flags: unix.SECCOMP_USER_NOTIF_FLAG_CONTINUE})
+	s.respond(response{id: id, flags: unix.SECCOMP_USER_NOTIF_FLAG_CONTINUE})
 }
 
 // decide lets a call go on or does to it what a fault in force says.
@@ -152,13 +152,13 @@
 		s.proceed(n.id)
 		return
 	}
-	s.failed.Add(1)
+	s.faulted.Add(1)
 	switch {
 	case fault.Errno == 0:
 		time.AfterFunc(fault.Delay, func() { s.proceed(n.id) })
 	case fault.Short && s.shorten(n):
 	default:
-		s.answer(response{id: n.id, errno: -int32(fault.Errno)})
+		s.respond(response{id: n.id, errno: -int32(fault.Errno)})
 	}
 }
 
@@ -179,7 +179,7 @@
 	if len(kept) == 0 {
 		return nil
 	}
-	call := s.kind(n)
+	call := s.classify(n)
 	if call == otherCall {
 		return nil
 	}
@@ -192,9 +192,9 @@
 	return nil
 }
 
-// kind tells what a call does; the lock is held.
-func (s *Supervisor) kind(n *notification) Call {
-	call := trapped[int(n.number)]
+// classify tells what a call does; the lock is held.
+func (s *Supervisor) classify(n *notification) Call {
+	call := interceptedCalls[int(n.number)]
 	switch call {
 	case FileWrite, FileRead, FileTruncate, FileSync:
 		target, err := os.Readlink("/proc/" + strconv.Itoa(int(n.pid)) + "/fd/" + strconv.Itoa(int(int32(n.arguments[0]))))
@@ -250,7 +250,7 @@
 	if got, err := unix.ProcessVMReadv(int(n.pid), local, remote, 0); err != nil || got != size {
 		return false
 	}
-	descriptor, err := copyDescriptor(int(n.pid), int(int32(n.arguments[0])))
+	descriptor, err := duplicateDescriptor(int(n.pid), int(int32(n.arguments[0])))
 	if err != nil {
 		return false
 	}
@@ -259,7 +259,7 @@
 	if err != nil {
 		return false
 	}
-	s.answer(response{id: n.id, value: int64(written)})
+	s.respond(response{id: n.id, value: int64(written)})
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range s.faults {
@@ -268,9 +268,9 @@
 	return true
 }
 
-// copyDescriptor takes a copy of a descriptor of another process.
-func copyDescriptor(thread, descriptor int) (int, error) {
-	process, err := unix.PidfdOpen(leaderOf(thread), 0)
+// duplicateDescriptor takes a copy of a descriptor of another process.
+func duplicateDescriptor(thread, descriptor int) (int, error) {
+	process, err := unix.PidfdOpen(threadGroupLeader(thread), 0)
 	if err != nil {
 		return 0, err
 	}
@@ -278,8 +278,8 @@
 	return unix.PidfdGetfd(process, descriptor, 0)
 }
 
-// leaderOf is the process that a thread belongs to.
-func leaderOf(thread int) int {
+// threadGroupLeader is the process that a thread belongs to.
+func threadGroupLeader(thread int) int {
 	status, err := os.ReadFile("/proc/" + strconv.Itoa(thread) + "/status")
 	if err != nil {
 		return thread
--- a/node/attribution_test.go
+++ b/node/attribution_test.go
@@ -115,7 +115,7 @@
 	w.waitFor("the second came", func() bool { return at.callsWithBody("second") == 1 })
 	w.waitFor("its record says how it ends", func() bool {
 		e := recoverAfterKill(t, w.folder)["second"]
-		return e != nil && e.Verdict == store.Discarded
+		return e != nil && e.Resolution == store.Discarded
 	})
 }
 
--- a/node/eventtask.go
+++ b/node/eventtask.go
@@ -206,7 +206,7 @@
 		return
 	}
 	end := &provisionalCompletion{node: l.node, id: l.id, came: l.arrivalSeq, due: l.monoDeadline, request: l.request,
-		record: l.node.journal.recordVerdictAndTrim(l.event, discarded)}
+		record: l.node.journal.recordResolutionAndTrim(l.event, discarded)}
 	c.whenSettled(end.settle)
 }
 
@@ -243,7 +243,7 @@
 		l.pending = pendingEnd{record: l.node.journal.complete(l.event), toClient: true, clientTimeout: time.After(refusalRecordTimeout)}
 	} else {
 		l.answerClient(statusAccepted, 0)
-		l.pending = pendingEnd{record: l.node.journal.recordVerdict(l.event)}
+		l.pending = pendingEnd{record: l.node.journal.recordResolution(l.event)}
 	}
 	l.pending.written = l.pending.record.Written()
 	if l.request.MayReportEnd(l.node.clock.now(), false) {
--- a/node/iofaults_test.go
+++ b/node/iofaults_test.go
@@ -102,7 +102,7 @@
 		}
 		w.waitFor("the platform hears of the end", func() bool { return len(w.receivedNotices()) > 0 })
 		heard := time.Since(sent)
-		if e := recoverAfterKill(t, w.folder)["x"]; recovers && e != nil && e.Verdict == store.Undecided {
+		if e := recoverAfterKill(t, w.folder)["x"]; recovers && e != nil && e.Resolution == store.Unresolved {
 			t.Error("told, and not on the disk")
 		}
 		if recovers && heard > left {
--- a/node/journal.go
+++ b/node/journal.go
@@ -70,12 +70,12 @@
 		if !ok { // danger: an event of a stream type that is no longer known still gets its end
 			logs.Event("journal", o.ID).WithField("kind", o.Kind).
 				Error("owed event of an unknown stream type is discarded")
-			o.Verdict = store.Discarded
+			o.Resolution = store.Discarded
 		}
 		events = append(
 			events,
 			&event{id: o.ID, arrivalSeq: o.ArrivalSeq, idempotencyKey: o.IdempotencyKey, typ: typ, customer: customer, dest: o.Dest,
-				wallDeadline: o.Deadline, body: o.Body, pastSends: o.Attempts, sendCount: len(o.Attempts), resolution: resolution(o.Verdict),
+				wallDeadline: o.Deadline, body: o.Body, pastSends: o.Attempts, sendCount: len(o.Attempts), resolution: resolution(o.Resolution),
 				retryAfter: o.RetryAfter, updates: make(chan eventUpdate, updateBuffer)},
 		)
 	}
@@ -153,14 +153,14 @@
 	return j.store.RecordOutcome(e.id, e.arrivalSeq, number, how)
 }
 
-// recordVerdict writes how an event ends whose notice is still owed.
-func (j *journal) recordVerdict(e *event) *store.PendingWrite {
-	return j.store.RecordVerdict(e.id, e.arrivalSeq, store.Verdict(e.resolution), e.retryAfter)
+// recordResolution writes how an event ends whose notice is still owed.
+func (j *journal) recordResolution(e *event) *store.PendingWrite {
+	return j.store.RecordResolution(e.id, e.arrivalSeq, store.Resolution(e.resolution), e.retryAfter)
 }
 
-// recordVerdictAndTrim is decide for an event of which nothing but its notice may still be needed.
-func (j *journal) recordVerdictAndTrim(e *event, v resolution) *store.PendingWrite {
-	return j.store.RecordVerdictAndTrim(e.id, e.arrivalSeq, store.Verdict(v))
+// recordResolutionAndTrim is decide for an event of which nothing but its notice may still be needed.
+func (j *journal) recordResolutionAndTrim(e *event, v resolution) *store.PendingWrite {
+	return j.store.RecordResolutionAndTrim(e.id, e.arrivalSeq, store.Resolution(v))
 }
 
 // complete writes that nothing more is owed for an event.
--- a/node/journal_test.go
+++ b/node/journal_test.go
@@ -73,7 +73,7 @@
 			j.recordOutcome(e, 1, delivery.Reset)
 		case 2:
 			e.resolution, e.retryAfter = declined, 500
-			j.recordVerdict(e)
+			j.recordResolution(e)
 		}
 	}
 }
@@ -276,7 +276,7 @@
 			"m",
 			"",
 		),
-		legacyRecord(legacyVerdict, "e2", byte(declined), 500),
+		legacyRecord(legacyResolution, "e2", byte(declined), 500),
 		legacyRecord(legacyAcceptedLongBody, "e3", "alert", "acme", 7, 1<<60, "m", 1, len(long)),
 		legacyRecord(legacyAccepted, "e4", "alert", "acme", 7, 1<<60, "m", "cut off")[:20],
 	)
--- a/node/journalreport.go
+++ b/node/journalreport.go
@@ -16,7 +16,7 @@
 	Deadline                        time.Time
 	Attempts                        int
 	MayHaveRun                      bool   // a send is out, or ended without telling
-	Verdict                         string // open, declined or discarded
+	Resolution                      string // open, declined or discarded
 	BodyBytes                       int    // bytes
 }
 
@@ -64,7 +64,7 @@
 	}
 	for _, e := range list {
 		r.Pending = append(r.Pending, PendingEvent{ID: e.ID, Kind: e.Kind, Owner: e.Owner, IdempotencyKey: e.IdempotencyKey, Dest: e.Dest,
-			Deadline: time.Unix(0, e.Deadline), Attempts: len(e.Attempts), Verdict: resolution(e.Verdict).String(),
+			Deadline: time.Unix(0, e.Deadline), Attempts: len(e.Attempts), Resolution: resolution(e.Resolution).String(),
 			BodyBytes: len(e.Body), MayHaveRun: e.MayHaveRun()})
 	}
 	return r, nil
--- a/node/legacy_journal.go
+++ b/node/legacy_journal.go
@@ -35,7 +35,7 @@
 	legacyAccepted = 1 + iota
 	legacyAttemptStarted
 	legacyAttemptEnded
-	legacyVerdict
+	legacyResolution
 	legacyCompleted
 	legacyAcceptedLongBody // as oldTake, with the number of the body's file
 )
@@ -83,7 +83,7 @@
 			var err error
 			if o.Body, err = errclass.ReadFile(os.ReadFile, j.bodyPath(o.bodyFile)); err != nil {
 				damaged(0, "owed event "+o.ID+" without its body is discarded: "+err.Error())
-				o.Verdict = store.Discarded
+				o.Resolution = store.Discarded
 			}
 		}
 		list = append(list, o.Event)
@@ -182,13 +182,13 @@
 		if o != nil && number < len(o.Attempts) {
 			o.Attempts[number].Ended, o.Attempts[number].Outcome = true, how
 		}
-	case legacyVerdict:
-		v, comeBack := store.Verdict(f.Byte()), f.Varint()
+	case legacyResolution:
+		v, comeBack := store.Resolution(f.Byte()), f.Varint()
 		if f.Invalid() || v > store.Discarded {
 			return false
 		}
 		if o != nil {
-			o.Verdict, o.RetryAfter = v, comeBack
+			o.Resolution, o.RetryAfter = v, comeBack
 		}
 	case legacyCompleted:
 		if o != nil {
--- a/store/record.go
+++ b/store/record.go
@@ -182,12 +182,12 @@
 // MayHaveRun tells whether the send may have taken effect, for all that is known.
 func (s *Attempt) MayHaveRun() bool { return !s.Ended || s.Outcome.MayHaveRun() }
 
-// Verdict is how an event ends that is not delivered.
-type Verdict uint8
+// Resolution is how an event ends that is not delivered.
+type Resolution uint8
 
-// The verdicts; an event that is Undecided has none yet.
+// The verdicts; an event that is Unresolved has none yet.
 const (
-	Undecided Verdict = iota
+	Unresolved Resolution = iota
 	Declined
 	Discarded
 )
@@ -199,7 +199,7 @@
 	Deadline                        int64 // time of day in ns
 	Body                            []byte
 	Attempts                        []Attempt
-	Verdict                         Verdict
+	Resolution                      Resolution
 	RetryAfter                      int64  // ns, with Declined
 	ArrivalSeq                      uint64 // its place in the order of coming, from 1; the store gives it
 }
@@ -240,7 +240,7 @@
 	to = putText(putText(putText(putText(to, e.ID), e.Kind), e.Owner), e.IdempotencyKey)
 	to = binary.AppendVarint(binary.AppendVarint(to, int64(e.Dest)), e.Deadline)
 	to = binary.AppendUvarint(to, e.ArrivalSeq)
-	to = binary.AppendVarint(append(to, byte(e.Verdict)), e.RetryAfter)
+	to = binary.AppendVarint(append(to, byte(e.Resolution)), e.RetryAfter)
 	to = binary.AppendVarint(to, int64(len(e.Attempts)))
 	for i := range e.Attempts {
 		s := &e.Attempts[i]
@@ -259,9 +259,9 @@
 	e := &Event{ID: f.text(), Kind: f.text(), Owner: f.text(), IdempotencyKey: f.text()}
 	e.Dest, e.Deadline = uint32(f.number()), f.number()
 	e.ArrivalSeq = f.count()
-	e.Verdict, e.RetryAfter = Verdict(f.byte()), f.number()
+	e.Resolution, e.RetryAfter = Resolution(f.byte()), f.number()
 	n := f.number()
-	if f.bad || n < 0 || n > mostSends || e.Verdict > Discarded || e.ID == "" {
+	if f.bad || n < 0 || n > mostSends || e.Resolution > Discarded || e.ID == "" {
 		f.bad = true
 		return nil
 	}
--- a/store/recovery.go
+++ b/store/recovery.go
@@ -257,12 +257,12 @@
 			o.event.Attempts[number].Ended, o.event.Attempts[number].Outcome = true, how
 		}
 	case recDecide:
-		v, comeBack := Verdict(f.byte()), f.number()
+		v, comeBack := Resolution(f.byte()), f.number()
 		if f.bad || v > Discarded {
 			return false
 		}
 		if o != nil {
-			o.event.Verdict, o.event.RetryAfter = v, comeBack
+			o.event.Resolution, o.event.RetryAfter = v, comeBack
 		}
 	case recOver:
 		until := f.number()
@@ -339,7 +339,7 @@
 // finish puts the events in order, and doubts those before a gap.
 func (l *loader) finish() {
 	for _, o := range l.events {
-		if e := o.event; o.seq < l.gap && e.Verdict == Undecided && !e.MayHaveRun() &&
+		if e := o.event; o.seq < l.gap && e.Resolution == Unresolved && !e.MayHaveRun() &&
 			len(e.Attempts) < mostSends {
 			e.Attempts = append(e.Attempts, Attempt{StartedAt: longAgo})
 		}
--- a/store/store.go
+++ b/store/store.go
@@ -301,15 +301,15 @@
 	}, func(to []byte) []byte { return append(to, byte(number), byte(how)) })
 }
 
-// RecordVerdict writes how an event ends whose notice is still owed.
-func (s *Store) RecordVerdict(id string, came uint64, v Verdict, comeBack int64) *PendingWrite {
-	return s.keepRecord(id, came, recDecide, func(e *Event) { e.Verdict, e.RetryAfter = v, comeBack },
+// RecordResolution writes how an event ends whose notice is still owed.
+func (s *Store) RecordResolution(id string, came uint64, v Resolution, comeBack int64) *PendingWrite {
+	return s.keepRecord(id, came, recDecide, func(e *Event) { e.Resolution, e.RetryAfter = v, comeBack },
 		func(to []byte) []byte { return binary.AppendVarint(append(to, byte(v)), comeBack) })
 }
 
-// RecordVerdictAndTrim writes how an event ends of which nothing but its notice may still be needed. Its body and its sends are
+// RecordResolutionAndTrim writes how an event ends of which nothing but its notice may still be needed. Its body and its sends are
 // dropped, so that it takes little room for as long as it is kept.
-func (s *Store) RecordVerdictAndTrim(id string, came uint64, v Verdict) *PendingWrite {
+func (s *Store) RecordResolutionAndTrim(id string, came uint64, v Resolution) *PendingWrite {
 	s.squeeze(sendSize)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -318,7 +318,7 @@
 		return noRecord(absence(it))
 	}
 	brief := *it.event
-	brief.IdempotencyKey, brief.Attempts, brief.Body, brief.Verdict = "", nil, nil, v
+	brief.IdempotencyKey, brief.Attempts, brief.Body, brief.Resolution = "", nil, nil, v
 	size := frameSize + len(brief.state([]byte{byte(recState)})) + frameSize + briefEndSize + len(id)
 	next := &item{event: &brief, kind: recState, need: int32(size)}
 	s.keep(next)
--- a/store/store_test.go
+++ b/store/store_test.go
@@ -90,7 +90,7 @@
 			m.ran[id] = true
 		}
 	case 3:
-		err = s.RecordVerdict(id, 0, Discarded, 0).Wait()
+		err = s.RecordResolution(id, 0, Discarded, 0).Wait()
 	case 4:
 		delete(m.owed, id) // from the call on the event may be over
 		until := int64(0)  // every second one may come again under its id
@@ -127,7 +127,7 @@
 		if m.over[e.ID] && whole {
 			t.Errorf("%s: %s comes back though it is over", what, e.ID)
 		}
-		if m.ran[e.ID] && !e.MayHaveRun() && e.Verdict == Undecided && !m.over[e.ID] {
+		if m.ran[e.ID] && !e.MayHaveRun() && e.Resolution == Unresolved && !m.over[e.ID] {
 			t.Errorf("%s: %s would be sent again, though it may have run: %+v", what, e.ID, e.Attempts)
 		}
 	}
--- a/store/write_failure_test.go
+++ b/store/write_failure_test.go
@@ -74,11 +74,11 @@
 		}
 		folder.failNext(failures, "", refused)
 		s.RecordOutcome("e0", 0, 0, delivery.Refused).Wait()
-		s.RecordVerdict("e1", 0, Discarded, 0).Wait()
+		s.RecordResolution("e1", 0, Discarded, 0).Wait()
 		s.Complete("e2", 0, 0).Wait()
 		eventually(t, "all is written", func() bool {
 			f := pending(t, folder)
-			return len(f.Events) == 3 && f.Events[0].Attempts[0].Ended && f.Events[1].Verdict == Discarded &&
+			return len(f.Events) == 3 && f.Events[0].Attempts[0].Ended && f.Events[1].Resolution == Discarded &&
 				f.Events[2].ID == "e3"
 		})
 		s.Close()
