--- a/lab/runner/recording.go
+++ b/lab/runner/recording.go
@@ -10,37 +10,39 @@
 	"jaspersill/lab/workload"
 )
 
-// Record plays one run and writes what arrived and what came of it, in the order of arrival.
-func Record(day *scenario.Scenario, seed, luck uint64, launch simulator.SchedulerFactory, to io.Writer) error {
+// Record simulates one run and writes each arrival with its result, in the order of arrival.
+func Record(sc *scenario.Scenario, seed, noiseSeed uint64, newScheduler simulator.SchedulerFactory, to io.Writer) error {
 	type record struct {
-		a    workload.Arrival
-		end  string
-		took int64
+		arrival workload.Arrival
+		result  string
+		latency int64
 	}
 	var records []record
-	w := simulator.New(day, seed, luck, launch, nil)
-	w.OnArrivalEnd(
-		func(a workload.Arrival, end string, took int64) { records = append(records, record{a, end, took}) },
+	sim := simulator.New(sc, seed, noiseSeed, newScheduler, nil)
+	sim.OnArrivalEnd(
+		func(a workload.Arrival, result string, latency int64) {
+			records = append(records, record{a, result, latency})
+		},
 	)
-	w.Run()
-	slices.SortStableFunc(records, func(a, b record) int { return cmp.Compare(a.a.Number, b.a.Number) })
-	out, err := workload.NewWriter(to, day)
+	sim.Run()
+	slices.SortStableFunc(records, func(a, b record) int { return cmp.Compare(a.arrival.Number, b.arrival.Number) })
+	out, err := workload.NewWriter(to, sc)
 	if err != nil {
 		return err
 	}
 	for _, r := range records {
-		if err := out.Write(r.a, r.end, r.took); err != nil {
+		if err := out.Write(r.arrival, r.result, r.latency); err != nil {
 			return err
 		}
 	}
 	return out.Close()
 }
 
-// Replay plays a recording's arrivals again on its own day.
+// Replay simulates the recorded arrivals again, on the scenario that the recording contains.
 func Replay(
 	from io.Reader,
-	seed, luck uint64,
-	launch simulator.SchedulerFactory,
+	seed, noiseSeed uint64,
+	newScheduler simulator.SchedulerFactory,
 	trace io.Writer,
 ) (Result, *scenario.Scenario, error) {
 	r, err := workload.Open(from)
@@ -48,6 +50,6 @@
 		return Result{}, nil, err
 	}
 	defer r.Close()
-	result := runWithSource(r.Scenario, seed, luck, launch, true, trace, r)
+	result := runWithSource(r.Scenario, seed, noiseSeed, newScheduler, true, trace, r)
 	return result, r.Scenario, r.Err
 }
--- a/lab/soak/plan.go
+++ b/lab/soak/plan.go
@@ -10,33 +10,33 @@
 	"jaspersill/lab/sysfault"
 )
 
-// plan is what a seed says that happens in a run.
+// plan is the schedule of a run, drawn from its seed.
 type plan struct {
-	destinations           int
-	endpointsOfDestination int
-	body                   int
-	steady                 bool    // endpoints answer as partners at some distance do
-	refusals               float64 // share of the calls that a steady endpoint refuses
-	crowded                []bool
-	steps                  []step
-	random                 *rand.Rand
-	length                 time.Duration
+	destinations            int
+	endpointsPerDestination int
+	bodySize                int
+	remote                  bool    // endpoints answer with the latency of a remote host
+	refusalRate             float64 // share of the calls that a remote endpoint refuses
+	crowded                 []bool  // by node: idle connections use up its sockets
+	steps                   []step
+	random                  *rand.Rand
+	length                  time.Duration
 }
 
-// step is one thing that is done to the system, at a time from the first request.
+// step is one action on the system, at a time after the clients start.
 type step struct {
 	at time.Duration
 	do func(context.Context, *run)
 }
 
-// failure is one way in which a kind of call fails.
+// failure is one way in which a system call can fail.
 type failure struct {
 	call  sysfault.Call
 	errno syscall.Errno
 	short bool
 }
 
-// failures are what Linux documents for the calls that a node makes. Which of them a run meets is drawn.
+// failures are errors that Linux documents for the system calls of a node. Each run draws from them.
 var failures = []failure{
 	{sysfault.FileWrite, syscall.ENOSPC, false},
 	{sysfault.FileWrite, syscall.EIO, false},
@@ -69,117 +69,117 @@
 }
 
 const (
-	onlyDisk    = "disk"
-	onlySockets = "sockets"
-	onlySlow    = "slow"
-	onlyKills   = "kills"
-	onlyCalls   = "calls"
-	onlyAnswers = "answers" // answers of endpoints come twice
-	onlyNotices = "notices" // answers of the platform come twice
-	onlyPaths   = "paths"   // bytes between all ends are disturbed
+	groupDisk    = "disk"
+	groupSockets = "sockets"
+	groupSlow    = "slow"
+	groupKills   = "kills"
+	groupCalls   = "calls"
+	groupAnswers = "answers" // responses of endpoints arrive twice
+	groupNotices = "notices" // responses of the platform arrive twice
+	groupPaths   = "paths"   // all network connections are disturbed
 )
 
-// FaultGroups lists the kinds of faults that can be played alone.
+// FaultGroups lists the groups of faults that a run can be limited to.
 func FaultGroups() []string {
-	return []string{onlyDisk, onlySockets, onlySlow, onlyKills, onlyCalls, onlyAnswers, onlyNotices, onlyPaths}
+	return []string{groupDisk, groupSockets, groupSlow, groupKills, groupCalls, groupAnswers, groupNotices, groupPaths}
 }
 
-func draw(o Options) *plan {
+func newPlan(o Options) *plan {
 	random := rand.New(rand.NewPCG(o.Seed, 0x5041))
-	p := &plan{random: random, length: o.Length, destinations: 1 + random.IntN(mostDestinations),
-		endpointsOfDestination: 1 + random.IntN(2), body: 1 + random.IntN(300), refusals: usualRefusedShare,
+	p := &plan{random: random, length: o.Length, destinations: 1 + random.IntN(maxDestinations),
+		endpointsPerDestination: 1 + random.IntN(2), bodySize: 1 + random.IntN(300), refusalRate: defaultRefusalRate,
 		crowded: make([]bool, o.Nodes)}
 	if random.IntN(4) == 0 {
-		p.body = largeBody
+		p.bodySize = largeBodySize
 	}
 	switch o.Only {
-	case onlyAnswers, onlyNotices:
-		p.drawRepeats(o.Nodes, o.Only == onlyNotices)
+	case groupAnswers, groupNotices:
+		p.addRepeatedResponses(o.Nodes, o.Only == groupNotices)
 		return p
-	case onlyPaths:
-		p.steady = random.IntN(2) == 0
-		p.drawPaths(o.Nodes)
+	case groupPaths:
+		p.remote = random.IntN(2) == 0
+		p.addPathFaults(o.Nodes)
 		return p
 	}
 	crowdedRun := random.IntN(3) == 0
 	for node := range o.Nodes {
 		p.crowded[node] = crowdedRun && node%3 == 0
-		p.drawCalls(node, o.Only)
-		if o.Only == "" || o.Only == onlyKills {
-			p.drawSignals(node)
+		p.addCallFaults(node, o.Only)
+		if o.Only == "" || o.Only == groupKills {
+			p.addSignals(node)
 		} else {
-			p.drawKill(node)
+			p.addKill(node)
 		}
 	}
 	if o.Only == "" {
-		p.drawEndpoints()
-		p.drawDiscovery(o.Nodes)
+		p.addEndpointFaults()
+		p.addDiscoveryFaults(o.Nodes)
 	}
 	if o.PathFaults {
-		p.drawPaths(o.Nodes)
+		p.addPathFaults(o.Nodes)
 	}
 	return p
 }
 
-func (p *plan) moment(most time.Duration) time.Duration {
-	return time.Duration(p.random.Int64N(int64(most)))
+func (p *plan) randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(p.random.Int64N(int64(limit)))
 }
 
-func (p *plan) add(at time.Duration, do func(context.Context, *run)) {
+func (p *plan) addStep(at time.Duration, do func(context.Context, *run)) {
 	p.steps = append(p.steps, step{at, do})
 }
 
-// drawCalls draws the faults of one node's calls: several, which may overlap.
-func (p *plan) drawCalls(node int, only string) {
-	if only == onlyKills {
+// addCallFaults draws several faults of one node's system calls, which may overlap.
+func (p *plan) addCallFaults(node int, group string) {
+	if group == groupKills {
 		return
 	}
 	for range 1 + p.random.IntN(4) {
-		at, long := p.moment(p.length*3/4), 100*time.Millisecond+p.moment(900*time.Millisecond)
+		at, duration := p.randomDuration(p.length*3/4), 100*time.Millisecond+p.randomDuration(900*time.Millisecond)
 		f := failures[p.random.IntN(len(failures))]
-		for !played(only, f.call) {
+		for !inGroup(group, f.call) {
 			f = failures[p.random.IntN(len(failures))]
 		}
 		fault := sysfault.Fault{Call: f.call, Errno: f.errno, Short: f.short}
 		if p.random.IntN(3) == 0 {
 			fault.Probability = 0.1 + 0.6*p.random.Float64()
 		}
-		if only == onlySlow || (only == "" && p.random.IntN(6) == 0) {
-			fault = sysfault.Fault{Call: sysfault.FileWrite, Delay: 50*time.Millisecond + p.moment(950*time.Millisecond)}
-			long = 200 * time.Millisecond
+		if group == groupSlow || (group == "" && p.random.IntN(6) == 0) {
+			fault = sysfault.Fault{Call: sysfault.FileWrite, Delay: 50*time.Millisecond + p.randomDuration(950*time.Millisecond)}
+			duration = 200 * time.Millisecond
 		}
-		outage := only != onlySlow && onDisk(f.call) && p.random.IntN(3) == 0
+		outage := group != groupSlow && isFileCall(f.call) && p.random.IntN(3) == 0
 		withTruncate := f.call == sysfault.FileWrite && p.random.IntN(2) == 0
 		killAfter := time.Duration(-1)
 		switch {
-		case f.short && p.random.IntN(2) == 0: // right behind a record that was written in part
+		case f.short && p.random.IntN(2) == 0: // immediately after a partially written record
 			killAfter = 5 * time.Millisecond
 		case p.random.IntN(4) == 0: // while the calls still fail
-			killAfter = p.moment(long)
+			killAfter = p.randomDuration(duration)
 		}
-		p.add(at, func(ctx context.Context, r *run) {
-			r.fail(node, fault, long)
+		p.addStep(at, func(ctx context.Context, r *run) {
+			r.injectFault(node, fault, duration)
 			if withTruncate {
-				r.fail(node, sysfault.Fault{Call: sysfault.FileTruncate, Errno: syscall.EIO}, long)
+				r.injectFault(node, sysfault.Fault{Call: sysfault.FileTruncate, Errno: syscall.EIO}, duration)
 			}
-			if outage { // nothing can be written, taken back or begun
-				r.fail(node, sysfault.Fault{Call: sysfault.FileWrite, Errno: syscall.EIO}, long)
-				r.fail(node, sysfault.Fault{Call: sysfault.FileOpen, Errno: syscall.EIO}, long)
+			if outage { // nothing can be written, rolled back or created
+				r.injectFault(node, sysfault.Fault{Call: sysfault.FileWrite, Errno: syscall.EIO}, duration)
+				r.injectFault(node, sysfault.Fault{Call: sysfault.FileOpen, Errno: syscall.EIO}, duration)
 			}
 			if killAfter >= 0 {
-				pause(ctx, killAfter)
+				sleep(ctx, killAfter)
 				r.restart(ctx, node, nil, (*process).kill)
 			}
 		})
 	}
 }
 
-// played tells whether calls of a kind fail where only one kind of fault is played.
-func played(only string, c sysfault.Call) bool {
-	return only == "" || only == onlyCalls || only == onlySlow || (only == onlyDisk) == onDisk(c)
+// inGroup reports whether a fault group contains failures of a kind of system call.
+func inGroup(group string, c sysfault.Call) bool {
+	return group == "" || group == groupCalls || group == groupSlow || (group == groupDisk) == isFileCall(c)
 }
 
-func onDisk(c sysfault.Call) bool {
+func isFileCall(c sysfault.Call) bool {
 	switch c {
 	case sysfault.FileWrite, sysfault.FileTruncate, sysfault.FileOpen, sysfault.FileRemove, sysfault.FileRename,
 		sysfault.FileRead:
@@ -188,143 +188,152 @@
 	return false
 }
 
-// drawSignals draws what a node is told: a kill, an orderly end or signals in series.
-func (p *plan) drawSignals(node int) {
-	at := p.length/8 + p.moment(p.length/2)
+// addSignals draws the signals of a node: at most one kill or termination, and a few reloads.
+func (p *plan) addSignals(node int) {
+	at := p.length/8 + p.randomDuration(p.length/2)
 	var faults []sysfault.Fault
-	if p.random.IntN(3) == 0 { // the start fails too, for a moment
+	if p.random.IntN(3) == 0 { // system calls also fail for a short time during the restart
 		f := failures[p.random.IntN(len(failures))]
 		faults = append(faults, sysfault.Fault{Call: f.call, Errno: f.errno, Probability: 0.5 + 0.5*p.random.Float64()})
 	}
-	long := 100*time.Millisecond + p.moment(900*time.Millisecond)
+	duration := 100*time.Millisecond + p.randomDuration(900*time.Millisecond)
 	switch p.random.IntN(5) {
 	case 0, 1:
-		p.add(at, func(ctx context.Context, r *run) { r.restartFaulty(ctx, node, faults, long, (*process).kill) })
+		p.addStep(at, func(ctx context.Context, r *run) { r.restartWithFaults(ctx, node, faults, duration, (*process).kill) })
 	case 2, 3:
-		p.add(at, func(ctx context.Context, r *run) { r.restartFaulty(ctx, node, faults, long, (*process).terminate) })
+		p.addStep(at, func(ctx context.Context, r *run) {
+			r.restartWithFaults(ctx, node, faults, duration, (*process).terminate)
+		})
 	}
 	for range p.random.IntN(4) {
-		p.add(p.moment(p.length), func(ctx context.Context, r *run) {
-			r.ledger.did("node %d: SIGHUP", node)
-			r.processes[node].hangUp()
+		p.addStep(p.randomDuration(p.length), func(ctx context.Context, r *run) {
+			r.history.logAction("node %d: SIGHUP", node)
+			r.processes[node].reload()
 		})
 	}
 }
 
-// drawKill kills a node some seconds into the run, as in the report's plays.
-func (p *plan) drawKill(node int) {
-	p.add(p.length*3/4+p.moment(p.length/8), func(ctx context.Context, r *run) { r.restart(ctx, node, nil, (*process).kill) })
+// addKill kills a node between 3/4 and 7/8 of the run's length, as the runs of the original fault report did.
+func (p *plan) addKill(node int) {
+	p.addStep(p.length*3/4+p.randomDuration(p.length/8), func(ctx context.Context, r *run) {
+		r.restart(ctx, node, nil, (*process).kill)
+	})
 }
 
-func (p *plan) drawEndpoints() {
+func (p *plan) addEndpointFaults() {
 	modes := []mode{slow, failing, limited, hanging, resetting, garbling, unavailable}
-	for number := range p.destinations * p.endpointsOfDestination {
+	for number := range p.destinations * p.endpointsPerDestination {
 		if p.random.IntN(3) == 0 {
 			continue
 		}
-		at, long, m := p.moment(p.length*2/3), 200*time.Millisecond+p.moment(2*time.Second), modes[p.random.IntN(len(modes))]
-		p.add(at, func(ctx context.Context, r *run) {
-			r.ledger.did("endpoint %d: %s for %v", number, m, long.Round(time.Millisecond))
-			r.endpoints[number].behave(m)
-			pause(ctx, long)
-			r.endpoints[number].behave(healthy)
+		at, duration, m := p.randomDuration(p.length*2/3), 200*time.Millisecond+p.randomDuration(2*time.Second),
+			modes[p.random.IntN(len(modes))]
+		p.addStep(at, func(ctx context.Context, r *run) {
+			r.history.logAction("endpoint %d: %s for %v", number, m, duration.Round(time.Millisecond))
+			r.endpoints[number].setMode(m)
+			sleep(ctx, duration)
+			r.endpoints[number].setMode(healthy)
 		})
 	}
-	if p.endpointsOfDestination > 1 && p.random.IntN(2) == 0 {
-		number := p.random.IntN(p.destinations * p.endpointsOfDestination)
-		p.add(p.moment(p.length), func(_ context.Context, r *run) {
-			r.ledger.did("endpoint %d: drains", number)
+	if p.endpointsPerDestination > 1 && p.random.IntN(2) == 0 {
+		number := p.random.IntN(p.destinations * p.endpointsPerDestination)
+		p.addStep(p.randomDuration(p.length), func(_ context.Context, r *run) {
+			r.history.logAction("endpoint %d: draining", number)
 			r.discovery.drain(number)
 		})
 	}
 }
 
-func (p *plan) drawDiscovery(nodes int) {
+func (p *plan) addDiscoveryFaults(nodes int) {
 	for node := range nodes {
 		if p.random.IntN(3) == 0 {
-			p.add(p.moment(p.length), func(_ context.Context, r *run) {
-				r.ledger.did("node %d: its watch falls silent", node)
-				r.discovery.silence(node)
+			p.addStep(p.randomDuration(p.length), func(_ context.Context, r *run) {
+				r.history.logAction("node %d: its discovery watch stalls", node)
+				r.discovery.silenceWatches(node)
 			})
 		}
 	}
 	if p.random.IntN(3) == 0 {
-		p.add(p.moment(p.length/2), func(ctx context.Context, r *run) {
-			r.ledger.did("discovery is down for 1.5s")
-			r.discovery.fail(true)
-			pause(ctx, 1500*time.Millisecond)
-			r.discovery.fail(false)
+		p.addStep(p.randomDuration(p.length/2), func(ctx context.Context, r *run) {
+			r.history.logAction("discovery is down for 1.5s")
+			r.discovery.setDown(true)
+			sleep(ctx, 1500*time.Millisecond)
+			r.discovery.setDown(false)
 		})
 	}
 }
 
-// fail has calls of a node fail for a time.
-func (r *run) fail(node int, f sysfault.Fault, long time.Duration) {
+// injectFault puts a fault in force on a node's system calls for the given time, and records what the checks have to
+// allow for.
+func (r *run) injectFault(node int, f sysfault.Fault, duration time.Duration) {
 	text := f.Errno.Error()
 	if f.Delay > 0 {
 		text = fmt.Sprintf("slow by %v", f.Delay.Round(time.Millisecond))
 	}
-	r.ledger.did("node %d: %s: %s for %v, share %.2f, short %v", node, f.Call, text, long.Round(time.Millisecond), f.Probability, f.Short)
-	f.Until = time.Now().Add(long)
+	r.history.logAction("node %d: %s: %s for %v, probability %.2f, short %v", node, f.Call, text, duration.Round(time.Millisecond),
+		f.Probability, f.Short)
+	f.Until = time.Now().Add(duration)
 	if f.Call == sysfault.SocketWrite && f.Probability == 0 {
-		r.ledger.mutes(node, long)
+		r.history.recordWriteOutage(node, duration)
 	}
 	if f.Call == sysfault.SocketRead && f.Probability == 0 {
-		r.ledger.deafens(node, long)
+		r.history.recordReadOutage(node, duration)
 	}
 	if (f.Call == sysfault.SocketOpen || f.Call == sysfault.Connect) && f.Probability == 0 {
-		r.ledger.sealsOff(node, long)
+		r.history.recordConnectOutage(node, duration)
 	}
-	if onDisk(f.Call) {
-		r.ledger.failsDisk(node, long+f.Delay)
+	if isFileCall(f.Call) {
+		r.history.recordDiskFault(node, duration+f.Delay)
 	}
-	r.processes[node].fault(f)
+	r.processes[node].addFault(f)
 }
 
-func (r *run) restartFaulty(ctx context.Context, node int, faults []sysfault.Fault, long time.Duration, end func(*process)) {
+func (r *run) restartWithFaults(ctx context.Context, node int, faults []sysfault.Fault, duration time.Duration,
+	stop func(*process)) {
 	for i := range faults {
-		r.ledger.did("node %d: its next start meets %s: %s for %v", node, faults[i].Call, faults[i].Errno.Error(),
-			long.Round(time.Millisecond))
+		r.history.logAction("node %d: fault during its next start: %s: %s for %v", node, faults[i].Call, faults[i].Errno.Error(),
+			duration.Round(time.Millisecond))
 	}
 	r.restart(ctx, node, func() []sysfault.Fault {
 		for i := range faults {
-			faults[i].Until = time.Now().Add(long)
+			faults[i].Until = time.Now().Add(duration)
 		}
 		return faults
-	}, end)
+	}, stop)
 }
 
-// restart ends a node and starts it again on the same folder. One restart of a node goes on at a time.
-func (r *run) restart(ctx context.Context, node int, faults func() []sysfault.Fault, end func(*process)) {
+// restart stops a node and starts it again on the same state folder. It does nothing while another restart of the node
+// is in progress.
+func (r *run) restart(ctx context.Context, node int, faults func() []sysfault.Fault, stop func(*process)) {
 	p := r.processes[node]
 	if !p.restarting.CompareAndSwap(false, true) {
 		return
 	}
 	defer p.restarting.Store(false)
 	r.readViolations(ctx, p)
-	r.ledger.did("node %d: is ended", node)
-	end(p)
-	from := r.ledger.now()
+	r.history.logAction("node %d: stopping", node)
+	stop(p)
+	from := r.history.now()
 	for _, e := range r.endpoints {
-		e.forget(node)
+		e.forgetNode(node)
 	}
-	pause(ctx, restartAfter)
+	sleep(ctx, restartDelay)
 	var atStart []sysfault.Fault
 	if faults != nil {
 		atStart = faults()
 	}
 	if err := p.start(atStart); err != nil {
-		r.ledger.broke(RuleCrash, "node %d does not start again: %v", node, err)
+		r.history.addViolation(RuleCrash, "node %d failed to restart: %v", node, err)
 		return
 	}
 	if err := p.awaitReady(ctx); err != nil {
 		if ctx.Err() == nil {
-			r.ledger.broke(RuleCrash, "node %d does not serve again: %v", node, err)
+			r.history.addViolation(RuleCrash, "node %d was not ready after its restart: %v", node, err)
 		}
 		return
 	}
-	r.ledger.did("node %d: is ready again", node)
+	r.history.logAction("node %d: ready", node)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.restarts[node] = append(r.restarts[node], span{from, r.ledger.now()})
+	r.restarts[node] = append(r.restarts[node], interval{from, r.history.now()})
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-const lines = `models=big,small_one
+const linesText = `models=big,small_one
 areas=here
 discovery=subscribe
 ceilings.max_open=50
@@ -41,7 +41,7 @@
 projects.1.quota_rps=4
 unknown.key=skipped`
 
-const nested = `{"models":["big","small one"],"areas":["here"],"discovery":"subscribe",
+const jsonText = `{"models":["big","small one"],"areas":["here"],"discovery":"subscribe",
  "ceilings":{"max_open":50,"max_attempts":4,"retry_after":true,"max_retry_after_ms":1500.5,
   "conn_idle_ms":15000,"connect_timeout_ms":1500},
  "family_info":{"slots":5,"per_call":[3,1]},"feedback":{"names":["x1","x0"]},"me":1,
@@ -52,24 +52,24 @@
  "projects":[{"name":"acme","quota_rps":3},{"name":"a,b c","quota_rps":4}],"unknown":{"key":null}}`
 
 func TestLinesAndJSONParseAlike(t *testing.T) {
-	a, err := ParseLines(lines)
+	a, err := ParseLines(linesText)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := ParseJSON([]byte(nested))
+	b, err := ParseJSON([]byte(jsonText))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b.UnknownKeys = a.UnknownKeys; !reflect.DeepEqual(a, b) { // a null is nothing told
+	if b.UnknownKeys = a.UnknownKeys; !reflect.DeepEqual(a, b) { // a JSON null counts as absent, so b has no unknown key
 		t.Errorf("lines %+v\nJSON %+v", a, b)
 	}
 	if a.StreamTypeNames[0] != NormalizeName("fleet alert") || a.CustomerNames[1] != NormalizeName("a,b c") || a.LimitIndex != 0 ||
 		a.FreeShareIndex != 1 || a.MinRoundInterval != 5e6 || a.ConnIdleTimeout != 15e9 || a.ConnectTimeout != 15e8 ||
 		a.Limits.MaxRetryAfter != 1500.5*1e6 {
-		t.Errorf("read %+v", a)
+		t.Errorf("parsed %+v", a)
 	}
 	if len(a.UnknownKeys) != 1 || a.UnknownKeys[0] != "unknown.key" {
-		t.Errorf("unknown: %q", a.UnknownKeys)
+		t.Errorf("unknown keys %q, want unknown.key", a.UnknownKeys)
 	}
 }
 
@@ -85,10 +85,10 @@
 		{`"max_attempts":4`, `"max_attempts":0`, `ceilings.max_attempts: want 1 or more, got "0"`},
 		{`"replicas_of_me":2`, `"replicas_of_me":0`, `replicas_of_me: want 1 or more, got "0"`},
 		{`"deadline_ms":9000`, `"deadline_ms":0`, `services.0.deadline_ms: want over 0, got "0"`},
-		{nested, "", "settings: "},
-		{nested, "[]", "settings: "},
+		{jsonText, "", "settings: "},
+		{jsonText, "[]", "settings: "},
 	} {
-		_, err := ParseJSON([]byte(strings.Replace(nested, c.old, c.new, 1)))
+		_, err := ParseJSON([]byte(strings.Replace(jsonText, c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: got %v, want %q", c.new, err, c.want)
 		}
