--- a/node/decisionloop.go
+++ b/node/decisionloop.go
@@ -10,46 +10,46 @@
 	"jaspersill/logs"
 )
 
-// decisionLoop is the only owner of the module: one goroutine gathers news, calls Round and hands the decisions to
-// those who wait for them. Its indices and the events behind them belong to that goroutine.
+// decisionLoop is the only owner of the scheduler: one goroutine collects input, calls Round, and passes the
+// decisions on to the tasks that wait for them. The index tables and what they refer to belong to that goroutine.
 type decisionLoop struct {
 	clock         clock
-	module        delivery.Scheduler
-	minInterval   int64 // least time between rounds
-	eventsPerCall []int // events in one call, by partner
+	scheduler     delivery.Scheduler
+	minInterval   int64 // minimum time between rounds
+	eventsPerCall []int // maximum number of events in one call, by partner
 	endpoints     *endpointPool
 	directory     *directory
 	peers         *peerMessenger
 
 	mu           sync.Mutex
-	pendingInput []func(delivery.Handler) // what came in since the last round
+	pendingInput []func(delivery.Handler) // received since the last round
 	inputReady   chan struct{}
 	stop         chan struct{}
 	done         chan struct{}
 
-	eventIndex    door.Table[*event]
-	activeSends   []*attempt // the send that is out, by event
-	destIndex     door.Table[uint32]
-	endpointIndex door.Table[string]
-	partnerOf     []int   // by endpoint
-	forgotten     []int32 // endpoints that the module forgot and calls may still know
+	eventIndex     door.Table[*event]
+	activeAttempts []*attempt // the attempt in flight, by event index; nil for none
+	destIndex      door.Table[uint32]
+	endpointIndex  door.Table[string]
+	partnerOf      []int   // by endpoint index
+	forgotten      []int32 // endpoints that the scheduler has removed but calls may still use
 
-	wakeAt    int64 // 0 for not asked for
+	wakeAt    int64 // 0 if the scheduler did not ask to be woken
 	newEvents []int32
-	ended     []bool  // by event: decided in this round or before
-	removed   []int32 // events whose index is free after this round
-	newCalls  []*call // opened in this round
+	ended     []bool  // by event index: the end was decided, in this round or earlier
+	removed   []int32 // events whose index is released after this round
+	newCalls  []*call // created in this round
 }
 
-func newDecisionLoop(c clock, module delivery.Scheduler, tick int64, perCall []int) *decisionLoop {
-	return &decisionLoop{clock: c, module: module, minInterval: max(tick, 1), eventsPerCall: perCall, inputReady: make(chan struct{}, 1),
-		stop: make(chan struct{}), done: make(chan struct{})}
+func newDecisionLoop(c clock, scheduler delivery.Scheduler, minInterval int64, eventsPerCall []int) *decisionLoop {
+	return &decisionLoop{clock: c, scheduler: scheduler, minInterval: max(minInterval, 1), eventsPerCall: eventsPerCall,
+		inputReady: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
 }
 
-// enqueue takes a piece of news, which is handed to the module in the next round.
-func (d *decisionLoop) enqueue(news func(delivery.Handler)) {
+// enqueue queues an input, which is handed to the scheduler in the next round.
+func (d *decisionLoop) enqueue(input func(delivery.Handler)) {
 	d.mu.Lock()
-	d.pendingInput = append(d.pendingInput, news)
+	d.pendingInput = append(d.pendingInput, input)
 	d.mu.Unlock()
 	select {
 	case d.inputReady <- struct{}{}:
@@ -57,7 +57,8 @@
 	}
 }
 
-// run calls the module until close: when there is news, but a tick apart, and when it asked to be woken.
+// run calls the scheduler until close: when there is input, but no more often than minInterval allows, and when the scheduler
+// asked to be woken.
 func (d *decisionLoop) run() {
 	defer close(d.done)
 	timer := time.NewTimer(0)
@@ -71,11 +72,11 @@
 		case <-timer.C:
 		}
 		now := d.clock.now()
-		if early := last + d.minInterval - now; early > 0 {
+		if wait := last + d.minInterval - now; wait > 0 {
 			select {
 			case <-d.stop:
 				return
-			case <-time.After(time.Duration(early)):
+			case <-time.After(time.Duration(wait)):
 			}
 			now = d.clock.now()
 		}
@@ -87,22 +88,23 @@
 	}
 }
 
-// close ends the rounds: no decision is made from then on.
+// close stops the loop and waits until it has stopped: no decision is made from then on.
 func (d *decisionLoop) close() {
 	close(d.stop)
 	<-d.done
 }
 
+// round runs one round of the scheduler and carries out its decisions.
 func (d *decisionLoop) round(now int64) {
-	d.module.Round(now, d, d)
+	d.scheduler.Round(now, d, d)
 	for _, e := range d.newEvents {
 		if !d.ended[e] {
 			d.eventIndex.ID(e).updates <- eventUpdate{kind: updateKept}
 		}
 	}
 	for _, c := range d.newCalls {
-		for _, s := range c.attempts {
-			s.event.updates <- eventUpdate{kind: updateSendStarted, send: s}
+		for _, a := range c.attempts {
+			a.event.updates <- eventUpdate{kind: updateAttemptStarted, attempt: a}
 		}
 		d.endpoints.callStarted(c.endpoint)
 		go d.endpoints.execute(c)
@@ -115,141 +117,143 @@
 		return free
 	})
 	for _, e := range d.removed {
-		d.activeSends[e] = nil
+		d.activeAttempts[e] = nil
 		d.eventIndex.Release(e)
 	}
 	d.newEvents, d.newCalls, d.removed = d.newEvents[:0], d.newCalls[:0], d.removed[:0]
 }
 
-// Deliver implements port.Feed.
+// Deliver implements delivery.Feed.
 func (d *decisionLoop) Deliver(to delivery.Handler) {
 	d.mu.Lock()
-	news := d.pendingInput
+	inputs := d.pendingInput
 	d.pendingInput = nil
 	d.mu.Unlock()
 	if d.wakeAt > 0 && d.clock.now() >= d.wakeAt {
 		d.wakeAt = 0
 		to.Woken()
 	}
-	for _, n := range news {
-		n(to)
+	for _, input := range inputs {
+		input(to)
 	}
 }
 
-// addEvent hands an event in. One that was out before a restart comes with its sends so far.
+// addEvent hands an event to the scheduler, together with its attempts before a restart, if any.
 func (d *decisionLoop) addEvent(e *event) {
 	d.enqueue(func(to delivery.Handler) {
 		if e.index, _ = d.eventIndex.Take(e); int(e.index) == len(d.ended) {
-			d.activeSends, d.ended = append(d.activeSends, nil), append(d.ended, false)
+			d.activeAttempts, d.ended = append(d.activeAttempts, nil), append(d.ended, false)
 		}
 		d.ended[e.index] = false
 		d.newEvents = append(d.newEvents, e.index)
 		dest, _ := d.destIndex.Take(e.dest)
 		to.Event(e.index, e.typ, e.customer, 0, e.monoDeadline-d.clock.now(), 0, dest)
-		if len(e.pastSends) > 0 {
-			d.reportPastSends(e, to)
+		if len(e.pastAttempts) > 0 {
+			d.reportPastAttempts(e, to)
 		}
 	})
 }
 
-// reportPastSends tells of the sends before a restart. Danger: one that was out when the process ended may have run.
-func (d *decisionLoop) reportPastSends(e *event, to delivery.Handler) {
+// reportPastAttempts reports the attempts before a restart. One that was in flight when the process ended may have run.
+func (d *decisionLoop) reportPastAttempts(e *event, to delivery.Handler) {
 	ranAgo, zone, mayRun := int64(0), 0, false
-	for _, s := range e.pastSends {
-		if !mayRun && s.MayHaveRun() {
-			mayRun, ranAgo, zone = true, max(0, d.clock.timeOfDay()-s.StartedAt), d.directory.zoneIndex(s.Zone)
+	for _, a := range e.pastAttempts {
+		if !mayRun && a.MayHaveRun() {
+			mayRun, ranAgo, zone = true, max(0, d.clock.timeOfDay()-a.StartedAt), d.directory.zoneIndex(a.Zone)
 		}
 	}
-	to.Resumed(e.index, len(e.pastSends), mayRun, ranAgo, zone)
+	to.Resumed(e.index, len(e.pastAttempts), mayRun, ranAgo, zone)
 }
 
-// reportOutcome hands in how a send ended.
-func (d *decisionLoop) reportOutcome(e *event, s *attempt, r result) {
-	over := r.outcome == delivery.Acked || r.final
+// reportOutcome reports to the scheduler how an attempt ended.
+func (d *decisionLoop) reportOutcome(e *event, a *attempt, r result) {
+	ended := r.outcome == delivery.Acked || r.final
 	d.enqueue(func(to delivery.Handler) {
-		d.activeSends[e.index] = nil
-		d.ended[e.index] = d.ended[e.index] || over
-		if r.confirmation != nil && !over {
-			to.Unconfirmed(e.index, s.number)
+		d.activeAttempts[e.index] = nil
+		d.ended[e.index] = d.ended[e.index] || ended
+		if r.confirmation != nil && !ended {
+			to.Unconfirmed(e.index, a.number)
 		}
-		to.Outcome(e.index, s.number, s.endpoint, r.outcome, r.retryAfter, r.duration, over, r.rateFree, r.rateLimit)
+		to.Outcome(e.index, a.number, a.endpoint, r.outcome, r.retryAfter, r.duration, ended, r.rateFree, r.rateLimit)
 	})
 }
 
-// reportConfirmed tells that the answer to a send, which might have been another call's, was its own.
-func (d *decisionLoop) reportConfirmed(e *event, s *attempt) {
-	d.enqueue(func(to delivery.Handler) { to.Confirmed(e.index, s.number) })
+// reportConfirmed reports to the scheduler that an unconfirmed response to an attempt did belong to it.
+func (d *decisionLoop) reportConfirmed(e *event, a *attempt) {
+	d.enqueue(func(to delivery.Handler) { to.Confirmed(e.index, a.number) })
 }
 
-// fullRetryAfter asks when one may come back that there is no room for; nothing is told once the desk is closed.
+// fullRetryAfter returns the time after which a client may retry whose event was refused for lack of space. It returns 0
+// once the loop is closed.
 func (d *decisionLoop) fullRetryAfter() int64 {
 	reply := make(chan int64, 1)
-	d.enqueue(func(delivery.Handler) { reply <- d.module.RetryAfter() })
+	d.enqueue(func(delivery.Handler) { reply <- d.scheduler.RetryAfter() })
 	select {
-	case comeBack := <-reply:
-		return comeBack
+	case retryAfter := <-reply:
+		return retryAfter
 	case <-d.done:
 		return 0
 	}
 }
 
-// registerEndpoint gives out an endpoint's index; fresh tells that nothing is known of it. Danger: one that is registerEndpoint
-// again just after it was forgotten must keep the index.
+// registerEndpoint returns the index of an endpoint; fresh means that it was newly assigned. An endpoint that is listed again
+// just after the scheduler removed it must keep its index, so its release is cancelled.
 func (d *decisionLoop) registerEndpoint(host string, partner int) (ep int32, fresh bool) {
 	ep, fresh = d.endpointIndex.Take(host)
 	if int(ep) == len(d.partnerOf) {
 		d.partnerOf = append(d.partnerOf, 0)
 	}
 	d.partnerOf[ep] = partner
-	d.forgotten = slices.DeleteFunc(d.forgotten, func(left int32) bool { return left == ep })
+	d.forgotten = slices.DeleteFunc(d.forgotten, func(removed int32) bool { return removed == ep })
 	return ep, fresh
 }
 
-// removeEvent frees the event's index.
+// removeEvent releases the event's index after the next round.
 func (d *decisionLoop) removeEvent(e *event) {
 	d.enqueue(func(delivery.Handler) { d.removed = append(d.removed, e.index) })
 }
 
-// Send implements port.Writer, as do the methods below. Sends of a round to one endpoint share a call, while
-// their bodies fit into one.
+// Send implements delivery.Executor, as do the methods below. Sends of one round to the same endpoint share a call as long as
+// their bodies fit into it.
 func (d *decisionLoop) Send(evt, ep int32, timeout int64) {
 	e := d.eventIndex.ID(evt)
-	s := &attempt{event: e, number: e.sendCount, endpoint: ep, timeout: timeout, startedAt: d.clock.now()}
-	e.sendCount++
-	d.activeSends[evt] = s
-	most := d.eventsPerCall[min(d.partnerOf[ep], len(d.eventsPerCall)-1)]
+	a := &attempt{event: e, number: e.attemptCount, endpoint: ep, timeout: timeout, startedAt: d.clock.now()}
+	e.attemptCount++
+	d.activeAttempts[evt] = a
+	maxAttempts := d.eventsPerCall[min(d.partnerOf[ep], len(d.eventsPerCall)-1)]
 	for _, c := range d.newCalls {
-		if c.endpoint == ep && len(c.attempts) < most && c.bodySize+bulkSize(e) <= maxBodyBytes {
-			s.call, c.attempts, c.bodySize = c, append(c.attempts, s), c.bodySize+bulkSize(e)
+		if c.endpoint == ep && len(c.attempts) < maxAttempts && c.bodySize+bulkSize(e) <= maxBodyBytes {
+			a.call, c.attempts, c.bodySize = c, append(c.attempts, a), c.bodySize+bulkSize(e)
 			return
 		}
 	}
-	s.call = &call{pool: d.endpoints, endpoint: ep, attempts: []*attempt{s}, bodySize: bulkSize(e)}
-	d.newCalls = append(d.newCalls, s.call)
+	a.call = &call{pool: d.endpoints, endpoint: ep, attempts: []*attempt{a}, bodySize: bulkSize(e)}
+	d.newCalls = append(d.newCalls, a.call)
 }
 
-func (d *decisionLoop) Decline(evt int32, comeBack int64) {
-	d.endEvent(evt, eventUpdate{kind: updateDecline, retryAfter: comeBack})
+func (d *decisionLoop) Decline(evt int32, retryAfter int64) {
+	d.endEvent(evt, eventUpdate{kind: updateDecline, retryAfter: retryAfter})
 }
 
 func (d *decisionLoop) Discard(evt int32) { d.endEvent(evt, eventUpdate{kind: updateDiscard}) }
 
-func (d *decisionLoop) endEvent(evt int32, s eventUpdate) {
+// endEvent passes the decision that an event ends to its task, unless its end was decided before.
+func (d *decisionLoop) endEvent(evt int32, update eventUpdate) {
 	if !d.ended[evt] {
 		d.ended[evt] = true
-		d.eventIndex.ID(evt).updates <- s
+		d.eventIndex.ID(evt).updates <- update
 	}
 }
 
 func (d *decisionLoop) Cancel(evt int32, number int) {
-	if s := d.activeSends[evt]; s != nil && s.number == number {
-		s.call.abandon(delivery.Cancelled)
+	if a := d.activeAttempts[evt]; a != nil && a.number == number {
+		a.call.abandon(delivery.Cancelled)
 	}
 }
 
 func (d *decisionLoop) CancelUnsent(evt int32, number int) {
-	if s := d.activeSends[evt]; s != nil && s.number == number {
-		s.call.recall(s)
+	if a := d.activeAttempts[evt]; a != nil && a.number == number {
+		a.call.recall(a)
 	}
 }
 
@@ -259,9 +263,10 @@
 func (d *decisionLoop) Forget(ep int32)          { d.forgotten = append(d.forgotten, ep) }
 func (d *decisionLoop) AnnounceHealthy(ep int32) { d.peers.sendGood(d.endpointIndex.ID(ep)) }
 
-// Probe is never asked for: the module sends none, and the protocol has no call for it.
+// Probe only logs: the scheduler never requests a probe, and the protocol has no call for one.
 func (d *decisionLoop) Probe(ep int32) {
-	logs.Part("node").WithField("endpoint", d.endpointIndex.ID(ep)).Warn("a probe was asked for: the protocol has none")
+	logs.Part("node").WithField("endpoint", d.endpointIndex.ID(ep)).
+		Warn("probe requested, but the protocol does not support probes")
 }
 
 func (d *decisionLoop) Log(text string, ep int32) {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,10 +1,13 @@
-// Package choice decides for one delivery node when and where each event is sent, and how it ends.
-// Call New once at start and Round once a round, with a feed that hands in all that came and a writer that
-// takes the decisions. The interface is package port. The retry rule of docs/design.md decides the ordinary
-// path: a told wait holds a whole lane; else an event's delays grow, with jitter, up to its cap of sends and
-// its max age, under the companion pace. A lane shares one limit: a destination, or a route apart.
+// Package scheduler decides for one delivery node when and where each event is sent, and how it ends. It implements
+// delivery.Scheduler: call New once at start and Round once a round, with a feed of all inputs since the last round and
+// an executor for the decisions.
 //
-// Beside the design stand these mechanisms:
+// The retry rule of docs/design.md governs the ordinary path. A wait that a destination asked for holds all sends under
+// the same rate limit. Otherwise the delays of an event grow, with jitter, up to its maximum number of attempts and its
+// max age, and an adaptive pace limits the calls. A limiter stands for one rate limit: that of a destination, or of an
+// endpoint where each has its own.
+//
+// The comments on the other mechanisms name the failure that each of them prevents.
 package scheduler
 
 import (
@@ -19,79 +22,91 @@
 const (
 	second = int64(1e9)
 
-	refusalBase  = 5 * second   // longest base after a refusal: the source's default
-	refusalPart  = 10           // the base is at most this part of max age, so that several tries fit in
-	extraBase    = 1 * second   // first extra after a refusal, doubling: the source's default
-	extraPart    = 50           // the extra is at most this part of max age, for the same reason
-	errorBase    = second / 5   // first delay after other errors, doubling: one quick second look
-	spreadPart   = 0.4          // refused events are spread over at most this part of the time they have left
-	jitterPart   = 0.5          // delays grow by chance by up to half: spreads nodes, still orders the tries
-	paceCutEvery = 1 * second   // a burst of refusals is one sign, not many: one cut a second
-	paceCut      = 0.5          // a refusal halves the pace: the design's figure
-	paceLeast    = 1.0          // calls a second below which a pace never falls: keeps signs coming
-	paceClimb    = 0.1          // share by which a pace climbs each second while all is served
-	paceFair     = 0.6          // least pace, in parts of our even part of a told limit: others are unpaced
-	paceSeldom   = 0.1          // calls a second under which no pace falls: one in the life of most events
-	spentLeft    = 0.15         // a refusal with less than this share of the limit left shows it used up
-	paceBack     = 0.5          // below our even part of a told limit it climbs by so much of that a second
-	paceSpan     = 3 * second   // time without an answer over which it climbs at most: nodes that seldom send
-	paceForget   = 60 * second  // a lane idle for a minute starts unpaced
-	paceBurst    = second / 2   // calls saved up while idle, in time at the pace: under the shortest span
-	fullBack     = second / 4   // least come-back time where there is no room: an answer or two frees some
-	answerBefore = second / 50  // final answers go out this long before max age: a few rounds' time
-	beat         = second / 100 // next look: a fraction of any answer time
-
-	windowMargin = second / 10    // a repeat leaves this long before its mark is forgotten: covers the way there
-	windowTries  = 2              // a send takes at most this part of its window: the rest is for a repeat
-	askFirst     = second / 2     // first delay before the directory is asked again, doubling
-	askMost      = 3 * second / 2 // longest such delay: what it has counts as told 6 s after it can be reached
-	askOut       = 4 * second     // a call that told nothing so long is asked again: sockets give up sooner
-	askHold      = 1 * second     // sends wait so long for the first list, where lists are pushed
-	coldRoom     = 0.95           // part of the budget that is used: the told limit is under what they can do
-	coldMet      = 2.0            // calls an endpoint is sent in an outage, in parts of its limit: repeats too
-	coldChance   = 1.5            // deviations of chance that many nodes leave free in the budget
-	fewCalls     = 4.0            // a node's part of a cold budget under which one sign shows an outage
-	coldLeast    = 0.2            // part of it that is used all the same: untried, an endpoint stays away
-	guessLimit   = 2.0            // calls a second taken where no limit is told: about the least there is
-
-	asideAfter  = 2              // failures in a row that set an endpoint aside: one alone may be chance
-	asideResets = 4              // resets do so: a network breaks connections too, and one that is down refuses
-	shutWait    = 2 * second     // so does a told wait as long: a limit's count begins anew within less
-	shutLeft    = 0.8            // a refusal with this share of the limit left shows a destination that is shut
-	answerKeep  = 0.125          // weight of a new answer time: the usual figure for round trips
-	overdueDevs = 4.0            // an answer is overdue this many deviations past the mean: the usual figure
-	timeoutDevs = 8.0            // and a time-out twice as many
-	leastLate   = second / 2     // no answer is overdue before this: a stall of a moment is no sign
-	leastOut    = 3 * second / 2 // no time-out below this: stalls pass in less, and a repeat costs more
-	unmeasured  = 4 * second     // time-out before any answer is measured
-	patience    = 4              // time-outs are this much longer: late is worth more than twice
-	backlog     = 3              // events waiting for each slot that make silence cost more than a repeat
-	scarcePart  = 8              // slots are scarce with less than this part of them free: one or two
-	waitAhead   = 2 * second     // an event's place in the queue weighs what it loses by waiting so long
-	staleLeast  = second / 10    // calls lost after a shorter idle time are no sign of dead connections
-	staleShare  = 3              // good answers for each call lost that clear idle connections of it
-	levels      = 8              // calls out at once up to which idle times are told apart: one connection each
-	staleSigns  = 3              // signs that make it so: a crash may bring one or two
-	staleKeep   = 30 * second    // idle connections are closed for so long after the last sign
-	crowdNodes  = 8              // fewer nodes do not fill an endpoint with an idle connection each
-	goneKeep    = 30 * second    // an endpoint off the list is known so long: what follows it takes its outage
-	rankEvery   = 1 * second     // the order of endpoints is renewed so often: a few answers come in between
-	rankFill    = 1              // calls out at an endpoint before the next in order is used: no queue there
+	// Retries and pacing.
+
+	refusalBaseDelay      = 5 * second   // longest base delay after a refusal; the default of the retry rule
+	refusalBaseDivisor    = 10           // the base delay is at most max age / 10, to leave time for several attempts
+	refusalBackoff        = 1 * second   // added after the first refusal, then doubling; the default of the retry rule
+	refusalBackoffDivisor = 50           // the addition starts at no more than max age / 50, for the same reason
+	errorBackoff          = second / 5   // delay after the first other error, then doubling: allows one quick retry
+	maxSpreadShare        = 0.4          // refused events are spread over at most this share of their remaining time
+	jitterShare           = 0.5          // delays grow randomly by up to half: spreads the nodes but keeps attempts in order
+	paceCutInterval       = 1 * second   // a burst of refusals is one signal: at most one cut per second
+	paceCutFactor         = 0.5          // a refusal halves the pace, as the design has it
+	minPace               = 1.0          // calls per second below which a pace does not fall, so that feedback continues
+	paceGrowth            = 0.1          // relative growth of the pace per second while calls are accepted
+	minPaceShare          = 0.6          // minimum pace as a share of this node's equal part of a reported limit: others may be unpaced
+	absoluteMinPace       = 0.1          // lower bound of any pace, in calls per second: one call in the life of most events
+	exhaustedShare        = 0.15         // a refusal with less than this share of the limit left means the limit is used up
+	paceRecovery          = 0.5          // share of this node's equal part of a reported limit by which a lower pace grows per second
+	maxGrowthSpan         = 3 * second   // longest time since the last answer that counts as growth, for nodes that send seldom
+	paceIdleReset         = 60 * second  // a limiter idle for this long starts unpaced
+	paceBurstSpan         = second / 2   // credit saved while idle, as time at the pace: below the shortest rate-limit window
+	minFullRetryAfter     = second / 4   // shortest retry-after when there is no capacity: an answer or two frees some
+	finalAnswerMargin     = second / 50  // final answers are given this long before max age: the time of a few rounds
+	wakeInterval          = second / 100 // time until the next round: a fraction of any answer time
+
+	// Deduplication windows.
+
+	dedupMargin            = second / 10 // a repeat is sent at least this long before the dedup window ends, to cover transit
+	attemptsPerDedupWindow = 2           // a send takes at most half of the dedup window, which leaves the rest for a repeat
+
+	// Directory watches.
+
+	minWatchRetry = second / 2     // delay before the directory is asked again after one failure, then doubling
+	maxWatchRetry = 3 * second / 2 // longest such delay: its changes count as known 6 s after it becomes reachable
+	watchTimeout  = 4 * second     // a watch call without any result is repeated after this; sockets give up sooner
+	firstListWait = 1 * second     // sends wait this long for the first list where the directory is automatic
+
+	// Cold endpoints.
+
+	coldBudgetShare     = 0.95 // share of the cold budget that is used; the reported limit is itself below the real capacity
+	outageCallsMultiple = 2.0  // calls to an endpoint in an outage as a multiple of its limit, since repeats add to it
+	coldDeviations      = 1.5  // headroom in the cold budget, in standard deviations of what many nodes send by chance
+	fewColdCalls        = 4.0  // with a smaller cold budget per node, a single failure counts as an outage
+	minColdShare        = 0.2  // share of the cold budget that is used in any case: an endpoint never tried stays ejected
+	defaultLimit        = 2.0  // calls per second assumed where no limit is reported: about the lowest there is
+
+	// Failure detection.
+
+	ejectAfterFailures = 2              // consecutive failures that eject an endpoint: a single one may be chance
+	ejectAfterResets   = 4              // the same for resets: networks cause them too, and a host that is down refuses connections
+	unavailableWait    = 2 * second     // a requested wait this long ejects it too: a rate limit's window restarts sooner
+	unavailableShare   = 0.8            // a refusal with this share of the limit left means the destination is unavailable
+	latencyWeight      = 0.125          // weight of a new answer time in the averages, as is usual for round-trip times
+	overdueDeviations  = 4.0            // an answer is overdue this many deviations past the mean, as is usual
+	timeoutDeviations  = 8.0            // twice that many for a timeout
+	minOverdue         = second / 2     // no answer is overdue sooner: a brief stall is not a failure
+	minTimeout         = 3 * second / 2 // no timeout is shorter: stalls pass in less, and a repeat costs more
+	defaultTimeout     = 4 * second     // timeout before any answer has been measured
+	timeoutMultiple    = 4              // sends get this multiple of the timeout: a late result is worth more than a repeated send
+	backlogPerSlot     = 3              // waiting events per call slot beyond which silence costs more than a repeat
+	scarceSlotsDivisor = 8              // slots are scarce when at most 1/8 of them are free: one or two
+	priorityLookahead  = 2 * second     // the priority of an event is the utility it would lose by waiting this long
+	staleMinIdle       = second / 10    // calls lost after a shorter idle time do not indicate dead connections
+	staleAcksPerLoss   = 3              // answers per lost call that clear idle connections of the suspicion
+	idleLevels         = 8              // calls in flight up to which idle times are tracked separately: one connection each
+	staleMinLosses     = 3              // lost calls that indicate dead connections: a crash may cause one or two
+	staleDuration      = 30 * second    // idle connections are closed for this long after the last sign
+	crowdedMinNodes    = 8              // fewer nodes do not use up an endpoint's connections with one idle connection each
+	removedRetention   = 30 * second    // an endpoint off the list is kept this long, so that its replacement inherits an outage
+	rankInterval       = 1 * second     // interval between rankings of the endpoints: a few answers arrive in between
+	rankFillCalls      = 1              // calls in flight at an endpoint before the next in rank is used: no queue forms there
 )
 
 type event struct {
-	typ, sends, refusals, errors             int
-	dest, call                               int32 // call is -1 while nothing is out
-	key                                      uint64
-	came, deadline, notBefore, sentAt, ranAt int64   // last send; first send that may have run
-	slo                                      int64   // SLO time, stretched by its work where the type says so
-	value, loss                              float64 // utility in time; what it loses by waiting on
-	ranZone                                  int
-	mayRun, live, calledOff, recalled        bool
-	unconfirmed                              []unconfirmed
-}
-
-// unconfirmed is a send that is said not to have run by an answer that may be another call's.
+	typ, sends, refusals, errors                  int
+	dest, call                                    int32 // call is -1 while no send is in flight
+	key                                           uint64
+	arrivedAt, deadline, notBefore, sentAt, ranAt int64   // sentAt: last send; ranAt: first send that may have run
+	slo                                           int64   // SLO time, extended by the event's work where the type says so
+	value, waitCost                               float64 // utility if in time; utility lost by waiting on
+	ranZone                                       int
+	possiblyRan, live, cancelled, unsentCancelled bool
+	unconfirmed                                   []unconfirmed
+}
+
+// unconfirmed is a send that did not run according to an answer that may belong to another call.
 type unconfirmed struct {
 	send   int
 	sentAt int64
@@ -99,282 +114,301 @@
 }
 
 type call struct {
-	endpoint        int32
-	at, round, idle int64 // when it went out; idle: how long nothing was out to the endpoint before
-	events          int   // outcomes still to come
-	judged, silent  bool  // its fate is known; it was overdue
+	endpoint                     int32
+	startedAt, round, idleBefore int64 // idleBefore: how long nothing had been in flight to the endpoint
+	events                       int   // outcomes still to come
+	recorded, countedLost        bool  // its outcome has been recorded; it was counted as lost while overdue
 }
 
+// Scheduler makes the decisions of one delivery node.
 type Scheduler struct {
-	out    delivery.Executor
-	chance pcg
+	exec   delivery.Executor
+	rng    pcg
 	types  []delivery.StreamType
 	kinds  []delivery.DestinationKind
-	room   delivery.Limits
-
-	events                []event
-	waiting, destLane     []int32 // live events with nothing out, in order; a destination's lane, where shared
-	calls                 []call  // those with no outcome to come are free to be used again
-	slots                 int     // calls out
-	now, round            int64
-	wakeAt, rankAt, pause int64 // pause: a key rests so long after a send that may still run
-
-	dir   directory
-	keys  turns
-	notes bool // peers may be told things
-	stale stale
-	lanes lanes
-
-	eps    endpoints
-	byDest [][]int32 // a destination's endpoints, in their ranked order
-}
-
-func New(seed uint64, types []delivery.StreamType, kinds []delivery.DestinationKind, room delivery.Limits, back delivery.Recovery,
-	dir delivery.Directory, fleet delivery.Cluster, orderPause int64) *Scheduler {
-	return &Scheduler{chance: pcg(seed), types: types, kinds: append(kinds, delivery.DestinationKind{MaxEventsPerCall: 1}), room: room,
-		dir: directory{asked: dir.RequiresWatch, pushed: dir.Automatic}, keys: turns{}, pause: orderPause,
-		notes: fleet.PeerMessages, eps: endpoints{back: back}, lanes: lanes{nodes: float64(max(1, fleet.Nodes))}}
-}
-
-func (n *Scheduler) Round(now int64, feed delivery.Feed, out delivery.Executor) {
-	n.now, n.out, n.round = now, out, n.round+1
-	feed.Deliver(n)
-	n.dir.ask(now, out)
-	n.eps.look(now, n.calls, &n.stale)
-	if now >= n.rankAt { // the quickest first; by chance until measured, else all nodes begin with the same
-		n.rankAt = now + rankEvery
-		for d, list := range n.byDest {
-			list = slices.DeleteFunc(list, func(ep int32) bool { return n.forget(ep, d) })
-			slices.SortStableFunc(list, func(a, b int32) int { return cmp.Compare(n.eps.mean[a], n.eps.mean[b]) })
-			n.byDest[d] = list
+	limits delivery.Limits
+
+	events                     []event
+	waiting, destLimiter       []int32 // live events with no send in flight, in order; a destination's shared limiter
+	calls                      []call  // entries with no outcomes to come are reused
+	openCalls                  int
+	now, round                 int64
+	wakeAt, rankAt, orderPause int64 // orderPause: how long a key is held after a send that may still run
+
+	dir          directory
+	keyQueues    keyQueues
+	peerMessages bool // the executor can send messages to peers
+	stale        staleDetector
+	limiters     limiters
+
+	endpoints endpoints
+	byDest    [][]int32 // endpoints of each destination by rank
+}
+
+// New returns a scheduler. orderPause is how long the next event of an ordered key is held after a send that may still
+// be running.
+func New(seed uint64, types []delivery.StreamType, kinds []delivery.DestinationKind, limits delivery.Limits,
+	recovery delivery.Recovery, dir delivery.Directory, cluster delivery.Cluster, orderPause int64) *Scheduler {
+	return &Scheduler{rng: pcg(seed), types: types, kinds: append(kinds, delivery.DestinationKind{MaxEventsPerCall: 1}),
+		limits: limits, dir: directory{requiresWatch: dir.RequiresWatch, automatic: dir.Automatic}, keyQueues: keyQueues{},
+		orderPause: orderPause, peerMessages: cluster.PeerMessages, endpoints: endpoints{recovery: recovery},
+		limiters: limiters{nodes: float64(max(1, cluster.Nodes))}}
+}
+
+func (s *Scheduler) Round(now int64, feed delivery.Feed, exec delivery.Executor) {
+	s.now, s.exec, s.round = now, exec, s.round+1
+	feed.Deliver(s)
+	s.dir.watchIfDue(now, exec)
+	s.endpoints.findOverdue(now, s.calls, &s.stale)
+	if now >= s.rankAt { // by latency; the order is random until measured, so that nodes do not all start with the same one
+		s.rankAt = now + rankInterval
+		for d, list := range s.byDest {
+			list = slices.DeleteFunc(list, func(ep int32) bool { return s.forgetIfRemoved(ep, d) })
+			slices.SortStableFunc(list, func(a, b int32) int {
+				return cmp.Compare(s.endpoints.latencyMean[a], s.endpoints.latencyMean[b])
+			})
+			s.byDest[d] = list
 		}
 	}
-	n.sweep()
-	n.dispatch()
-	if n.wakeAt <= now {
-		n.wakeAt = now + beat
-		out.Wake(beat)
+	s.expire()
+	s.dispatch()
+	if s.wakeAt <= now {
+		s.wakeAt = now + wakeInterval
+		exec.Wake(wakeInterval)
 	}
 }
 
-func (n *Scheduler) Event(evt int32, typ, customer int, key uint64, left, work int64, dest int32) { // port.Intake
-	n.destination(dest)
-	t, age := &n.types[typ], n.types[typ].MaxAge-left // handed in before, it is no longer new
-	n.events = put(n.events, evt, event{typ: typ, dest: dest, call: -1, key: key, came: n.now - age,
-		notBefore: n.now, deadline: n.now + left - answerBefore, live: true, value: t.Utility,
+func (s *Scheduler) Event(evt int32, typ, customer int, key uint64, left, work int64, dest int32) {
+	s.ensureDestination(dest)
+	t, age := &s.types[typ], s.types[typ].MaxAge-left // an event accepted before a restart is not new
+	s.events = setAt(s.events, evt, event{typ: typ, dest: dest, call: -1, key: key, arrivedAt: s.now - age,
+		notBefore: s.now, deadline: s.now + left - finalAnswerMargin, live: true, value: t.Utility,
 		slo: min(t.MaxAge, t.SLO+int64(t.SLOPerWork*float64(work)))})
 	if t.Ordered && key != 0 {
-		n.keys.join(key, evt)
+		s.keyQueues.add(key, evt)
 	}
-	n.waiting = append(n.waiting, evt)
+	s.waiting = append(s.waiting, evt)
 }
 
-// Resumed: danger: sends before a restart count, and one that was out then may have run, and may run still.
-func (n *Scheduler) Resumed(evt int32, sends int, mayRun bool, ago int64, zone int) {
-	e := &n.events[evt]
-	e.sends, e.mayRun, e.ranAt, e.ranZone = sends, mayRun, n.now-ago, zone
-	if k := n.keys[e.key]; k != nil && mayRun && n.types[e.typ].Ordered {
-		k.freeAt = n.now + n.pause
+// Resumed counts sends before a restart towards the maximum. One that was in flight then may have run, and may still be
+// running.
+func (s *Scheduler) Resumed(evt int32, sends int, mayRun bool, ago int64, zone int) {
+	e := &s.events[evt]
+	e.sends, e.possiblyRan, e.ranAt, e.ranZone = sends, mayRun, s.now-ago, zone
+	if k := s.keyQueues[e.key]; k != nil && mayRun && s.types[e.typ].Ordered {
+		k.freeAt = s.now + s.orderPause
 	}
 }
 
-func (n *Scheduler) RetryAfter() int64 {
-	return min(fullBack+int64(n.chance.float()*float64(fullBack)), n.room.MaxRetryAfter)
+func (s *Scheduler) RetryAfter() int64 {
+	return min(minFullRetryAfter+int64(s.rng.float()*float64(minFullRetryAfter)), s.limits.MaxRetryAfter)
 }
 
-func (n *Scheduler) ProcessingStarted(evt int32, send int) { n.events[evt].deadline = math.MaxInt64 } // no time runs any more
+// ProcessingStarted removes the deadline of an event.
+func (s *Scheduler) ProcessingStarted(evt int32, send int) { s.events[evt].deadline = math.MaxInt64 }
 
-// Unconfirmed: an answer that may be another call's proves nothing of its send.
-func (n *Scheduler) Unconfirmed(evt int32, send int) {
-	e := &n.events[evt]
+// Unconfirmed notes that an answer proves nothing about its send, since it may belong to another call.
+func (s *Scheduler) Unconfirmed(evt int32, send int) {
+	e := &s.events[evt]
 	if e.call >= 0 {
-		e.unconfirmed = append(e.unconfirmed, unconfirmed{send, e.sentAt, n.eps.zone[n.calls[e.call].endpoint]})
+		e.unconfirmed = append(e.unconfirmed, unconfirmed{send, e.sentAt, s.endpoints.zone[s.calls[e.call].endpoint]})
 	}
 }
 
-func (n *Scheduler) Confirmed(evt int32, send int) {
-	e := &n.events[evt]
+func (s *Scheduler) Confirmed(evt int32, send int) {
+	e := &s.events[evt]
 	e.unconfirmed = slices.DeleteFunc(e.unconfirmed, func(u unconfirmed) bool { return u.send == send })
 }
 
-func (n *Scheduler) Outcome(evt int32, send int, ep int32, how delivery.Outcome, wait, took int64, ended bool,
-	left, told float64) {
-	e := &n.events[evt]
+func (s *Scheduler) Outcome(evt int32, send int, ep int32, outcome delivery.Outcome, wait, took int64, ended bool,
+	left, reportedLimit float64) {
+	e := &s.events[evt]
 	if e.call >= 0 {
-		c := &n.calls[e.call]
-		// The events of a call may come to be sent in different ones, of which only one tells a wait.
-		n.lanes.wait(n.eps.lane[ep], n.now+wait)
-		if !c.judged {
-			c.judged = true
-			n.lanes.judge(n.eps.lane[ep], n.now, how, wait, left, told)
-			was := n.eps.aside[ep]
-			soon := n.eps.mean[ep] * min(0.5, float64(c.idle)/1e9) // after a short idle time it must be the quicker
-			if how == delivery.Acked || (how == delivery.Reset && float64(took) < soon) {
-				n.stale.learn(how == delivery.Reset, c.idle, n.now)
+		c := &s.calls[e.call]
+		// The executor may send the events of one call in several calls, only one of which is told to wait.
+		s.limiters.holdUntil(s.endpoints.limiter[ep], s.now+wait)
+		if !c.recorded {
+			c.recorded = true
+			s.limiters.recordOutcome(s.endpoints.limiter[ep], s.now, outcome, wait, left, reportedLimit)
+			wasEjected := s.endpoints.ejected[ep]
+			// A reset this soon suggests a dead connection; after a short idle time it must come sooner to count.
+			soon := s.endpoints.latencyMean[ep] * min(0.5, float64(c.idleBefore)/1e9)
+			if outcome == delivery.Acked || (outcome == delivery.Reset && float64(took) < soon) {
+				s.stale.record(outcome == delivery.Reset, c.idleBefore, s.now)
 			}
-			if how == delivery.Acked && (n.eps.fails[ep] == 1 || (!was && n.eps.fails[ep] > 0)) &&
-				n.eps.last[ep] == delivery.ConnectFailed && n.lanes.nodes >= crowdNodes { // no outage
-				n.stale.crowdedUntil = n.now + staleKeep
+			if outcome == delivery.Acked && (s.endpoints.failures[ep] == 1 || (!wasEjected && s.endpoints.failures[ep] > 0)) &&
+				s.endpoints.lastFailure[ep] == delivery.ConnectFailed && s.limiters.nodes >= crowdedMinNodes { // no outage
+				s.stale.crowdedUntil = s.now + staleDuration
 			}
-			// Danger: each of many nodes meets an outage but once, by a refused connection too, and pushes on the
-			// destination when it is back; all come when the wait ends that a shut one told. And one call may
-			// have sat out a silence alone: when it ends, the backlog follows.
-			mute, luck := (how == delivery.TimedOut && took >= shutWait || how == delivery.Cancelled && took >= leastOut) &&
-				n.eps.ackAt[ep] < c.at, n.chance.float()
-			limit := n.lanes.limit[n.eps.lane[ep]]
-			many := n.eps.coldBudget(limit) < fewCalls*n.lanes.nodes
-			sure := mute || wait >= shutWait || (how == delivery.ConnectFailed &&
-				(took >= leastLate || (many && limit > 0 && n.now >= n.stale.crowdedUntil)))
-			if mute { // time-outs end apart from each other: one try at once brings no crowd
-				luck = 1
+			// Some outcomes are conclusive on their own. With many nodes, each may see only one failure of an outage, such
+			// as a refused connection, and would overload the destination when it returns. When a destination that is
+			// unavailable asks for a wait, all nodes would return at its end. And where a single call waited out a
+			// silence, the backlog would follow when the silence ends.
+			silent, credit := (outcome == delivery.TimedOut && took >= unavailableWait ||
+				outcome == delivery.Cancelled && took >= minTimeout) &&
+				s.endpoints.lastAckAt[ep] < c.startedAt, s.rng.float()
+			limit := s.limiters.limit[s.endpoints.limiter[ep]]
+			smallBudget := s.endpoints.coldBudget(limit) < fewColdCalls*s.limiters.nodes
+			conclusive := silent || wait >= unavailableWait || (outcome == delivery.ConnectFailed &&
+				(took >= minOverdue || (smallBudget && limit > 0 && s.now >= s.stale.crowdedUntil)))
+			if silent { // timeouts expire at different times on the nodes, so an immediate trial causes no surge
+				credit = 1
 			}
-			n.eps.judge(ep, n.now, how, took, told > 0 && left < shutLeft, sure, luck)
-			if !was && n.eps.aside[ep] {
-				n.out.Log("endpoint set aside", ep)
-				for _, sib := range n.byDest[e.dest] { // danger: an outage takes all, and each is tried by many
-					if sure && (many || wait >= shutWait) && n.eps.lane[sib] == n.eps.lane[ep] &&
-						n.eps.ackAt[sib] < n.eps.failedAt[ep] {
-						n.eps.setAside(sib, n.now, n.chance.float())
+			s.endpoints.recordOutcome(ep, s.now, outcome, took, reportedLimit > 0 && left < unavailableShare, conclusive, credit)
+			if !wasEjected && s.endpoints.ejected[ep] {
+				s.exec.Log("endpoint ejected", ep)
+				// An outage affects all endpoints under the limit, and many nodes would try each of them.
+				for _, sibling := range s.byDest[e.dest] {
+					if conclusive && (smallBudget || wait >= unavailableWait) &&
+						s.endpoints.limiter[sibling] == s.endpoints.limiter[ep] &&
+						s.endpoints.lastAckAt[sibling] < s.endpoints.firstFailureAt[ep] {
+						s.endpoints.eject(sibling, s.now, s.rng.float())
 					}
 				}
-			} else if was && !n.eps.aside[ep] {
-				n.out.Log("endpoint back, warming up", ep)
-				if n.notes {
-					n.out.AnnounceHealthy(ep)
+			} else if wasEjected && !s.endpoints.ejected[ep] {
+				s.exec.Log("endpoint restored, warming up", ep)
+				if s.peerMessages {
+					s.exec.AnnounceHealthy(ep)
 				}
 			}
-			for _, sib := range n.byDest[e.dest] { // danger: saved up during a told wait, all spend credit at its end
-				if n.eps.aside[sib] && n.eps.lane[sib] == n.eps.lane[ep] {
-					n.eps.creditAt[sib] = max(n.eps.creditAt[sib], n.lanes.waitUntil[n.eps.lane[ep]])
+			// Credit starts to grow at the end of a requested wait: all nodes would spend what they saved during it at once.
+			for _, sibling := range s.byDest[e.dest] {
+				if s.endpoints.ejected[sibling] && s.endpoints.limiter[sibling] == s.endpoints.limiter[ep] {
+					s.endpoints.creditAt[sibling] = max(s.endpoints.creditAt[sibling], s.limiters.waitUntil[s.endpoints.limiter[ep]])
 				}
 			}
 		}
 		if c.events--; c.events == 0 {
-			lane := n.eps.lane[ep]
-			n.slots, n.eps.out[ep], n.lanes.out[lane] = n.slots-1, n.eps.out[ep]-1, n.lanes.out[lane]-1
-			n.eps.used[ep][min(n.eps.out[ep], levels-1)] = n.now
-			n.closeIdle(ep)
+			limiter := s.endpoints.limiter[ep]
+			s.openCalls, s.endpoints.inFlight[ep], s.limiters.inFlight[limiter] =
+				s.openCalls-1, s.endpoints.inFlight[ep]-1, s.limiters.inFlight[limiter]-1
+			s.endpoints.lastActiveAt[ep][min(s.endpoints.inFlight[ep], idleLevels-1)] = s.now
+			s.closeIdleIfCrowded(ep)
 		}
 		e.call = -1
 	}
-	if how.MayHaveRun() && how != delivery.Acked {
-		if !e.mayRun {
-			e.mayRun, e.ranAt, e.ranZone = true, e.sentAt, n.eps.zone[ep]
+	if outcome.MayHaveRun() && outcome != delivery.Acked {
+		if !e.possiblyRan {
+			e.possiblyRan, e.ranAt, e.ranZone = true, e.sentAt, s.endpoints.zone[ep]
 		}
-		if k := n.keys[e.key]; k != nil && how != delivery.Errored && n.types[e.typ].Ordered {
-			k.freeAt = n.now + n.pause // the send may still run: the key's next event must not overtake it
+		if k := s.keyQueues[e.key]; k != nil && outcome != delivery.Errored && s.types[e.typ].Ordered {
+			k.freeAt = s.now + s.orderPause // the send may still run, and the key's next event must not overtake it
 		}
 	}
 	if ended || !e.live {
-		n.close(evt)
+		s.closeEvent(evt)
 	} else {
-		n.retry(evt, ep, how, wait)
+		s.retry(evt, ep, outcome, wait)
 	}
 }
 
-func (n *Scheduler) ListStarted(whole bool) {
+func (s *Scheduler) ListStarted(whole bool) {
 	if whole {
-		clear(n.eps.ready)
+		clear(s.endpoints.ready)
 	}
 }
 
-func (n *Scheduler) EndpointListed(ep, dest int32, kind, zone int, state delivery.EndpointState, rate float64) {
-	n.destination(dest)
-	if int(ep) >= len(n.eps.lane) || n.eps.lane[ep] < 0 {
-		n.eps.blank(ep)
-		n.eps.zone[ep], n.eps.credit[ep], n.eps.creditAt[ep] = zone, n.chance.float(), n.now
-		n.byDest[dest] = slices.Insert(n.byDest[dest], int(n.chance.float()*float64(len(n.byDest[dest])+1)), ep)
-		partner := n.kinds[min(kind, len(n.kinds)-1)]
-		if n.eps.lane[ep] = n.destLane[dest]; partner.LimitPerEndpoint || n.destLane[dest] < 0 {
-			n.eps.lane[ep] = n.lanes.add(partner.MaxEventsPerCall, n.chance.float())
-			n.destLane[dest] = n.eps.lane[ep]
+func (s *Scheduler) EndpointListed(ep, dest int32, kind, zone int, state delivery.EndpointState, rate float64) {
+	s.ensureDestination(dest)
+	if int(ep) >= len(s.endpoints.limiter) || s.endpoints.limiter[ep] < 0 {
+		s.endpoints.reset(ep)
+		s.endpoints.zone[ep], s.endpoints.credit[ep], s.endpoints.creditAt[ep] = zone, s.rng.float(), s.now
+		s.byDest[dest] = slices.Insert(s.byDest[dest], int(s.rng.float()*float64(len(s.byDest[dest])+1)), ep)
+		destKind := s.kinds[min(kind, len(s.kinds)-1)]
+		if s.endpoints.limiter[ep] = s.destLimiter[dest]; destKind.LimitPerEndpoint || s.destLimiter[dest] < 0 {
+			s.endpoints.limiter[ep] = s.limiters.add(destKind.MaxEventsPerCall, s.rng.float())
+			s.destLimiter[dest] = s.endpoints.limiter[ep]
 		}
-		n.lanes.ends[n.eps.lane[ep]]++
-		n.lanes.limit[n.eps.lane[ep]] = cmp.Or(n.lanes.limit[n.eps.lane[ep]], rate)
-		// Danger: a new endpoint of a destination in an outage gets the whole backlog at once. It comes cold.
-		for _, sib := range n.byDest[dest] {
-			n.eps.aside[ep] = n.eps.aside[ep] || n.eps.aside[sib]
-			n.eps.warmAt[ep] = max(n.eps.warmAt[ep], n.eps.warmAt[sib])
+		s.limiters.endpointCount[s.endpoints.limiter[ep]]++
+		s.limiters.limit[s.endpoints.limiter[ep]] = cmp.Or(s.limiters.limit[s.endpoints.limiter[ep]], rate)
+		// A new endpoint of a destination in an outage starts as its siblings are, ejected or warming up; otherwise it
+		// would get the whole backlog at once.
+		for _, sibling := range s.byDest[dest] {
+			s.endpoints.ejected[ep] = s.endpoints.ejected[ep] || s.endpoints.ejected[sibling]
+			s.endpoints.restoredAt[ep] = max(s.endpoints.restoredAt[ep], s.endpoints.restoredAt[sibling])
 		}
 	}
-	n.eps.ready[ep] = state == delivery.Ready
+	s.endpoints.ready[ep] = state == delivery.Ready
 }
 
-func (n *Scheduler) ListEnded() {
-	n.dir.watched, n.dir.delay = n.dir.at > 0, 0
-	n.dir.heard = n.dir.watched
+func (s *Scheduler) ListEnded() {
+	s.dir.watched, s.dir.retryDelay = s.dir.nextWatchAt > 0, 0
+	s.dir.firstCallEnded = s.dir.watched
 }
 
-func (n *Scheduler) Withdrawn(evt int32)                                             { n.close(evt) }
-func (n *Scheduler) ListFailed()                                                     { n.dir.failed(n.now, &n.chance) }
-func (n *Scheduler) Probed(ep int32, how delivery.Outcome, took int64, l, r float64) {}
-func (n *Scheduler) Woken()                                                          { n.wakeAt = 0 }
+func (s *Scheduler) Withdrawn(evt int32)                                                 { s.closeEvent(evt) }
+func (s *Scheduler) ListFailed()                                                         { s.dir.failed(s.now, &s.rng) }
+func (s *Scheduler) Probed(ep int32, outcome delivery.Outcome, took int64, l, r float64) {}
+func (s *Scheduler) Woken()                                                              { s.wakeAt = 0 }
 
-func (n *Scheduler) PeerReportedHealthy(peer int, ep int32) {
-	if n.eps.suspect(ep, n.now) { // it comes back, cold
-		n.eps.takeBack(ep, n.now, n.chance.float())
+func (s *Scheduler) PeerReportedHealthy(peer int, ep int32) {
+	if s.endpoints.suspect(ep, s.now) { // it returns as a cold endpoint
+		s.endpoints.restore(ep, s.now, s.rng.float())
 	}
 }
 
-func (n *Scheduler) destination(dest int32) {
-	if int(dest) >= len(n.byDest) {
-		n.byDest, n.destLane = put(n.byDest, dest, nil), put(n.destLane, dest, -1)
+func (s *Scheduler) ensureDestination(dest int32) {
+	if int(dest) >= len(s.byDest) {
+		s.byDest, s.destLimiter = setAt(s.byDest, dest, nil), setAt(s.destLimiter, dest, -1)
 	}
 }
 
-// retry plans an event's next send after a failed one, or ends it.
-func (n *Scheduler) retry(evt, ep int32, how delivery.Outcome, wait int64) {
-	e, t := &n.events[evt], &n.types[n.events[evt].typ]
+// retry schedules the next send of an event after a failed one, or ends the event.
+func (s *Scheduler) retry(evt, ep int32, outcome delivery.Outcome, wait int64) {
+	e, t := &s.events[evt], &s.types[s.events[evt].typ]
 	delay := wait
 	switch {
-	case how == delivery.Refused && wait == 0:
-		delay = min(refusalBase, t.MaxAge/refusalPart) + min(extraBase, t.MaxAge/extraPart)<<min(e.refusals, 20)
+	case outcome == delivery.Refused && wait == 0:
+		delay = min(refusalBaseDelay, t.MaxAge/refusalBaseDivisor) +
+			min(refusalBackoff, t.MaxAge/refusalBackoffDivisor)<<min(e.refusals, 20)
 		e.refusals++
-	case how != delivery.Refused:
-		delay = errorBase << min(e.errors, 20)
+	case outcome != delivery.Refused:
+		delay = errorBackoff << min(e.errors, 20)
 		e.errors++
 	}
 	if wait == 0 {
-		delay += int64(n.chance.float() * jitterPart * float64(delay))
+		delay += int64(s.rng.float() * jitterShare * float64(delay))
 	}
-	// Danger: a clump refused at many nodes comes back at once. It is spread until our part brings a call.
-	if l := n.lanes.limit[n.eps.lane[ep]]; how == delivery.Refused && l > 0 {
-		left := spreadPart * float64(max(0, n.lastSend(e)-n.now-delay))
-		delay += int64(n.chance.float() * min(n.lanes.nodes/l*float64(second), left))
+	// Events refused at many nodes together would all be retried at once. Spread them over the time in which this node's
+	// part of the limit allows one call.
+	if limit := s.limiters.limit[s.endpoints.limiter[ep]]; outcome == delivery.Refused && limit > 0 {
+		maxSpread := maxSpreadShare * float64(max(0, s.lastSendTime(e)-s.now-delay))
+		delay += int64(s.rng.float() * min(s.limiters.nodes/limit*float64(second), maxSpread))
 	}
-	e.notBefore = n.now + delay
-	if e.notBefore >= n.lastSend(e) {
-		n.giveUp(evt, delay)
+	e.notBefore = s.now + delay
+	if e.notBefore >= s.lastSendTime(e) {
+		s.finish(evt, delay)
 		return
 	}
-	n.waiting = append(n.waiting, evt)
+	s.waiting = append(s.waiting, evt)
 }
 
-// lastSend: danger: past it a send comes too late or takes effect twice, its mark being forgotten or missing.
-func (n *Scheduler) lastSend(e *event) int64 {
-	switch t := &n.types[e.typ]; {
-	case e.sends >= n.room.MaxAttempts || (e.mayHaveRun() && t.Safety == delivery.NonIdempotent):
-		return min(n.now, e.deadline)
+// lastSendTime returns the time from which an event must not be sent any more: it would arrive too late, or could take
+// effect twice because the destination no longer recognizes the duplicate, or never does.
+func (s *Scheduler) lastSendTime(e *event) int64 {
+	switch t := &s.types[e.typ]; {
+	case e.sends >= s.limits.MaxAttempts || (e.mayHaveRun() && t.Safety == delivery.NonIdempotent):
+		return min(s.now, e.deadline)
 	}
-	return min(e.deadline, n.windowEnd(e))
+	return min(e.deadline, s.dedupWindowEnd(e))
 }
 
-// windowEnd is the end of the time in which a repeat is known by its mark.
-func (n *Scheduler) windowEnd(e *event) int64 {
-	if t := &n.types[e.typ]; e.mayHaveRun() && t.Safety == delivery.Deduplicated {
-		at, _ := e.ran()
-		return at + t.DedupWindow - windowMargin
+// dedupWindowEnd returns the time until which a repeat of the event is safely recognized as a duplicate.
+func (s *Scheduler) dedupWindowEnd(e *event) int64 {
+	if t := &s.types[e.typ]; e.mayHaveRun() && t.Safety == delivery.Deduplicated {
+		at, _ := e.firstPossibleRun()
+		return at + t.DedupWindow - dedupMargin
 	}
 	return math.MaxInt64
 }
 
-// mayHaveRun tells whether a send may have taken effect.
-func (e *event) mayHaveRun() bool { return e.mayRun || len(e.unconfirmed) > 0 }
+// mayHaveRun reports whether a send may have taken effect.
+func (e *event) mayHaveRun() bool { return e.possiblyRan || len(e.unconfirmed) > 0 }
 
-// ran is when, and to which zone, the first send went out that may have run.
-func (e *event) ran() (at int64, zone int) {
+// firstPossibleRun returns when, and to which zone, the first send left that may have run.
+func (e *event) firstPossibleRun() (at int64, zone int) {
 	at, zone = e.ranAt, e.ranZone
-	if !e.mayRun {
+	if !e.possiblyRan {
 		at = math.MaxInt64
 	}
 	for _, u := range e.unconfirmed {
@@ -385,109 +419,119 @@
 	return at, zone
 }
 
-// giveUp ends an event at once: declined, with the time to come back, where nothing can have run.
-func (n *Scheduler) giveUp(evt int32, comeBack int64) {
-	if e := &n.events[evt]; e.mayHaveRun() || e.call >= 0 {
-		if e.call >= 0 { // danger: what still connects must not go out after the end was told
-			n.out.CancelUnsent(evt, e.sends-1)
+// finish ends an event now. It is declined, with a retry-after time, if no send can have taken effect, and otherwise
+// discarded.
+func (s *Scheduler) finish(evt int32, retryAfter int64) {
+	if e := &s.events[evt]; e.mayHaveRun() || e.call >= 0 {
+		if e.call >= 0 { // a send that is still connecting must not leave after the client has its final answer
+			s.exec.CancelUnsent(evt, e.sends-1)
 		}
-		n.out.Discard(evt)
+		s.exec.Discard(evt)
 	} else {
-		n.out.Decline(evt, min(comeBack, n.room.MaxRetryAfter))
+		s.exec.Decline(evt, min(retryAfter, s.limits.MaxRetryAfter))
 	}
-	n.close(evt)
+	s.closeEvent(evt)
 }
 
-func (n *Scheduler) close(evt int32) { // a send still out keeps its key's turn until its outcome
-	n.events[evt].live = false
-	if e := &n.events[evt]; e.call < 0 {
-		n.keys.leave(e.key, evt, n.now)
+// closeEvent marks an event as ended. A send still in flight keeps its place in the key's queue until its outcome.
+func (s *Scheduler) closeEvent(evt int32) {
+	s.events[evt].live = false
+	if e := &s.events[evt]; e.call < 0 {
+		s.keyQueues.remove(e.key, evt, s.now)
 	}
 }
 
-// sweep answers events whose time is up. Danger: silent calls hold all slots; those without hope end.
-func (n *Scheduler) sweep() {
-	scarce := scarcePart*(n.room.MaxConcurrentCalls-n.slots) <= n.room.MaxConcurrentCalls && len(n.waiting) > backlog*n.room.MaxConcurrentCalls
-	for i := range n.events {
-		e := &n.events[i]
-		if e.live && (n.now >= e.deadline || (e.call < 0 && n.now >= n.lastSend(e))) {
-			n.giveUp(int32(i), 0)
+// expire ends events whose time is up, and cancels sends that are unlikely to be answered: silent calls would otherwise
+// hold all slots.
+func (s *Scheduler) expire() {
+	scarce := scarceSlotsDivisor*(s.limits.MaxConcurrentCalls-s.openCalls) <= s.limits.MaxConcurrentCalls &&
+		len(s.waiting) > backlogPerSlot*s.limits.MaxConcurrentCalls
+	for i := range s.events {
+		e := &s.events[i]
+		if e.live && (s.now >= e.deadline || (e.call < 0 && s.now >= s.lastSendTime(e))) {
+			s.finish(int32(i), 0)
 		}
 		if !e.live || e.call < 0 {
 			continue
 		}
-		c := &n.calls[e.call]
-		// Danger: a send waits for its connection; a wait, the list or its window may forbid it when that stands.
-		if !e.recalled && (n.now < n.lanes.waitUntil[n.eps.lane[c.endpoint]] || !n.eps.ready[c.endpoint] ||
-			n.now >= n.windowEnd(e)) {
-			n.out.CancelUnsent(int32(i), e.sends-1)
-			e.recalled = true
+		c := &s.calls[e.call]
+		// A send may wait for its connection. By the time that is up, a requested wait, the list or the dedup window may
+		// forbid the send.
+		if !e.unsentCancelled && (s.now < s.limiters.waitUntil[s.endpoints.limiter[c.endpoint]] ||
+			!s.endpoints.ready[c.endpoint] || s.now >= s.dedupWindowEnd(e)) {
+			s.exec.CancelUnsent(int32(i), e.sends-1)
+			e.unsentCancelled = true
 		}
-		if e.calledOff || !n.room.CanCancel {
+		if e.cancelled || !s.limits.CanCancel {
 			continue
 		}
-		late := n.now-c.at >= n.eps.timeout(c.endpoint)
-		dead := n.stale.dead(c.idle, n.now) && n.types[e.typ].Safety != delivery.NonIdempotent
-		if (late && (dead || scarce)) || (!n.eps.ready[c.endpoint] && n.eps.suspect(c.endpoint, n.now)) {
-			n.out.Cancel(int32(i), e.sends-1)
-			e.calledOff = true
+		late := s.now-c.startedAt >= s.endpoints.timeout(c.endpoint)
+		dead := s.stale.isDead(c.idleBefore, s.now) && s.types[e.typ].Safety != delivery.NonIdempotent
+		if (late && (dead || scarce)) || (!s.endpoints.ready[c.endpoint] && s.endpoints.suspect(c.endpoint, s.now)) {
+			s.exec.Cancel(int32(i), e.sends-1)
+			e.cancelled = true
 		}
 	}
 }
 
-// closeIdle: danger: where endpoints take few connections, those many nodes keep idle shut out the others.
-func (n *Scheduler) closeIdle(ep int32) {
-	if n.now < n.stale.crowdedUntil && n.eps.out[ep] == 0 && n.eps.used[ep][0] > 0 {
-		n.out.CloseIdle(ep)
-		n.eps.used[ep] = [levels]int64{}
+// closeIdleIfCrowded closes the idle connections to an endpoint that accepts few: those kept idle by many nodes lock
+// out the others.
+func (s *Scheduler) closeIdleIfCrowded(ep int32) {
+	if s.now < s.stale.crowdedUntil && s.endpoints.inFlight[ep] == 0 && s.endpoints.lastActiveAt[ep][0] > 0 {
+		s.exec.CloseIdle(ep)
+		s.endpoints.lastActiveAt[ep] = [idleLevels]int64{}
 	}
 }
 
-// forget frees the index of an endpoint off the list. Danger: where all are new, what is kept of them grows.
-func (n *Scheduler) forget(ep int32, dest int) bool {
-	if n.closeIdle(ep); n.eps.ready[ep] || n.eps.out[ep] > 0 {
-		n.eps.leftAt[ep] = n.now
+// forgetIfRemoved frees the index of an endpoint that left the list long enough ago, and reports whether it did. The
+// state would otherwise grow without bound where endpoints are replaced all the time.
+func (s *Scheduler) forgetIfRemoved(ep int32, dest int) bool {
+	if s.closeIdleIfCrowded(ep); s.endpoints.ready[ep] || s.endpoints.inFlight[ep] > 0 {
+		s.endpoints.lastListedAt[ep] = s.now
 	}
-	lane := n.eps.lane[ep]
-	old := n.now >= max(n.eps.leftAt[ep]+goneKeep, n.lanes.waitUntil[lane])
-	if old {
-		if n.lanes.ends[lane]--; n.lanes.ends[lane] == 0 && n.destLane[dest] == lane {
-			n.destLane[dest] = -1
+	limiter := s.endpoints.limiter[ep]
+	expired := s.now >= max(s.endpoints.lastListedAt[ep]+removedRetention, s.limiters.waitUntil[limiter])
+	if expired {
+		if s.limiters.endpointCount[limiter]--; s.limiters.endpointCount[limiter] == 0 && s.destLimiter[dest] == limiter {
+			s.destLimiter[dest] = -1
 		}
-		n.eps.lane[ep] = -1
-		n.out.Forget(ep)
+		s.endpoints.limiter[ep] = -1
+		s.exec.Forget(ep)
 	}
-	return old
+	return expired
 }
 
-func (n *Scheduler) dispatch() {
-	if n.dir.holds(n.now) {
+// dispatch sends the waiting events that are due, those that lose most utility by waiting first. In the order of their
+// arrival, events that lose it fast would wait behind a backlog of those that lose little.
+func (s *Scheduler) dispatch() {
+	if s.dir.holdsSends(s.now) {
 		return
 	}
-	for _, evt := range n.waiting {
-		e, t := &n.events[evt], &n.types[n.events[evt].typ]
-		e.loss = e.value * (worth(t, e.slo, n.now-e.came) - worth(t, e.slo, n.now-e.came+waitAhead))
+	for _, evt := range s.waiting {
+		e, t := &s.events[evt], &s.types[s.events[evt].typ]
+		e.waitCost = e.value * (utilityShare(t, e.slo, s.now-e.arrivedAt) -
+			utilityShare(t, e.slo, s.now-e.arrivedAt+priorityLookahead))
 	}
-	// Danger: in the order of coming, those that lose fast wait behind a backlog of those that lose little.
-	slices.SortStableFunc(n.waiting, func(a, b int32) int {
-		x, y := &n.events[a], &n.events[b]
-		return cmp.Or(cmp.Compare(y.loss, x.loss), cmp.Compare(x.came, y.came))
+	slices.SortStableFunc(s.waiting, func(a, b int32) int {
+		x, y := &s.events[a], &s.events[b]
+		return cmp.Or(cmp.Compare(y.waitCost, x.waitCost), cmp.Compare(x.arrivedAt, y.arrivedAt))
 	})
-	for _, evt := range n.waiting {
-		e := &n.events[evt]
-		if ordered := n.types[e.typ].Ordered; e.live && n.now >= e.notBefore &&
-			(!ordered || n.keys.may(e.key, evt, e.sends > 0, n.now)) {
-			if ep := n.endpoint(e); ep >= 0 {
-				n.send(evt, ep)
+	for _, evt := range s.waiting {
+		e := &s.events[evt]
+		if ordered := s.types[e.typ].Ordered; e.live && s.now >= e.notBefore &&
+			(!ordered || s.keyQueues.mayStart(e.key, evt, e.sends > 0, s.now)) {
+			if ep := s.pickEndpoint(e); ep >= 0 {
+				s.send(evt, ep)
 			}
 		}
 	}
-	n.waiting = slices.DeleteFunc(n.waiting, func(evt int32) bool {
-		return !n.events[evt].live || n.events[evt].call >= 0
+	s.waiting = slices.DeleteFunc(s.waiting, func(evt int32) bool {
+		return !s.events[evt].live || s.events[evt].call >= 0
 	})
 }
 
-func worth(t *delivery.StreamType, slo, age int64) float64 { // the share of its utility left at an age
+// utilityShare returns the share of an event's utility that is left at an age.
+func utilityShare(t *delivery.StreamType, slo, age int64) float64 {
 	late := float64(max(0, age-slo))
 	switch {
 	case age >= t.MaxAge:
@@ -498,123 +542,135 @@
 	return 1 - (1-t.LateUtility)*late/float64(max(1, t.MaxAge-slo))
 }
 
-// endpoint picks one for an event, -1 for none: the first with room, else the least used; set aside singly.
-func (n *Scheduler) endpoint(e *event) int32 {
-	best, trial, t := int32(-1), int32(-1), &n.types[e.typ]
-	_, ranZone := e.ran()
-	for _, ep := range n.byDest[e.dest] {
-		lane := n.eps.lane[ep]
+// pickEndpoint returns the endpoint for an event, or -1 for none: the first in rank with room, else the least used. A
+// suspect endpoint gets one trial call at a time.
+func (s *Scheduler) pickEndpoint(e *event) int32 {
+	best, trial, t := int32(-1), int32(-1), &s.types[e.typ]
+	_, ranZone := e.firstPossibleRun()
+	for _, ep := range s.byDest[e.dest] {
+		limiter := s.endpoints.limiter[ep]
 		switch {
-		case !n.eps.ready[ep] || n.now < n.lanes.waitUntil[lane]:
-		case e.mayHaveRun() && t.DedupPerZone && n.eps.zone[ep] != ranZone: // it does not know the mark
-		case n.joinable(ep, t) >= 0:
+		case !s.endpoints.ready[ep] || s.now < s.limiters.waitUntil[limiter]:
+		case e.mayHaveRun() && t.DedupPerZone && s.endpoints.zone[ep] != ranZone: // would not recognize the duplicate
+		case s.joinableCall(ep, t) >= 0:
 			return ep
-		case !n.eps.may(ep, n.now, cmp.Or(n.lanes.limit[lane], guessLimit)/n.lanes.ends[lane], n.lanes.nodes):
-		case n.eps.suspect(ep, n.now):
-			if n.eps.out[ep] == 0 && (trial < 0 || n.eps.failedAt[ep] < n.eps.failedAt[trial]) {
+		case !s.endpoints.admit(ep, s.now, cmp.Or(s.limiters.limit[limiter], defaultLimit)/s.limiters.endpointCount[limiter],
+			s.limiters.nodes):
+		case s.endpoints.suspect(ep, s.now):
+			if s.endpoints.inFlight[ep] == 0 &&
+				(trial < 0 || s.endpoints.firstFailureAt[ep] < s.endpoints.firstFailureAt[trial]) {
 				trial = ep
 			}
-		case best < 0 || (n.eps.out[best] >= rankFill && n.eps.out[ep] < n.eps.out[best]):
+		case best < 0 || (s.endpoints.inFlight[best] >= rankFillCalls && s.endpoints.inFlight[ep] < s.endpoints.inFlight[best]):
 			best = ep
 		}
 	}
-	// Danger: a trial at a silent endpoint costs a non-idempotent event its life, and any other its time-out.
+	// A trial at a silent endpoint loses a non-idempotent event, and costs any other a full timeout.
 	if trial < 0 || (best >= 0 && e.errors > 0) ||
-		(t.Safety == delivery.NonIdempotent && n.eps.last[trial].MayHaveRun() && n.now-e.came <= t.MaxAge/2) {
+		(t.Safety == delivery.NonIdempotent && s.endpoints.lastFailure[trial].MayHaveRun() && s.now-e.arrivedAt <= t.MaxAge/2) {
 		return best
 	}
 	return trial
 }
 
-func (n *Scheduler) send(evt, ep int32) {
-	e, l, lane := &n.events[evt], &n.lanes, n.eps.lane[ep]
-	t := &n.types[e.typ]
-	if e.call = n.joinable(ep, t); e.call < 0 {
-		// Danger: a destination that answers late or never fills the slots. Each leaves half of those it finds.
-		if l.out[lane] >= n.room.MaxConcurrentCalls-n.slots || !l.may(lane, n.now) {
+func (s *Scheduler) send(evt, ep int32) {
+	e, l, limiter := &s.events[evt], &s.limiters, s.endpoints.limiter[ep]
+	t := &s.types[e.typ]
+	if e.call = s.joinableCall(ep, t); e.call < 0 {
+		// A destination that answers late or never would fill all slots. None gets more than half of those that the others
+		// leave free.
+		if l.inFlight[limiter] >= s.limits.MaxConcurrentCalls-s.openCalls || !l.admit(limiter, s.now) {
 			return
 		}
-		e.call = int32(slices.IndexFunc(append(n.calls, call{}), func(c call) bool { return c.events == 0 }))
-		idle := n.now - cmp.Or(n.eps.used[ep][min(n.eps.out[ep], levels-1)], n.now) // 0 for a first call
-		if n.stale.dead(idle, n.now) {
-			n.out.CloseIdle(ep)
+		e.call = int32(slices.IndexFunc(append(s.calls, call{}), func(c call) bool { return c.events == 0 }))
+		// 0 for a first call
+		idle := s.now - cmp.Or(s.endpoints.lastActiveAt[ep][min(s.endpoints.inFlight[ep], idleLevels-1)], s.now)
+		if s.stale.isDead(idle, s.now) {
+			s.exec.CloseIdle(ep)
 			idle = 0
 		}
-		n.calls = put(n.calls, e.call, call{endpoint: ep, at: n.now, round: n.round, idle: idle})
-		n.slots, n.eps.out[ep], l.out[lane] = n.slots+1, n.eps.out[ep]+1, l.out[lane]+1
-		n.eps.credit[ep] = max(0, n.eps.credit[ep]-1)
-		l.last[lane][patient(t)] = e.call
-		l.lastSecond(lane, n.now)
-		l.recent[lane] = append(l.recent[lane], n.now)
-	}
-	n.calls[e.call].events++
-	e.sends, e.sentAt, e.calledOff, e.recalled = e.sends+1, n.now, false, false
-	timeout, short := e.deadline-n.now, n.eps.timeout(ep)
-	switch t.Safety { // for non-idempotent ones it would be the end
+		s.calls = setAt(s.calls, e.call, call{endpoint: ep, startedAt: s.now, round: s.round, idleBefore: idle})
+		s.openCalls, s.endpoints.inFlight[ep], l.inFlight[limiter] =
+			s.openCalls+1, s.endpoints.inFlight[ep]+1, l.inFlight[limiter]+1
+		s.endpoints.credit[ep] = max(0, s.endpoints.credit[ep]-1)
+		l.lastCall[limiter][waitClass(t)] = e.call
+		l.callsInLastSecond(limiter, s.now)
+		l.recentCalls[limiter] = append(l.recentCalls[limiter], s.now)
+	}
+	s.calls[e.call].events++
+	e.sends, e.sentAt, e.cancelled, e.unsentCancelled = e.sends+1, s.now, false, false
+	timeout, short := e.deadline-s.now, s.endpoints.timeout(ep)
+	switch t.Safety { // a non-idempotent event waits until its deadline, since a timeout would end it
 	case delivery.Idempotent:
-		timeout = min(timeout, patience*short)
-	case delivery.Deduplicated: // danger: past its window no repeat is allowed, and the event is lost
-		timeout = min(timeout, patience*short, max(short, t.DedupWindow/windowTries))
+		timeout = min(timeout, timeoutMultiple*short)
+	case delivery.Deduplicated: // past the dedup window no repeat is allowed, and the event would be lost
+		timeout = min(timeout, timeoutMultiple*short, max(short, t.DedupWindow/attemptsPerDedupWindow))
 	}
-	n.out.Send(evt, ep, timeout)
+	s.exec.Send(evt, ep, timeout)
 }
 
-// joinable is the call opened in this round to an endpoint, if it has room for one more event, -1 for none.
-// Danger: a call ends as a whole, so events that must wait for their answer share none with those that are
-// soon repeated.
-func (n *Scheduler) joinable(ep int32, t *delivery.StreamType) int32 {
-	last := n.lanes.last[n.eps.lane[ep]][patient(t)]
-	if last >= 0 && n.calls[last].round == n.round && n.calls[last].endpoint == ep &&
-		n.calls[last].events < n.lanes.perCall[n.eps.lane[ep]] {
+// joinableCall returns the call to an endpoint that was opened in this round and has room for one more event, or -1. A
+// call ends as a whole, so events that must wait for their answer do not share one with events that are repeated soon.
+func (s *Scheduler) joinableCall(ep int32, t *delivery.StreamType) int32 {
+	last := s.limiters.lastCall[s.endpoints.limiter[ep]][waitClass(t)]
+	if last >= 0 && s.calls[last].round == s.round && s.calls[last].endpoint == ep &&
+		s.calls[last].events < s.limiters.maxEventsPerCall[s.endpoints.limiter[ep]] {
 		return last
 	}
 	return -1
 }
 
-func patient(t *delivery.StreamType) int {
+// waitClass returns 1 for events that must wait for their answer, 0 for those that may be repeated.
+func waitClass(t *delivery.StreamType) int {
 	if t.Safety == delivery.NonIdempotent {
 		return 1
 	}
 	return 0
 }
 
+// endpoints holds the state of all endpoints, by endpoint index.
 type endpoints struct {
-	back delivery.Recovery
-
-	lane                       []int32
-	ready, aside               []bool             // listed as ready; set aside
-	last                       []delivery.Outcome // how the last call that failed ended
-	mean, dev, credit          []float64          // answer times; calls that may go while cold
-	zone, out, fails, timeouts []int              // fails, timeouts: in a row
-	failedAt, ackAt, creditAt  []int64            // first of the failures in a row; last good answer
-	used                       [][levels]int64    // when it last had a call more than so many out, 0 for never
-	overdueAt, leftAt, warmAt  []int64            // oldest call overdue, 0: none; last listed; back, -1: never
-}
-
-func (p *endpoints) blank(ep int32) { // as one that was never heard of
-	p.lane, p.zone, p.out = put(p.lane, ep, -1), put(p.zone, ep, 0), put(p.out, ep, 0)
-	p.ready, p.aside, p.last = put(p.ready, ep, false), put(p.aside, ep, false), put(p.last, ep, delivery.Acked)
-	p.mean, p.dev, p.credit = put(p.mean, ep, 0), put(p.dev, ep, 0), put(p.credit, ep, 1)
-	p.fails, p.timeouts, p.failedAt = put(p.fails, ep, 0), put(p.timeouts, ep, 0), put(p.failedAt, ep, 0)
-	p.ackAt, p.overdueAt, p.warmAt = put(p.ackAt, ep, -1), put(p.overdueAt, ep, 0), put(p.warmAt, ep, -1)
-	p.creditAt, p.leftAt, p.used = put(p.creditAt, ep, 0), put(p.leftAt, ep, 0), put(p.used, ep, [levels]int64{})
-}
-
-func put[T any](list []T, i int32, v T) []T { // sets a figure, also of the next new index
+	recovery delivery.Recovery
+
+	limiter                             []int32             // -1: the endpoint is forgotten
+	ready, ejected                      []bool              // ready: listed as ready
+	lastFailure                         []delivery.Outcome  // outcome of the last failed call
+	latencyMean, latencyDev, credit     []float64           // answer times; credit: calls allowed now while cold
+	zone, inFlight, failures, timeouts  []int               // failures, timeouts: consecutive ones
+	firstFailureAt, lastAckAt, creditAt []int64             // firstFailureAt: of the consecutive failures
+	lastActiveAt                        [][idleLevels]int64 // [i]: when more than i calls were last in flight; 0: never
+	overdueAt, lastListedAt, restoredAt []int64             // overdueAt: of the oldest call, 0: none; restoredAt, -1: never
+}
+
+// reset sets an endpoint to the initial state.
+func (p *endpoints) reset(ep int32) {
+	p.limiter, p.zone, p.inFlight = setAt(p.limiter, ep, -1), setAt(p.zone, ep, 0), setAt(p.inFlight, ep, 0)
+	p.ready, p.ejected, p.lastFailure = setAt(p.ready, ep, false), setAt(p.ejected, ep, false),
+		setAt(p.lastFailure, ep, delivery.Acked)
+	p.latencyMean, p.latencyDev, p.credit = setAt(p.latencyMean, ep, 0), setAt(p.latencyDev, ep, 0), setAt(p.credit, ep, 1)
+	p.failures, p.timeouts, p.firstFailureAt = setAt(p.failures, ep, 0), setAt(p.timeouts, ep, 0),
+		setAt(p.firstFailureAt, ep, 0)
+	p.lastAckAt, p.overdueAt, p.restoredAt = setAt(p.lastAckAt, ep, -1), setAt(p.overdueAt, ep, 0), setAt(p.restoredAt, ep, -1)
+	p.creditAt, p.lastListedAt, p.lastActiveAt = setAt(p.creditAt, ep, 0), setAt(p.lastListedAt, ep, 0),
+		setAt(p.lastActiveAt, ep, [idleLevels]int64{})
+}
+
+// setAt sets list[i] to v, extending the list if needed.
+func setAt[T any](list []T, i int32, v T) []T {
 	list = append(list, make([]T, max(0, int(i)+1-len(list)))...)
 	list[i] = v
 	return list
 }
 
-// look finds the overdue calls: silence shows before any time-out ends.
-func (p *endpoints) look(now int64, calls []call, s *stale) {
+// findOverdue finds the overdue calls, so that silence is noticed before any timeout expires.
+func (p *endpoints) findOverdue(now int64, calls []call, stale *staleDetector) {
 	clear(p.overdueAt)
 	for i := range calls {
-		if c := &calls[i]; c.events > 0 && c.at > p.ackAt[c.endpoint] && !s.dead(c.idle, now) {
-			at := c.at + max(leastLate, int64(p.mean[c.endpoint]+overdueDevs*p.dev[c.endpoint]))
-			if now >= c.at+p.timeout(c.endpoint) && !c.silent && c.idle >= leastLate {
-				c.silent = true
-				s.learn(true, c.idle, now)
+		if c := &calls[i]; c.events > 0 && c.startedAt > p.lastAckAt[c.endpoint] && !stale.isDead(c.idleBefore, now) {
+			at := c.startedAt + max(minOverdue, int64(p.latencyMean[c.endpoint]+overdueDeviations*p.latencyDev[c.endpoint]))
+			if now >= c.startedAt+p.timeout(c.endpoint) && !c.countedLost && c.idleBefore >= minOverdue {
+				c.countedLost = true
+				stale.record(true, c.idleBefore, now)
 			}
 			if p.overdueAt[c.endpoint] == 0 || at < p.overdueAt[c.endpoint] {
 				p.overdueAt[c.endpoint] = at
@@ -624,230 +680,250 @@
 }
 
 func (p *endpoints) suspect(ep int32, now int64) bool {
-	return p.aside[ep] || (p.overdueAt[ep] > 0 && now >= p.overdueAt[ep])
+	return p.ejected[ep] || (p.overdueAt[ep] > 0 && now >= p.overdueAt[ep])
 }
 
 func (p *endpoints) timeout(ep int32) int64 {
-	t := unmeasured
-	if p.mean[ep] > 0 {
-		t = max(leastOut, int64(p.mean[ep]+timeoutDevs*p.dev[ep]))
+	t := defaultTimeout
+	if p.latencyMean[ep] > 0 {
+		t = max(minTimeout, int64(p.latencyMean[ep]+timeoutDeviations*p.latencyDev[ep]))
 	}
 	return t << min(p.timeouts[ep], 6)
 }
 
-func (p *endpoints) judge(ep int32, now int64, how delivery.Outcome, took int64, full, sure bool, luck float64) {
+// recordOutcome updates the state of an endpoint with the outcome of a call. overLimit says that a refusal was due to the
+// rate limit, conclusive that the outcome shows an outage on its own.
+func (p *endpoints) recordOutcome(ep int32, now int64, outcome delivery.Outcome, took int64,
+	overLimit, conclusive bool, credit float64) {
 	switch {
-	case how == delivery.Unsent, how == delivery.Unreadable,
-		!sure && (how == delivery.Cancelled || how == delivery.Refused && full):
-		return // called off, the silence may be of the way there; spoilt, it answers; over a limit, it is not shut
-	case how == delivery.Acked:
-		if p.aside[ep] {
-			p.takeBack(ep, now, luck)
+	case outcome == delivery.Unsent, outcome == delivery.Unreadable,
+		!conclusive && (outcome == delivery.Cancelled || outcome == delivery.Refused && overLimit):
+		// The silence before a cancellation may be the network's; an unreadable answer shows that the endpoint responds;
+		// a refusal over the limit does not show that it is unavailable.
+		return
+	case outcome == delivery.Acked:
+		if p.ejected[ep] {
+			p.restore(ep, now, credit)
 		}
-		p.fails[ep], p.timeouts[ep], p.ackAt[ep] = 0, 0, now
-		if p.mean[ep] == 0 {
-			p.mean[ep], p.dev[ep] = float64(took), float64(took)/2
+		p.failures[ep], p.timeouts[ep], p.lastAckAt[ep] = 0, 0, now
+		if p.latencyMean[ep] == 0 {
+			p.latencyMean[ep], p.latencyDev[ep] = float64(took), float64(took)/2
 		}
-		p.dev[ep] += answerKeep * (math.Abs(float64(took)-p.mean[ep]) - p.dev[ep])
-		p.mean[ep] += answerKeep * (float64(took) - p.mean[ep])
+		p.latencyDev[ep] += latencyWeight * (math.Abs(float64(took)-p.latencyMean[ep]) - p.latencyDev[ep])
+		p.latencyMean[ep] += latencyWeight * (float64(took) - p.latencyMean[ep])
 		return
-	case how == delivery.TimedOut:
+	case outcome == delivery.TimedOut:
 		p.timeouts[ep]++
 	}
-	if p.last[ep], p.fails[ep] = how, p.fails[ep]+1; p.fails[ep] == 1 {
-		p.failedAt[ep] = now
+	if p.lastFailure[ep], p.failures[ep] = outcome, p.failures[ep]+1; p.failures[ep] == 1 {
+		p.firstFailureAt[ep] = now
 	}
-	enough := p.fails[ep] >= asideAfter && (how != delivery.Reset || p.fails[ep] >= asideResets)
-	if sure || (enough && (how != delivery.Refused || now-p.failedAt[ep] >= paceCutEvery)) {
-		p.setAside(ep, now, luck)
+	enough := p.failures[ep] >= ejectAfterFailures && (outcome != delivery.Reset || p.failures[ep] >= ejectAfterResets)
+	if conclusive || (enough && (outcome != delivery.Refused || now-p.firstFailureAt[ep] >= paceCutInterval)) {
+		p.eject(ep, now, credit)
 	}
 }
 
-// coldBudget is the calls that a cold destination of some limit bears in the rule's window.
+// coldBudget returns the number of calls that a cold destination with the given limit bears within OverloadAfter.
 func (p *endpoints) coldBudget(limit float64) float64 {
-	return p.back.OverloadFactor * p.back.ColdShare * limit * float64(p.back.OverloadAfter) / float64(second)
+	return p.recovery.OverloadFactor * p.recovery.ColdShare * limit * float64(p.recovery.OverloadAfter) / float64(second)
 }
 
-func (p *endpoints) setAside(ep int32, now int64, luck float64) {
-	if p.warmAt[ep] = -1; !p.aside[ep] {
-		p.aside[ep], p.credit[ep], p.creditAt[ep] = true, luck, now
+func (p *endpoints) eject(ep int32, now int64, credit float64) {
+	if p.restoredAt[ep] = -1; !p.ejected[ep] {
+		p.ejected[ep], p.credit[ep], p.creditAt[ep] = true, credit, now
 	}
 }
 
-func (p *endpoints) takeBack(ep int32, now int64, luck float64) {
-	p.credit[ep], p.creditAt[ep] = luck, now // danger: all peers hear of a return and spend what they saved up
-	p.aside[ep], p.warmAt[ep], p.fails[ep], p.timeouts[ep], p.ackAt[ep] = false, now, 0, 0, now
+func (p *endpoints) restore(ep int32, now int64, credit float64) {
+	p.credit[ep], p.creditAt[ep] = credit, now // all peers hear of the return, and would spend what they saved
+	p.ejected[ep], p.restoredAt[ep], p.failures[ep], p.timeouts[ep], p.lastAckAt[ep] = false, now, 0, 0, now
 }
 
-// may tells if a cold endpoint bears one more call. Danger: pushed over it stays down. All that met it share.
-func (p *endpoints) may(ep int32, now int64, rate, nodes float64) bool {
-	warm, until := p.back.ColdShare, now
-	if p.back.OverloadAfter <= 0 || p.back.OverloadFactor <= 0 { // nothing falls there
+// admit reports whether an endpoint bears one more call. A cold one that is overloaded fails again, so the nodes that
+// noticed its outage share its budget.
+func (p *endpoints) admit(ep int32, now int64, rate, nodes float64) bool {
+	warm, until := p.recovery.ColdShare, now
+	if p.recovery.OverloadAfter <= 0 || p.recovery.OverloadFactor <= 0 { // cold endpoints do not fail from load
 		return true
 	}
-	if !p.aside[ep] {
-		if until = p.warmAt[ep]; until < 0 || now-until >= p.back.WarmupTime {
+	if !p.ejected[ep] {
+		if until = p.restoredAt[ep]; until < 0 || now-until >= p.recovery.WarmupTime {
 			return true
 		}
-		warm += (1 - warm) * float64(now-until) / float64(p.back.WarmupTime)
+		warm += (1 - warm) * float64(now-until) / float64(p.recovery.WarmupTime)
 	}
-	window := float64(p.back.OverloadAfter) / float64(second)
-	met := -math.Expm1(-coldMet * rate / nodes * (float64(until-p.failedAt[ep])/float64(second) + window))
-	budget := p.back.OverloadFactor * warm * rate * window
-	if nodes*met > budget { // danger: with less than a call for each of many nodes, chance brings them together
-		budget = max(coldLeast*budget, budget-coldChance*math.Sqrt(budget))
+	window := float64(p.recovery.OverloadAfter) / float64(second)
+	// The share of nodes that are likely to have sent a call during the outage.
+	noticed := -math.Expm1(-outageCallsMultiple * rate / nodes * (float64(until-p.firstFailureAt[ep])/float64(second) + window))
+	budget := p.recovery.OverloadFactor * warm * rate * window
+	if nodes*noticed > budget { // with less than one call for each node, several may by chance send theirs together
+		budget = max(minColdShare*budget, budget-coldDeviations*math.Sqrt(budget))
 	}
-	return refill(&p.credit[ep], &p.creditAt[ep], now, coldRoom*budget/window/max(1, nodes*met), 1)
+	return refill(&p.credit[ep], &p.creditAt[ep], now, coldBudgetShare*budget/window/max(1, nodes*noticed), 1)
 }
 
-// refill adds the calls that a rate has brought since the last look, up to a depth, and tells if one may go.
+// refill adds the credit that a rate has earned since the last refill, up to depth, and reports whether a call may go.
 func refill(credit *float64, at *int64, now int64, rate, depth float64) bool {
 	*credit = min(depth, *credit+rate*float64(now-*at)/float64(second))
 	*at = now
 	return *credit >= 1
 }
 
-type lanes struct {
+// limiters holds the state of all rate limits, by limiter index.
+type limiters struct {
 	nodes float64
 
-	perCall, out                        []int     // events in a call, calls out
-	limit, ends                         []float64 // calls a second that the destination told; endpoints
-	pace, credit                        []float64 // calls a second, 0 for unpaced; calls that may go now
-	waitUntil, creditAt, cutAt, climbAt []int64
-	recent                              [][]int64  // sends of the last second
-	last                                [][2]int32 // the call opened last, and the last that is patient
-}
-
-func (l *lanes) add(perCall int, credit float64) int32 { // by chance: many nodes refused at once spread out
-	i := int32(slices.Index(append(l.ends, 0), 0)) // one is free once all its endpoints are forgotten
-	l.perCall, l.out, l.ends = put(l.perCall, i, perCall), put(l.out, i, 0), put(l.ends, i, 0)
-	l.waitUntil, l.limit, l.recent = put(l.waitUntil, i, 0), put(l.limit, i, 0), put(l.recent, i, nil)
-	l.pace, l.credit, l.creditAt = put(l.pace, i, 0), put(l.credit, i, credit), put(l.creditAt, i, 0)
-	l.cutAt, l.climbAt = put(l.cutAt, i, -paceCutEvery), put(l.climbAt, i, 0)
-	l.last = put(l.last, i, [2]int32{-1, -1})
+	maxEventsPerCall, inFlight                   []int     // inFlight: calls
+	limit, endpointCount                         []float64 // limit: reported by the destination, in calls per second
+	pace, credit                                 []float64 // pace: calls per second, 0 for unpaced; credit: calls allowed now
+	waitUntil, creditAt, lastCutAt, lastGrowthAt []int64
+	recentCalls                                  [][]int64  // start times within the last second
+	lastCall                                     [][2]int32 // call opened last, by waitClass; -1: none
+}
+
+// add returns a new limiter. Its credit is random so that many nodes that are refused at once spread out.
+func (l *limiters) add(maxEvents int, credit float64) int32 {
+	i := int32(slices.Index(append(l.endpointCount, 0), 0)) // an index is free once all its endpoints are forgotten
+	l.maxEventsPerCall, l.inFlight, l.endpointCount = setAt(l.maxEventsPerCall, i, maxEvents), setAt(l.inFlight, i, 0),
+		setAt(l.endpointCount, i, 0)
+	l.waitUntil, l.limit, l.recentCalls = setAt(l.waitUntil, i, 0), setAt(l.limit, i, 0), setAt(l.recentCalls, i, nil)
+	l.pace, l.credit, l.creditAt = setAt(l.pace, i, 0), setAt(l.credit, i, credit), setAt(l.creditAt, i, 0)
+	l.lastCutAt, l.lastGrowthAt = setAt(l.lastCutAt, i, -paceCutInterval), setAt(l.lastGrowthAt, i, 0)
+	l.lastCall = setAt(l.lastCall, i, [2]int32{-1, -1})
 	return i
 }
 
-func (l *lanes) judge(lane int32, now int64, how delivery.Outcome, wait int64, left, limit float64) {
-	l.limit[lane] = cmp.Or(limit, l.limit[lane])
-	l.wait(lane, now+wait)
+// recordOutcome adapts the pace of a limiter to the outcome of a call.
+func (l *limiters) recordOutcome(limiter int32, now int64, outcome delivery.Outcome, wait int64, left, limit float64) {
+	l.limit[limiter] = cmp.Or(limit, l.limit[limiter])
+	l.holdUntil(limiter, now+wait)
 	switch {
-	case how == delivery.Acked && l.pace[lane] > 0:
-		span := float64(min(now-l.climbAt[lane], paceSpan)) / float64(second)
-		if fair := l.limit[lane] / l.nodes; l.pace[lane] < fair {
-			l.pace[lane] = min(fair, l.pace[lane]+paceBack*fair*span)
+	case outcome == delivery.Acked && l.pace[limiter] > 0:
+		span := float64(min(now-l.lastGrowthAt[limiter], maxGrowthSpan)) / float64(second)
+		if fair := l.limit[limiter] / l.nodes; l.pace[limiter] < fair {
+			l.pace[limiter] = min(fair, l.pace[limiter]+paceRecovery*fair*span)
 		} else {
-			l.pace[lane] = min(l.pace[lane]*(1+paceClimb*span), cmp.Or(limit, math.MaxFloat64))
+			l.pace[limiter] = min(l.pace[limiter]*(1+paceGrowth*span), cmp.Or(limit, math.MaxFloat64))
 		}
-		l.climbAt[lane] = now
-	case how == delivery.Refused && now >= l.cutAt[lane]+paceCutEvery:
-		l.cutAt[lane], l.climbAt[lane] = now, now
-		cut := paceCut * min(float64(l.lastSecond(lane, now)), cmp.Or(l.pace[lane], math.MaxFloat64))
-		if limit > 0 && left < spentLeft { // no burst of a moment: the limit is used up
-			cut = min(cut, paceFair*limit/l.nodes)
+		l.lastGrowthAt[limiter] = now
+	case outcome == delivery.Refused && now >= l.lastCutAt[limiter]+paceCutInterval:
+		l.lastCutAt[limiter], l.lastGrowthAt[limiter] = now, now
+		cut := paceCutFactor * min(float64(l.callsInLastSecond(limiter, now)), cmp.Or(l.pace[limiter], math.MaxFloat64))
+		if limit > 0 && left < exhaustedShare { // the limit is used up, so this is not just a brief burst
+			cut = min(cut, minPaceShare*limit/l.nodes)
 		}
-		// Danger: where refused calls use up the limit, a least pace over our part of it keeps all refused.
-		least := min(paceLeast, max(paceFair*cmp.Or(l.limit[lane]/l.nodes, paceLeast/paceFair), paceSeldom))
-		l.pace[lane] = max(least, cut)
+		// Where refused calls count against the limit, a minimum pace above this node's part would keep all calls refused.
+		least := min(minPace, max(minPaceShare*cmp.Or(l.limit[limiter]/l.nodes, minPace/minPaceShare), absoluteMinPace))
+		l.pace[limiter] = max(least, cut)
 	}
 }
 
-// wait notes that a lane was told to wait until a time. It never makes a wait shorter.
-func (l *lanes) wait(lane int32, until int64) { l.waitUntil[lane] = max(l.waitUntil[lane], until) }
+// holdUntil holds the calls of a limiter until a time. It never shortens a hold.
+func (l *limiters) holdUntil(limiter int32, until int64) {
+	l.waitUntil[limiter] = max(l.waitUntil[limiter], until)
+}
 
-func (l *lanes) lastSecond(lane int32, now int64) int {
-	l.recent[lane] = slices.DeleteFunc(l.recent[lane], func(at int64) bool { return at <= now-second })
-	return len(l.recent[lane])
+func (l *limiters) callsInLastSecond(limiter int32, now int64) int {
+	l.recentCalls[limiter] = slices.DeleteFunc(l.recentCalls[limiter], func(at int64) bool { return at <= now-second })
+	return len(l.recentCalls[limiter])
 }
 
-// may takes the credit for one call where the lane's pace leaves it.
-func (l *lanes) may(lane int32, now int64) bool {
-	if l.pace[lane] == 0 || now-l.creditAt[lane] > paceForget {
-		l.pace[lane], l.creditAt[lane] = 0, now
+// admit takes the credit for one call, and reports whether the limiter's pace allowed it.
+func (l *limiters) admit(limiter int32, now int64) bool {
+	if l.pace[limiter] == 0 || now-l.creditAt[limiter] > paceIdleReset {
+		l.pace[limiter], l.creditAt[limiter] = 0, now
 		return true
 	}
-	depth := max(1, l.pace[lane]*float64(paceBurst)/float64(second))
-	if !refill(&l.credit[lane], &l.creditAt[lane], now, l.pace[lane], depth) {
+	depth := max(1, l.pace[limiter]*float64(paceBurstSpan)/float64(second))
+	if !refill(&l.credit[limiter], &l.creditAt[limiter], now, l.pace[limiter], depth) {
 		return false
 	}
-	l.credit[lane]--
+	l.credit[limiter]--
 	return true
 }
 
-// stale learns from calls lost after an idle time that idle connections are dead. Danger: each next is lost.
-type stale struct {
-	lost, good              int
-	at, after, crowdedUntil int64 // last call lost; shortest idle time before one; connects fail till then
+// staleDetector infers from calls lost after an idle time that idle connections are dead. Otherwise each call that uses
+// one of them would be lost too.
+type staleDetector struct {
+	losses, acks                      int
+	lastLossAt, minIdle, crowdedUntil int64 // minIdle: shortest before a loss; crowdedUntil: connects may fail
 }
 
-func (s *stale) learn(lost bool, idle, now int64) {
+func (s *staleDetector) record(lost bool, idle, now int64) {
 	switch {
-	case !lost && idle >= s.after:
-		s.good++
-	case lost && idle >= staleLeast:
-		if s.lost == 0 || now-s.at > staleKeep {
-			s.lost, s.good, s.after = 0, 0, idle
+	case !lost && idle >= s.minIdle:
+		s.acks++
+	case lost && idle >= staleMinIdle:
+		if s.losses == 0 || now-s.lastLossAt > staleDuration {
+			s.losses, s.acks, s.minIdle = 0, 0, idle
 		}
-		s.lost, s.at, s.after = s.lost+1, now, min(s.after, idle)
+		s.losses, s.lastLossAt, s.minIdle = s.losses+1, now, min(s.minIdle, idle)
 	}
 }
 
-func (s *stale) dead(idle, now int64) bool {
-	return s.lost >= staleSigns && staleShare*s.lost > s.good && now-s.at <= staleKeep && idle >= s.after
+func (s *staleDetector) isDead(idle, now int64) bool {
+	return s.losses >= staleMinLosses && staleAcksPerLoss*s.losses > s.acks && now-s.lastLossAt <= staleDuration &&
+		idle >= s.minIdle
 }
 
-// turn is the line of one key: its events in the order of their coming, and when a new one may start.
-type turn struct {
+// keyQueue holds the events of one key in the order of their arrival, and the time from which a new one may start.
+type keyQueue struct {
 	events []int32
 	freeAt int64
 }
 
-type turns map[uint64]*turn
+type keyQueues map[uint64]*keyQueue
 
-func (t turns) join(key uint64, evt int32) {
-	k := cmp.Or(t[key], &turn{})
-	t[key], k.events = k, append(k.events, evt)
+func (q keyQueues) add(key uint64, evt int32) {
+	k := cmp.Or(q[key], &keyQueue{})
+	q[key], k.events = k, append(k.events, evt)
 }
 
-func (t turns) leave(key uint64, evt int32, now int64) {
-	if k := t[key]; k != nil {
+func (q keyQueues) remove(key uint64, evt int32, now int64) {
+	if k := q[key]; k != nil {
 		k.events = slices.DeleteFunc(k.events, func(e int32) bool { return e == evt })
 		if len(k.events) == 0 && now >= k.freeAt {
-			delete(t, key)
+			delete(q, key)
 		}
 	}
 }
 
-func (t turns) may(key uint64, evt int32, begun bool, now int64) bool {
-	k := t[key]
-	return k == nil || (k.events[0] == evt && (begun || now >= k.freeAt))
+func (q keyQueues) mayStart(key uint64, evt int32, started bool, now int64) bool {
+	k := q[key]
+	return k == nil || (k.events[0] == evt && (started || now >= k.freeAt))
 }
 
+// directory tracks the watch on the list of endpoints.
 type directory struct {
-	asked, pushed       bool // changes must be asked for; they count as told although nobody asked
-	watched, heard      bool // a watch was confirmed; the first call has ended, for good or bad
-	at, delay, firstAsk int64
+	requiresWatch, automatic              bool // as in delivery.Directory
+	watched, firstCallEnded               bool // watched: the watch is confirmed; firstCallEnded: with success or not
+	nextWatchAt, retryDelay, firstWatchAt int64
 }
 
-// ask asks for changes until a watch stands: what is not asked for counts as told all the same.
-func (d *directory) ask(now int64, out delivery.Executor) {
-	if d.asked && !d.watched && now >= d.at {
-		out.Watch(true)
-		d.at, d.firstAsk = now+askOut, cmp.Or(d.firstAsk, now)
+// watchIfDue asks for a watch until one is confirmed: this node is held to changes even if it does not watch.
+func (d *directory) watchIfDue(now int64, exec delivery.Executor) {
+	if d.requiresWatch && !d.watched && now >= d.nextWatchAt {
+		exec.Watch(true)
+		d.nextWatchAt, d.firstWatchAt = now+watchTimeout, cmp.Or(d.firstWatchAt, now)
 	}
 }
 
-// holds: danger: the list kept from before a restart is old, and where lists are pushed, what came since
-// counts from the first moment. One that cannot be reached must not hold back what is owed.
-func (d *directory) holds(now int64) bool { return d.pushed && !d.heard && now < d.firstAsk+askHold }
+// holdsSends reports whether sends wait for the first list. The list kept from before a restart is outdated, and an
+// automatic directory holds nodes to later changes from the first moment. A directory that cannot be reached must not
+// hold back accepted events for long.
+func (d *directory) holdsSends(now int64) bool {
+	return d.automatic && !d.firstCallEnded && now < d.firstWatchAt+firstListWait
+}
 
-// failed plans the next call: the notice does not say whether a watch still stands.
-func (d *directory) failed(now int64, chance *pcg) {
-	d.watched, d.heard, d.delay = false, true, min(max(askFirst, 2*d.delay), askMost)
-	d.at = now + d.delay + int64(chance.float()*jitterPart*float64(d.delay))
+// failed schedules the next call. A failure does not say whether an earlier watch is still in force.
+func (d *directory) failed(now int64, rng *pcg) {
+	d.watched, d.firstCallEnded, d.retryDelay = false, true, min(max(minWatchRetry, 2*d.retryDelay), maxWatchRetry)
+	d.nextWatchAt = now + d.retryDelay + int64(rng.float()*jitterShare*float64(d.retryDelay))
 }
 
-type pcg uint64 // a permuted congruential generator (PCG-XSH-RR 64/32)
+// pcg is a permuted congruential generator (PCG-XSH-RR 64/32).
+type pcg uint64
 
 func (p *pcg) float() float64 {
 	old := uint64(*p)
--- a/store/store_test.go
+++ b/store/store_test.go
@@ -17,44 +17,44 @@
 	"jaspersill/delivery"
 )
 
-// now is the clock of the tests; it has no particular value.
-const now = int64(1e18)
+// testNow is the time of the test clock. The value is arbitrary.
+const testNow = int64(1e18)
 
-func clock() int64 { return now }
+func testClock() int64 { return testNow }
 
-func open(t testing.TB, f FS, most int64) (*Store, *Recovery) {
+func openStore(t testing.TB, fsys FS, maxBytes int64) (*Store, *Recovery) {
 	t.Helper()
-	s, found, err := Open(f, most, 6, SyncNever, clock)
+	s, recovered, err := Open(fsys, maxBytes, 6, SyncNever, testClock)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s, found
+	return s, recovered
 }
 
-func event(i int, body string) Event {
+func testEvent(i int, body string) Event {
 	return Event{
 		ID:             fmt.Sprintf("e%d", i),
 		Kind:           "charge",
 		Owner:          "acme",
 		IdempotencyKey: "m",
 		Dest:           uint32(i),
-		Deadline:       now + 1e9,
+		Deadline:       testNow + 1e9,
 		Body:           []byte(body),
 	}
 }
 
-func take(s *Store, e Event) error {
+func accept(s *Store, e Event) error {
 	_, err := s.Accept(e)
 	return err
 }
 
-// model is what the store was told and answered for: the promise that a recovery is held to.
+// model is what the store has acknowledged, against which a recovery is checked.
 type model struct {
-	owed map[string]bool // told that it is taken on, and not over
-	ran  map[string]bool // told that a send that may have run is written
-	over map[string]bool // told that nothing more is owed
-	wait map[string]int64
-	past map[string]bool
+	accepted  map[string]bool // event is accepted and not completed
+	attempted map[string]bool // an attempt that may have taken effect is recorded
+	completed map[string]bool // completion is recorded and the ID retained
+	backoffs  map[string]int64
+	past      map[string]bool
 }
 
 func newModel() *model {
@@ -67,45 +67,45 @@
 	}
 }
 
-// step is one call of the store, noted in the model once it was answered for. A call that fails at a crash
-// may or may not have been written: the model then knows nothing of it.
-func (m *model) step(s *Store, what, i int) error {
+// runStep makes one call to the store and updates the model once it is acknowledged. A call that fails at a crash may or
+// may not have been written, so the model assumes nothing about it.
+func (m *model) runStep(s *Store, what, i int) error {
 	id, err := fmt.Sprintf("e%d", i), error(nil)
 	switch what {
 	case 0:
-		if _, err = s.Accept(event(i, strings.Repeat("b", i*37%900))); err == nil {
-			if m.over[id] {
-				return fmt.Errorf("%s is known to be over and was taken on again", id)
+		if _, err = s.Accept(testEvent(i, strings.Repeat("b", i*37%900))); err == nil {
+			if m.completed[id] {
+				return fmt.Errorf("%s is known to be completed but was accepted again", id)
 			}
-			m.owed[id] = true
-			delete(m.over, id)
-			delete(m.ran, id)
+			m.accepted[id] = true
+			delete(m.completed, id)
+			delete(m.attempted, id)
 		}
 	case 1:
-		if err = s.RecordAttempt(id, 0, 0, now, "z"); err == nil {
-			m.ran[id] = true
+		if err = s.RecordAttempt(id, 0, 0, testNow, "z"); err == nil {
+			m.attempted[id] = true
 		}
 	case 2:
-		if err = s.RecordOutcome(id, 0, 0, delivery.Reset).Wait(); err == nil && m.ran[id] {
-			m.ran[id] = true
+		if err = s.RecordOutcome(id, 0, 0, delivery.Reset).Wait(); err == nil && m.attempted[id] {
+			m.attempted[id] = true
 		}
 	case 3:
 		err = s.RecordVerdict(id, 0, Discarded, 0).Wait()
 	case 4:
-		delete(m.owed, id) // from the call on the event may be over
-		until := int64(0)  // every second one may come again under its id
+		delete(m.accepted, id) // from this call on the event may be completed
+		until := int64(0)      // every second ID may be used again at once
 		if i%2 == 1 {
-			until = now + 5e9
+			until = testNow + 5e9
 		}
 		if err = s.Complete(id, 0, until).Wait(); err == nil && until > 0 {
-			m.over[id] = true
+			m.completed[id] = true
 		}
 	case 5:
-		if err = s.RecordBackoff(fmt.Sprint("d", i), now+int64(i+1)*1e9); err == nil {
-			m.wait[fmt.Sprint("d", i)] = max(m.wait[fmt.Sprint("d", i)], now+int64(i+1)*1e9)
+		if err = s.RecordBackoff(fmt.Sprint("d", i), testNow+int64(i+1)*1e9); err == nil {
+			m.backoffs[fmt.Sprint("d", i)] = max(m.backoffs[fmt.Sprint("d", i)], testNow+int64(i+1)*1e9)
 		}
 	case 6:
-		err = s.RecordOutage(fmt.Sprint("d", i), now-int64(i))
+		err = s.RecordOutage(fmt.Sprint("d", i), testNow-int64(i))
 	case 7:
 		_, err = s.Compact(500)
 	}
@@ -115,41 +115,40 @@
 	return err
 }
 
-// check holds a recovery to the model. whole tells that no record was lost, so that nothing may be missing at
-// all.
-func (m *model) check(t interface{ Errorf(string, ...any) }, what string, f *Recovery, whole bool) {
+// check compares a recovery with the model. nothingLost means that no record was lost, so that nothing may be missing.
+func (m *model) check(t interface{ Errorf(string, ...any) }, what string, recovered *Recovery, nothingLost bool) {
 	seen := map[string]bool{}
-	for _, e := range f.Events {
+	for _, e := range recovered.Events {
 		if seen[e.ID] {
-			t.Errorf("%s: %s comes back twice", what, e.ID)
+			t.Errorf("%s: %s is recovered twice", what, e.ID)
 		}
 		seen[e.ID] = true
-		if m.over[e.ID] && whole {
-			t.Errorf("%s: %s comes back though it is over", what, e.ID)
+		if m.completed[e.ID] && nothingLost {
+			t.Errorf("%s: %s is recovered as pending but is completed", what, e.ID)
 		}
-		if m.ran[e.ID] && !e.MayHaveRun() && e.Verdict == Undecided && !m.over[e.ID] {
-			t.Errorf("%s: %s would be sent again, though it may have run: %+v", what, e.ID, e.Attempts)
+		if m.attempted[e.ID] && !e.MayHaveRun() && e.Verdict == Undecided && !m.completed[e.ID] {
+			t.Errorf("%s: %s would be sent again although it may have been executed: %+v", what, e.ID, e.Attempts)
 		}
 	}
-	for id := range m.owed {
-		if whole && !seen[id] {
-			t.Errorf("%s: %s is forgotten", what, id)
+	for id := range m.accepted {
+		if nothingLost && !seen[id] {
+			t.Errorf("%s: %s is not recovered", what, id)
 		}
 	}
-	for name, until := range m.wait {
-		if f.Backoffs[name] < until {
-			t.Errorf("%s: the wait of %s ends at %d, not at %d", what, name, f.Backoffs[name], until)
+	for name, until := range m.backoffs {
+		if recovered.Backoffs[name] < until {
+			t.Errorf("%s: backoff of %s ends at %d, want at least %d", what, name, recovered.Backoffs[name], until)
 		}
 	}
 }
 
-// fill has a store with all kinds of records, several segments and a compaction half done.
-func fill(t testing.TB, m *model, folder *memory) *Store {
+// fillStore creates a store with all kinds of records, several segments and a partly done compaction.
+func fillStore(t testing.TB, m *model, fsys *memFS) *Store {
 	t.Helper()
-	s, _ := open(t, folder, 300<<10)
+	s, _ := openStore(t, fsys, 300<<10)
 	do := func(what, i int) {
-		if err := m.step(s, what, i); err != nil {
-			t.Fatalf("step %d of %d: %v", what, i, err)
+		if err := m.runStep(s, what, i); err != nil {
+			t.Fatalf("step %d of event %d: %v", what, i, err)
 		}
 	}
 	for i := range 60 {
@@ -172,71 +171,71 @@
 		}
 	}
 	s.mu.Lock()
-	s.from = 1 // always full enough for a compaction, however small the files
+	s.compactionThreshold = 1 // run compaction regardless of file sizes
 	s.mu.Unlock()
-	if len(s.segs) < 2 {
-		t.Fatalf("%d segments", len(s.segs))
+	if len(s.segments) < 2 {
+		t.Fatalf("%d segments", len(s.segments))
 	}
-	if more, err := s.Compact(2000); err != nil || !more || s.segs[0].number != 1 {
-		t.Fatalf("no compaction half done: %v, %v", more, err)
+	if more, err := s.Compact(2000); err != nil || !more || s.segments[0].number != 1 {
+		t.Fatalf("compaction is not partly done: more %v, error %v", more, err)
 	}
 	return s
 }
 
-func TestEveryFileCutAtEveryByte(t *testing.T) {
-	m, folder := newModel(), newMemory()
-	fill(t, m, folder).Close()
-	files := folder.restarted().files
-	whole, err := Recover(folder)
-	if err != nil || len(whole.Faults) > 0 || whole.TornBytes > 0 || whole.RecordsLost {
-		t.Fatalf("as written: %v, %+v", err, whole.Faults)
-	}
-	m.check(t, "as written", whole, true)
+func TestRecoveryAfterTruncationAndBitFlips(t *testing.T) {
+	m, fsys := newModel(), newMemFS()
+	fillStore(t, m, fsys).Close()
+	files := fsys.afterRestart().files
+	intact, err := Recover(fsys)
+	if err != nil || len(intact.Faults) > 0 || intact.TornBytes > 0 || intact.RecordsLost {
+		t.Fatalf("as written: %v, %+v", err, intact.Faults)
+	}
+	m.check(t, "as written", intact, true)
 	last := ""
 	for name := range files {
 		if strings.HasPrefix(name, "seg-") {
 			last = max(last, name)
 		}
 	}
-	look := func(what, name string, text []byte) {
+	checkModified := func(what, name string, data []byte) {
 		t.Helper()
-		cut := newMemory()
+		modified := newMemFS()
 		for other, b := range files {
-			cut.put(other, slices.Clone(b.text))
+			modified.putFile(other, slices.Clone(b.data))
 		}
-		if cut.put(name, slices.Clone(text)); text == nil {
-			delete(cut.files, name)
+		if modified.putFile(name, slices.Clone(data)); data == nil {
+			delete(modified.files, name)
 		}
-		s, f, err := Open(cut, 0, 6, SyncNever, clock)
+		s, recovered, err := Open(modified, 0, 6, SyncNever, testClock)
 		if err != nil {
 			t.Fatalf("%s: %v", what, err)
 		}
-		// A cut at the end of a record of the last segment leaves no sign: the log is as it was then.
-		at := *m
-		if name == last && text != nil && !f.RecordsLost {
-			at.ran = map[string]bool{}
-			for _, e := range f.Events {
-				at.ran[e.ID] = m.ran[e.ID] && e.MayHaveRun()
+		// Truncation at the end of a record of the last segment cannot be detected: the log is as it was at that time.
+		expected := *m
+		if name == last && data != nil && !recovered.RecordsLost {
+			expected.attempted = map[string]bool{}
+			for _, e := range recovered.Events {
+				expected.attempted[e.ID] = m.attempted[e.ID] && e.MayHaveRun()
 			}
-			at.wait = m.wait // the mirror has them
+			expected.backoffs = m.backoffs // they are also in the mirror
 		}
-		at.check(t, what, f, false)
-		if text != nil && len(text) < len(files[name].text) && name != mirrorName && name != last &&
-			len(f.Faults) == 0 {
-			t.Errorf("%s: nobody was told", what)
+		expected.check(t, what, recovered, false)
+		if data != nil && len(data) < len(files[name].data) && name != mirrorName && name != last &&
+			len(recovered.Faults) == 0 {
+			t.Errorf("%s: no fault reported", what)
 		}
 		s.Close()
-		again, err := Recover(cut)
-		if err != nil || len(again.Events) != len(f.Events) {
+		reopened, err := Recover(modified)
+		if err != nil || len(reopened.Events) != len(recovered.Events) {
 			t.Errorf(
-				"%s: the next start finds %d events, not %d: %v",
+				"%s: next start recovers %d events, want %d: %v",
 				what,
-				len(again.Events),
-				len(f.Events),
+				len(reopened.Events),
+				len(recovered.Events),
 				err,
 			)
 		}
-		at.check(t, what+", next start", again, false)
+		expected.check(t, what+", next start", reopened, false)
 	}
 	step, flips := 7, 41
 	if os.Getenv("JASPERSILL_LONG") != "" {
@@ -244,132 +243,132 @@
 	}
 	cuts, flipped := 0, 0
 	for name, b := range files {
-		text := b.text
-		for at := 0; at < len(text); at += step {
-			look(fmt.Sprintf("%s cut at %d", name, at), name, text[:at])
+		data := b.data
+		for at := 0; at < len(data); at += step {
+			checkModified(fmt.Sprintf("%s truncated to %d bytes", name, at), name, data[:at])
 			cuts++
 		}
-		for at := 0; at < len(text); at += flips {
-			broken := bytes.Clone(text)
+		for at := 0; at < len(data); at += flips {
+			broken := bytes.Clone(data)
 			broken[at] ^= 1 << (at % 8)
-			look(fmt.Sprintf("%s flipped at %d", name, at), name, broken)
+			checkModified(fmt.Sprintf("%s with a bit flipped at %d", name, at), name, broken)
 			flipped++
 		}
-		look(name+" missing", name, nil)
+		checkModified(name+" missing", name, nil)
 	}
-	t.Logf("%d cuts and %d flips in %d files", cuts, flipped, len(files))
+	t.Logf("%d truncations and %d bit flips in %d files", cuts, flipped, len(files))
 }
 
-// Every call that changes a file is failed once, in each way, on the way through all that a store does.
-func TestACrashAtEveryCall(t *testing.T) {
-	calls := 0
-	for _, how := range []fault{before, after, half, noRoom} {
-		for at := 1; ; at++ {
-			m, folder := newModel(), newMemory()
-			folder.at, folder.how = at, how
-			what := fmt.Sprintf("call %d, fault %d", at, how)
-			s, _, err := Open(folder, 200<<10, 6, SyncNever, clock)
+// Fails every modifying file system call once, in each mode, during a run through all operations of a store.
+func TestRecoveryAfterCrashAtEveryCall(t *testing.T) {
+	crashes := 0
+	for _, mode := range []crashMode{crashBeforeCall, crashAfterCall, crashMidWrite, failNoSpace} {
+		for call := 1; ; call++ {
+			m, fsys := newModel(), newMemFS()
+			fsys.faultCall, fsys.faultMode = call, mode
+			what := fmt.Sprintf("call %d, fault %d", call, mode)
+			s, _, err := Open(fsys, 200<<10, 6, SyncNever, testClock)
 			for i := 0; err == nil && i < 24; i++ {
 				for _, step := range []int{0, 1, 2, 5, 6} {
-					if err = m.step(s, step, i); err != nil && !folder.gone {
+					if err = m.runStep(s, step, i); err != nil && !fsys.crashed {
 						err = nil
 					}
 				}
 				if i == 12 {
 					s.mu.Lock()
-					s.segSize = 4 << 10
+					s.segmentSize = 4 << 10
 					s.mu.Unlock()
 				}
 				if i > 16 && err == nil {
 					s.mu.Lock()
-					s.from = 1
+					s.compactionThreshold = 1
 					s.mu.Unlock()
-					if err = m.step(s, 7, i); err != nil && !folder.gone {
+					if err = m.runStep(s, 7, i); err != nil && !fsys.crashed {
 						err = nil
 					}
 					if err == nil && i%2 == 0 {
-						if err = m.step(s, 4, i-8); err != nil && !folder.gone {
+						if err = m.runStep(s, 4, i-8); err != nil && !fsys.crashed {
 							err = nil
 						}
 					}
 				}
 			}
-			ended := folder.calls < at
-			if ended {
+			finished := fsys.callCount < call
+			if finished {
 				break
 			}
-			calls++
-			next := folder.restarted()
+			crashes++
+			next := fsys.afterRestart()
 			if s != nil {
 				s.Close()
 			}
-			_, found, err := Open(next, 200<<10, 6, SyncNever, clock)
+			_, recovered, err := Open(next, 200<<10, 6, SyncNever, testClock)
 			if err != nil {
 				t.Fatalf("%s: %v", what, err)
 			}
-			m.check(t, what, found, !found.RecordsLost)
-			if how == noRoom && found.RecordsLost { // it went on: nothing may look lost
-				t.Errorf("%s: a write that failed leaves a gap: %v", what, found.Faults)
+			m.check(t, what, recovered, !recovered.RecordsLost)
+			if mode == failNoSpace && recovered.RecordsLost { // the process continued, so nothing may appear lost
+				t.Errorf("%s: failed write leaves a gap: %v", what, recovered.Faults)
 			}
 		}
 	}
-	if calls < 400 {
-		t.Errorf("only %d crashes were played", calls)
+	if crashes < 400 {
+		t.Errorf("only %d crashes simulated", crashes)
 	}
-	t.Logf("%d crashes", calls)
+	t.Logf("%d crashes", crashes)
 }
 
 func TestModelCheck(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m, folder := newModel(), newMemory()
-		s, _, err := Open(folder, 400<<10, 6, SyncNever, clock)
+		m, fsys := newModel(), newMemFS()
+		s, _, err := Open(fsys, 400<<10, 6, SyncNever, testClock)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			if what := rapid.IntRange(0, 9).Draw(t, "what"); what < 8 {
-				if err := m.step(s, what, rapid.IntRange(0, 15).Draw(t, "event")); err != nil {
+				if err := m.runStep(s, what, rapid.IntRange(0, 15).Draw(t, "event")); err != nil {
 					t.Fatal(err)
 				}
 			} else {
 				if what == 9 {
 					s.Close()
 				}
-				folder = folder.restarted() // a kill: all that was written is there
-				var f *Recovery
-				if s, f, err = Open(folder, 400<<10, 6, SyncNever, clock); err != nil {
+				fsys = fsys.afterRestart() // a kill: all written data is still there
+				var recovered *Recovery
+				if s, recovered, err = Open(fsys, 400<<10, 6, SyncNever, testClock); err != nil {
 					t.Fatal(err)
 				}
-				m.check(t, "restarted", f, true)
+				m.check(t, "restarted", recovered, true)
 			}
 			s.mu.Lock()
-			s.segSize = 2 << 10
+			s.segmentSize = 2 << 10
 			s.mu.Unlock()
 		}
 	})
 }
 
-func TestDiskFullThenRoomAgain(t *testing.T) {
-	folder := newMemory()
-	s, _ := open(t, folder, 300<<10)
-	taken := 0
+func TestAcceptWhenFullAndAfterCompaction(t *testing.T) {
+	fsys := newMemFS()
+	s, _ := openStore(t, fsys, 300<<10)
+	accepted := 0
 	for i := range 5000 {
-		_, err := s.Accept(event(i, strings.Repeat("x", 700)))
+		_, err := s.Accept(testEvent(i, strings.Repeat("x", 700)))
 		if errors.Is(err, ErrFull) {
 			break
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
-		taken++
+		accepted++
 	}
-	if taken < 50 || taken == 5000 {
-		t.Fatalf("%d events taken", taken)
+	if accepted < 50 || accepted == 5000 {
+		t.Fatalf("%d events accepted", accepted)
 	}
-	for i := range taken { // what was taken on can all be brought to its end
+	for i := range accepted { // every accepted event can be completed although the store is full
 		id := fmt.Sprintf("e%d", i)
 		for n := range 6 {
-			if err := errors.Join(s.RecordAttempt(id, 0, n, now, "zone"), s.RecordOutcome(id, 0, n, delivery.Errored).Wait()); err != nil {
+			if err := errors.Join(s.RecordAttempt(id, 0, n, testNow, "zone"), s.RecordOutcome(id, 0, n, delivery.Errored).Wait()); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -383,63 +382,63 @@
 	for more := true; more; {
 		more, _ = s.Compact(64 << 10)
 	}
-	if _, err := s.Accept(event(9999, "x")); err != nil {
-		t.Errorf("room again: %v", err)
+	if _, err := s.Accept(testEvent(9999, "x")); err != nil {
+		t.Errorf("accepting after compaction: %v", err)
 	}
 	s.Close()
 }
 
-func TestBodiesComeBackAsTheyCame(t *testing.T) {
-	folder := Dir(t.TempDir())
-	s, _ := open(t, folder, 0)
+func TestBodiesSurviveReopen(t *testing.T) {
+	fsys := Dir(t.TempDir())
+	s, _ := openStore(t, fsys, 0)
 	body := "a\r\n\x00" + strings.Repeat("long", 20<<10)
-	if _, err := s.Accept(event(1, body)); err != nil {
+	if _, err := s.Accept(testEvent(1, body)); err != nil {
 		t.Fatal(err)
 	}
 	if got, err := s.ReadBody("e1"); err != nil || string(got) != body {
 		t.Errorf("%d bytes, %v", len(got), err)
 	}
-	if _, _, err := Open(folder, 0, 6, SyncNever, clock); err == nil ||
+	if _, _, err := Open(fsys, 0, 6, SyncNever, testClock); err == nil ||
 		!strings.Contains(err.Error(), fmt.Sprint(os.Getpid())) {
 		t.Errorf("a second process: %v", err)
 	}
 	s.Close()
-	s, f := open(t, folder, 0)
-	if len(f.Events) != 1 || string(f.Events[0].Body) != body || f.Events[0].IdempotencyKey != "m" ||
-		f.Events[0].Dest != 1 {
-		t.Errorf("came back as %+v", f.Events)
+	s, recovered := openStore(t, fsys, 0)
+	if len(recovered.Events) != 1 || string(recovered.Events[0].Body) != body || recovered.Events[0].IdempotencyKey != "m" ||
+		recovered.Events[0].Dest != 1 {
+		t.Errorf("recovered as %+v", recovered.Events)
 	}
 	s.Close()
 }
 
-func TestAnOldFileIsNotTakenForANewOne(t *testing.T) {
-	a, b := newMemory(), newMemory()
-	s, _ := open(t, a, 0)
-	if _, err := s.Accept(event(1, "old")); err != nil {
+func TestSegmentOfAnotherStoreIsIgnored(t *testing.T) {
+	a, b := newMemFS(), newMemFS()
+	s, _ := openStore(t, a, 0)
+	if _, err := s.Accept(testEvent(1, "old")); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
-	s, _ = open(t, b, 0)
-	if _, err := s.Accept(event(2, "new")); err != nil {
+	s, _ = openStore(t, b, 0)
+	if _, err := s.Accept(testEvent(2, "new")); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
 	for name, old := range a.files {
 		if strings.HasPrefix(name, "seg-") {
-			b.put("seg-00000000000000ff", old.text)
+			b.putFile("seg-00000000000000ff", old.data)
 		}
 	}
-	s, f := open(t, b, 0)
+	s, recovered := openStore(t, b, 0)
 	defer s.Close()
-	if len(f.Events) != 1 || f.Events[0].ID != "e2" || len(f.Faults) != 1 ||
+	if len(recovered.Events) != 1 || recovered.Events[0].ID != "e2" || len(recovered.Faults) != 1 ||
 		b.files["seg-00000000000000ff"] == nil {
-		t.Errorf("%+v, %v", f.Events, f.Faults)
+		t.Errorf("%+v, %v", recovered.Events, recovered.Faults)
 	}
 }
 
-func TestManyWritersShareWrites(t *testing.T) {
-	folder := newMemory()
-	s, _ := open(t, folder, 0)
+func TestConcurrentWriters(t *testing.T) {
+	fsys := newMemFS()
+	s, _ := openStore(t, fsys, 0)
 	var wg sync.WaitGroup
 	const writers, each = 32, 50
 	for w := range writers {
@@ -447,8 +446,8 @@
 		go func() {
 			defer wg.Done()
 			for i := range each {
-				e := event(w*each+i, "body")
-				err := errors.Join(take(s, e), s.RecordAttempt(e.ID, 0, 0, now, "z"), s.RecordOutcome(e.ID, 0, 0, delivery.Acked).Wait())
+				e := testEvent(w*each+i, "body")
+				err := errors.Join(accept(s, e), s.RecordAttempt(e.ID, 0, 0, testNow, "z"), s.RecordOutcome(e.ID, 0, 0, delivery.Acked).Wait())
 				if err != nil {
 					t.Error(err)
 				}
@@ -462,28 +461,28 @@
 	}
 	wg.Wait()
 	s.Close()
-	f, err := Recover(folder)
-	if err != nil || len(f.Events) != writers*each/2 || len(f.Faults) > 0 || f.RecordsLost {
-		t.Errorf("%d events, %v, %v", len(f.Events), f.Faults, err)
+	recovered, err := Recover(fsys)
+	if err != nil || len(recovered.Events) != writers*each/2 || len(recovered.Faults) > 0 || recovered.RecordsLost {
+		t.Errorf("%d events, %v, %v", len(recovered.Events), recovered.Faults, err)
 	}
-	if !slices.IsSortedFunc(f.Events, func(a, b *Event) int { return int(a.ArrivalSeq) - int(b.ArrivalSeq) }) {
-		t.Error("not in the order of their coming")
+	if !slices.IsSortedFunc(recovered.Events, func(a, b *Event) int { return int(a.ArrivalSeq) - int(b.ArrivalSeq) }) {
+		t.Error("events are not in order of arrival")
 	}
 }
 
-// An event that is over while its state is copied must not come back with the copy.
-func TestOverWhileItIsCopied(t *testing.T) {
-	folder := newMemory()
-	s, _ := open(t, folder, 0)
+// Guards against an event that is completed while compaction copies its state, and is then recovered from the copy.
+func TestCompletionDuringCompaction(t *testing.T) {
+	fsys := newMemFS()
+	s, _ := openStore(t, fsys, 0)
 	for i := range 40 {
-		if _, err := s.Accept(event(i, strings.Repeat("x", 900))); err != nil {
+		if _, err := s.Accept(testEvent(i, strings.Repeat("x", 900))); err != nil {
 			t.Fatal(err)
 		}
-		s.segSize = 4 << 10
+		s.segmentSize = 4 << 10
 	}
-	s.from = 1
-	folder.reading = func() {
-		folder.reading = nil
+	s.compactionThreshold = 1
+	fsys.onReadAt = func() {
+		fsys.onReadAt = nil
 		for i := range 40 {
 			if err := s.Complete(fmt.Sprintf("e%d", i), 0, 0).Wait(); err != nil {
 				t.Error(err)
@@ -495,42 +494,42 @@
 		if more, err = s.Compact(1 << 20); err != nil {
 			t.Fatal(err)
 		}
-		more = more && len(s.segs) > 1
+		more = more && len(s.segments) > 1
 	}
 	s.Close()
-	if f, err := Recover(folder); err != nil || len(f.Events) > 0 {
-		t.Errorf("%d events come back: %v", len(f.Events), err)
+	if recovered, err := Recover(fsys); err != nil || len(recovered.Events) > 0 {
+		t.Errorf("%d events recovered as pending: %v", len(recovered.Events), err)
 	}
 }
 
-// What is acknowledged with Always must be there after a loss of power: only what was synced is.
+// What is acknowledged with SyncAlways must survive a power failure, after which only synced data is left.
 func TestPowerLoss(t *testing.T) {
-	m, folder := newModel(), newMemory()
-	s, _, err := Open(folder, 0, 6, SyncAlways, clock)
+	m, fsys := newModel(), newMemFS()
+	s, _, err := Open(fsys, 0, 6, SyncAlways, testClock)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range 30 {
 		for _, step := range []int{0, 1, 5} {
-			if err := m.step(s, step, i); err != nil {
+			if err := m.runStep(s, step, i); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	lost := newMemory()
-	for name, b := range folder.files {
-		lost.put(name, b.synced)
+	lost := newMemFS()
+	for name, b := range fsys.files {
+		lost.putFile(name, b.syncedData)
 	}
-	f, err := Recover(lost)
+	recovered, err := Recover(lost)
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.check(t, "power lost", f, true)
+	m.check(t, "after power failure", recovered, true)
 }
 
-func TestMemoryOfAHeldEvent(t *testing.T) {
-	folder := Dir(t.TempDir())
-	s, _ := open(t, folder, 0)
+func TestMemoryPerPendingEvent(t *testing.T) {
+	fsys := Dir(t.TempDir())
+	s, _ := openStore(t, fsys, 0)
 	defer s.Close()
 	heap := func() uint64 {
 		runtime.GC()
@@ -541,54 +540,54 @@
 	before := heap()
 	const n = 20000
 	for i := range n {
-		e := Event{ID: fmt.Sprintf("%016x", i), Kind: "charge", Owner: "acme", Dest: 7, Deadline: now,
+		e := Event{ID: fmt.Sprintf("%016x", i), Kind: "charge", Owner: "acme", Dest: 7, Deadline: testNow,
 			Body: make([]byte, 300)}
-		if err := take(s, e); err != nil {
+		if err := accept(s, e); err != nil {
 			t.Fatal(err)
 		}
 	}
 	each := (heap() - before) / n
-	t.Logf("%d bytes for each held event", each)
+	t.Logf("%d bytes per pending event", each)
 	if each > 420 {
-		t.Errorf("%d bytes for each held event", each)
+		t.Errorf("%d bytes per pending event, want at most 420", each)
 	}
 	runtime.KeepAlive(s)
 }
 
 func FuzzRecover(f *testing.F) {
-	folder := newMemory()
-	fill(f, newModel(), folder).Close()
-	for name, b := range folder.files {
+	fsys := newMemFS()
+	fillStore(f, newModel(), fsys).Close()
+	for name, b := range fsys.files {
 		if strings.HasPrefix(name, "seg-") {
-			f.Add(b.text[:min(len(b.text), 3000)])
+			f.Add(b.data[:min(len(b.data), 3000)])
 		}
 	}
-	f.Fuzz(func(t *testing.T, text []byte) {
-		m := newMemory()
-		m.put("seg-0000000000000001", text)
-		s, _, err := Open(m, 0, 6, SyncNever, clock)
+	f.Fuzz(func(t *testing.T, data []byte) {
+		fsys := newMemFS()
+		fsys.putFile("seg-0000000000000001", data)
+		s, _, err := Open(fsys, 0, 6, SyncNever, testClock)
 		if err == nil {
 			s.Close()
 		}
 	})
 }
 
-func TestFolderGone(t *testing.T) {
+func TestOpenMissingFolder(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "none")
-	if _, _, err := Open(Dir(name), 0, 6, SyncNever, clock); err == nil {
-		t.Error("a folder that is not there is opened")
+	if _, _, err := Open(Dir(name), 0, 6, SyncNever, testClock); err == nil {
+		t.Error("opened a folder that does not exist")
 	}
 }
 
-// The next start where so many events are held: what docs/store.md states.
+// Measures recovery with the given numbers of pending events, as stated in docs/store.md.
 func BenchmarkRecovery(b *testing.B) {
 	for _, held := range []int{10000, 100000} {
 		b.Run(fmt.Sprint(held, "-held"), func(b *testing.B) {
-			folder := Dir(b.TempDir())
-			s, _ := open(b, folder, 1<<30)
-			for i := range 3 * held { // two in three are over by then
-				e := event(i, strings.Repeat("x", 300))
-				if err := take(s, e); err != nil {
+			fsys := Dir(b.TempDir())
+			s, _ := openStore(b, fsys, 1<<30)
+			for i := range 3 * held { // two in three are completed
+				e := testEvent(i, strings.Repeat("x", 300))
+				if err := accept(s, e); err != nil {
 					b.Fatal(err)
 				}
 				if i%3 != 0 {
@@ -599,9 +598,9 @@
 			}
 			s.Close()
 			for b.Loop() {
-				f, err := Recover(folder)
-				if err != nil || len(f.Events) != held {
-					b.Fatalf("%d events: %v", len(f.Events), err)
+				recovered, err := Recover(fsys)
+				if err != nil || len(recovered.Events) != held {
+					b.Fatalf("%d events: %v", len(recovered.Events), err)
 				}
 			}
 		})
