--- a/lab/faultproxy/faultproxy.go
+++ b/lab/faultproxy/faultproxy.go
@@ -1,10 +1,10 @@
-// Package faultproxy stands between two ends on loopback and disturbs what passes: bytes of a TCP connection are
-// repeated, held back, split, merged, cut off, dripped or altered, one direction is ended, connections are reset;
-// datagrams are repeated, delayed, reordered and dropped. Which pieces are disturbed is drawn from a seed.
+// Package faultproxy provides proxies on loopback that inject network faults. Data on a TCP connection is repeated, held
+// back, split, merged, truncated, dripped or altered, one direction is closed, or the connection is reset. Datagrams are
+// repeated, delayed, reordered or dropped. Which data is affected is drawn from a seed.
 //
-// The proxy knows no protocol. It disturbs pieces: what one read returned, which on loopback is what the sender wrote
-// in one call. The endpoint of a disturbed connection can ask whether it was disturbed, so that an oracle can tell a
-// fault of the path from one of its ends.
+// The proxy does not parse any protocol. A fault applies to a chunk: the result of one read, which on loopback is usually
+// what the sender wrote in one call. Both ends can ask whether a connection was disturbed, so that a test can tell an
+// injected fault from a fault of the program under test.
 package faultproxy
 
 import (
@@ -19,77 +19,79 @@
 	"golang.org/x/sys/unix"
 )
 
-// Kind is a way of disturbing a piece.
+// Kind is a kind of fault.
 type Kind string
 
 // The kinds of faults.
 const (
-	Repeat   Kind = "repeat"   // the piece goes out a second time, after the delay
-	Hold     Kind = "hold"     // the piece goes out after the delay, and so do those behind it
-	Split    Kind = "split"    // the piece goes out in two, the second after the delay
-	Merge    Kind = "merge"    // the piece waits for the next one for as long as the delay, and goes out with it
-	Truncate Kind = "truncate" // only a part of the piece goes out, and the direction ends
-	Drip     Kind = "drip"     // the piece goes out byte by byte, over the delay
-	Alter    Kind = "alter"    // a byte of the piece is changed
-	Reset    Kind = "reset"    // the connection is reset in place of the piece
-	EndOne   Kind = "end-one"  // the piece goes out, and then the direction ends while the other goes on
+	Repeat    Kind = "repeat"   // the chunk is sent again after the delay
+	Hold      Kind = "hold"     // the chunk and all chunks behind it are held back for the delay
+	Split     Kind = "split"    // the chunk is sent in two parts, the second after the delay
+	Merge     Kind = "merge"    // the chunk waits up to the delay for the next one and is sent with it
+	Truncate  Kind = "truncate" // only a part of the chunk is sent, and the direction is closed
+	Drip      Kind = "drip"     // the chunk is sent byte by byte over the delay
+	Alter     Kind = "alter"    // one bit of the chunk is flipped
+	Reset     Kind = "reset"    // the connection is reset instead of sending the chunk
+	HalfClose Kind = "end-one"  // the chunk is sent and its direction is closed, while the other one stays open
 )
 
 // Kinds lists the kinds of faults.
-func Kinds() []Kind { return []Kind{Repeat, Hold, Split, Merge, Truncate, Drip, Alter, Reset, EndOne} }
+func Kinds() []Kind {
+	return []Kind{Repeat, Hold, Split, Merge, Truncate, Drip, Alter, Reset, HalfClose}
+}
 
-// Direction is a direction of a connection, seen from the side that connects.
+// Direction is a direction of a connection.
 type Direction uint8
 
 // The directions.
 const (
-	Requests Direction = iota // from the connecting side to the target
-	Answers                   // from the target
+	Requests  Direction = iota // from the client to the target
+	Responses                  // from the target to the client
 )
 
-// Fault is one kind of fault and when it strikes.
+// Fault is a kind of fault and the conditions under which it is injected.
 type Fault struct {
-	Kind        Kind
-	Direction   Direction
-	Share       float64       // of the pieces, 0 to 1
-	Least, Most time.Duration // the delay is drawn from this range
-	Until       time.Time     // the fault ends then; zero for never
-
-	// After strikes only from this piece of a connection's direction on, counted from 1; 0 for any.
-	After int
+	Kind               Kind
+	Direction          Direction
+	Probability        float64       // for each chunk, 0 to 1
+	MinDelay, MaxDelay time.Duration // the delay is drawn from this range
+	Until              time.Time     // end of the fault, zero for none
+
+	// FirstChunk is the first chunk of a connection's direction that the fault applies to, counted from 1; 0 means all.
+	FirstChunk int
 }
 
-// maxPiece is the most that one read takes: a request or an answer of the largest size goes through in one piece.
-const maxPiece = 80 << 10
+// maxChunk is the size of the read buffer. A request or response of the largest size fits into one chunk.
+const maxChunk = 80 << 10
 
-// Proxy is one address that leads to a target.
+// Proxy listens on one address and forwards connections to a target.
 type Proxy struct {
 	listener net.Listener
 	target   string
 
-	mu     sync.Mutex
-	random *rand.Rand
-	faults []Fault
-	open   map[*Connection]struct{}
-	seen   map[string]*Connection // newest, by the address from which the target sees it
-	from   map[string]*Connection // newest, by the address of its client
-	closed bool
-	struck int // pieces
+	mu       sync.Mutex
+	random   *rand.Rand
+	faults   []Fault
+	open     map[*Connection]struct{}
+	byTarget map[string]*Connection // newest, by the proxy's address on its connection to the target
+	byClient map[string]*Connection // newest, by the client's address
+	closed   bool
+	faulted  int // chunks
 }
 
-// Listen opens a proxy on an address of the loopback network that leads to a target.
+// Listen opens a proxy on a loopback address that forwards connections to a target.
 func Listen(address, target string, seed uint64) (*Proxy, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	p := &Proxy{listener: listener, target: target, random: rand.New(rand.NewPCG(seed, 0xfa017)),
-		open: map[*Connection]struct{}{}, seen: map[string]*Connection{}, from: map[string]*Connection{}}
+		open: map[*Connection]struct{}{}, byTarget: map[string]*Connection{}, byClient: map[string]*Connection{}}
 	go p.serve()
 	return p, nil
 }
 
-// Address is where the proxy listens.
+// Address returns the address that the proxy listens on.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
 // Add puts a fault in force.
@@ -99,25 +101,25 @@
 	p.faults = append(p.faults, f)
 }
 
-// SeenAs finds an open connection by the address from which the target sees it, nil for none.
-func (p *Proxy) SeenAs(address net.Addr) *Connection {
+// ConnToTarget returns the open connection that the target accepted from the given remote address, or nil.
+func (p *Proxy) ConnToTarget(address net.Addr) *Connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.seen[address.String()]
+	return p.byTarget[address.String()]
 }
 
-// From finds the newest connection by its client's address. It is nil for one that the target has not taken.
-func (p *Proxy) From(address net.Addr) *Connection {
+// ConnFromClient returns the newest connection from the given client address, or nil if the target did not accept it.
+func (p *Proxy) ConnFromClient(address net.Addr) *Connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.from[address.String()]
+	return p.byClient[address.String()]
 }
 
-// Struck is how many pieces faults have struck.
-func (p *Proxy) Struck() int {
+// FaultCount returns the number of chunks that had a fault injected.
+func (p *Proxy) FaultCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.struck
+	return p.faulted
 }
 
 // Close closes the proxy and its connections.
@@ -141,33 +143,33 @@
 	}
 }
 
-// relay carries one connection until both directions have ended.
-func (p *Proxy) relay(near *net.TCPConn) {
+// relay forwards one connection until both directions are closed.
+func (p *Proxy) relay(client *net.TCPConn) {
 	p.mu.Lock()
-	delete(p.from, near.RemoteAddr().String()) // of an earlier connection from that address
+	delete(p.byClient, client.RemoteAddr().String()) // an earlier connection from the same address
 	p.mu.Unlock()
-	far, err := net.Dial("tcp", p.target)
+	target, err := net.Dial("tcp", p.target)
 	if err != nil {
-		near.SetLinger(0)
-		near.Close()
+		client.SetLinger(0)
+		client.Close()
 		return
 	}
-	c := &Connection{proxy: p, near: near, far: far.(*net.TCPConn)}
+	c := &Connection{proxy: p, client: client, target: target.(*net.TCPConn)}
 	if !p.register(c) {
 		c.reset()
 		return
 	}
 	var directions sync.WaitGroup
-	directions.Go(func() { (&stream{connection: c, direction: Requests, from: c.near, to: c.far}).run() })
-	directions.Go(func() { (&stream{connection: c, direction: Answers, from: c.far, to: c.near}).run() })
+	directions.Go(func() { (&stream{connection: c, direction: Requests, from: c.client, to: c.target}).run() })
+	directions.Go(func() { (&stream{connection: c, direction: Responses, from: c.target, to: c.client}).run() })
 	directions.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c.near.Close()
-	c.far.Close()
+	c.client.Close()
+	c.target.Close()
 	delete(p.open, c)
-	if address := c.far.LocalAddr().String(); p.seen[address] == c { // the port will be another connection's
-		delete(p.seen, address)
+	if address := c.target.LocalAddr().String(); p.byTarget[address] == c { // the port may be reused by another connection
+		delete(p.byTarget, address)
 	}
 }
 
@@ -178,31 +180,32 @@
 		return false
 	}
 	p.open[c] = struct{}{}
-	p.seen[c.far.LocalAddr().String()] = c
-	p.from[c.near.RemoteAddr().String()] = c
+	p.byTarget[c.target.LocalAddr().String()] = c
+	p.byClient[c.client.RemoteAddr().String()] = c
 	return true
 }
 
-// draw picks the fault that strikes a piece, if any, and its delay.
-func (p *Proxy) draw(d Direction, piece int) (f Fault, delay time.Duration, strikes bool) {
+// drawFault returns the fault to inject into a chunk and its delay, and false for none.
+func (p *Proxy) drawFault(d Direction, chunk int) (f Fault, delay time.Duration, found bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
 	for _, f := range p.faults {
-		if f.Direction != d || piece < f.After || (!f.Until.IsZero() && now.After(f.Until)) || p.random.Float64() >= f.Share {
+		if f.Direction != d || chunk < f.FirstChunk || (!f.Until.IsZero() && now.After(f.Until)) ||
+			p.random.Float64() >= f.Probability {
 			continue
 		}
-		p.struck++
-		delay = f.Least
-		if f.Most > f.Least {
-			delay += time.Duration(p.random.Int64N(int64(f.Most - f.Least)))
+		p.faulted++
+		delay = f.MinDelay
+		if f.MaxDelay > f.MinDelay {
+			delay += time.Duration(p.random.Int64N(int64(f.MaxDelay - f.MinDelay)))
 		}
 		return f, delay, true
 	}
 	return Fault{}, 0, false
 }
 
-func (p *Proxy) position(length int) int {
+func (p *Proxy) randomIndex(length int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.random.IntN(length)
@@ -210,22 +213,22 @@
 
 // Connection is one connection through the proxy.
 type Connection struct {
-	proxy     *Proxy
-	near, far *net.TCPConn
-	disturbed atomic.Bool
+	proxy          *Proxy
+	client, target *net.TCPConn
+	disturbed      atomic.Bool
 
-	requestsEnded atomic.Bool // the client sends nothing more
+	requestsEnded atomic.Bool // the client has closed its sending direction
 }
 
-// Disturbed tells whether a fault has struck the connection. Nil counts as undisturbed.
+// Disturbed reports whether a fault was injected into the connection. It returns false for nil.
 func (c *Connection) Disturbed() bool { return c != nil && c.disturbed.Load() }
 
-// reset ends both sides at once.
+// reset resets the connections on both sides.
 func (c *Connection) reset() {
-	c.near.SetLinger(0)
-	c.far.SetLinger(0)
-	c.near.Close()
-	c.far.Close()
+	c.client.SetLinger(0)
+	c.target.SetLinger(0)
+	c.client.Close()
+	c.target.Close()
 }
 
 // stream is one direction of a connection.
@@ -233,19 +236,19 @@
 	connection *Connection
 	direction  Direction
 	from, to   *net.TCPConn
-	pieces     int
-	waiting    []byte // held for the next piece
+	chunks     int
+	pending    []byte // held back by a Merge fault
 
-	mu    sync.Mutex // orders writes: repeated pieces go out between others
+	mu    sync.Mutex // serializes writes, because repeated chunks are sent from timers
 	ended bool
 }
 
-// run carries pieces until the direction ends. What breaks on one side breaks on the other.
+// run forwards chunks until the direction is closed. A reset on one side resets the other.
 func (s *stream) run() {
-	buffer := make([]byte, maxPiece)
+	buffer := make([]byte, maxChunk)
 	for {
 		n, err := s.from.Read(buffer)
-		if n > 0 && !s.carry(buffer[:n]) {
+		if n > 0 && !s.forward(buffer[:n]) {
 			return
 		}
 		switch {
@@ -253,8 +256,8 @@
 			if s.direction == Requests {
 				s.connection.requestsEnded.Store(true)
 			}
-			s.end()
-			if s.direction == Requests && isReset(s.from) { // an answer on its way met the end
+			s.closeWrite()
+			if s.direction == Requests && isReset(s.from) { // a response reached a socket that was already closed
 				s.connection.reset()
 			}
 			return
@@ -265,111 +268,110 @@
 	}
 }
 
-// carry sends one piece on. It tells false if the direction ends with it.
-func (s *stream) carry(read []byte) bool {
-	s.pieces++
-	piece := append(s.waiting, read...)
-	s.waiting = nil
-	fault, delay, strikes := s.connection.proxy.draw(s.direction, s.pieces)
-	if !strikes {
-		return s.write(piece)
+// forward forwards one chunk. It returns false if the direction is closed afterwards.
+func (s *stream) forward(read []byte) bool {
+	s.chunks++
+	chunk := append(s.pending, read...)
+	s.pending = nil
+	fault, delay, found := s.connection.proxy.drawFault(s.direction, s.chunks)
+	if !found {
+		return s.write(chunk)
 	}
 	s.connection.disturbed.Store(true)
 	switch fault.Kind {
 	case Repeat:
-		return s.repeat(piece, delay)
+		return s.repeat(chunk, delay)
 	case Hold:
 		time.Sleep(delay)
 	case Split:
-		at := s.connection.proxy.position(len(piece))
-		if !s.write(piece[:at]) {
+		at := s.connection.proxy.randomIndex(len(chunk))
+		if !s.write(chunk[:at]) {
 			return false
 		}
 		time.Sleep(delay)
-		piece = piece[at:]
+		chunk = chunk[at:]
 	case Merge:
-		s.waiting = append([]byte(nil), piece...)
-		s.flushAfter(delay)
+		s.pending = append([]byte(nil), chunk...)
+		s.merge(delay)
 		return true
 	case Truncate:
-		s.write(piece[:s.connection.proxy.position(len(piece))])
-		s.end()
+		s.write(chunk[:s.connection.proxy.randomIndex(len(chunk))])
+		s.closeWrite()
 		return false
 	case Drip:
-		return s.drip(piece, delay)
+		return s.drip(chunk, delay)
 	case Alter:
-		piece = append([]byte(nil), piece...)
-		piece[s.connection.proxy.position(len(piece))] ^= 0x01
+		chunk = append([]byte(nil), chunk...)
+		chunk[s.connection.proxy.randomIndex(len(chunk))] ^= 0x01
 	case Reset:
 		s.connection.reset()
 		return false
-	case EndOne:
-		s.write(piece)
-		s.end()
+	case HalfClose:
+		s.write(chunk)
+		s.closeWrite()
 		return false
 	}
-	return s.write(piece)
+	return s.write(chunk)
 }
 
-// repeat sends a piece twice, in one write where there is no delay.
-func (s *stream) repeat(piece []byte, delay time.Duration) bool {
-	copied := append([]byte(nil), piece...)
+// repeat sends a chunk twice, in one write if there is no delay.
+func (s *stream) repeat(chunk []byte, delay time.Duration) bool {
+	copied := append([]byte(nil), chunk...)
 	if delay == 0 {
 		return s.write(append(copied, copied...))
 	}
-	if !s.write(piece) {
+	if !s.write(chunk) {
 		return false
 	}
 	time.AfterFunc(delay, func() { s.write(copied) })
 	return true
 }
 
-// flushAfter sends what waits for the next piece if none comes in time.
-func (s *stream) flushAfter(delay time.Duration) {
+// merge sends the pending chunk together with the next one, or alone if none arrives within the delay.
+func (s *stream) merge(delay time.Duration) {
 	s.from.SetReadDeadline(time.Now().Add(delay))
-	buffer := make([]byte, maxPiece)
+	buffer := make([]byte, maxChunk)
 	n, _ := s.from.Read(buffer)
 	s.from.SetReadDeadline(time.Time{})
-	piece := append(s.waiting, buffer[:n]...)
-	s.waiting = nil
-	s.write(piece)
+	chunk := append(s.pending, buffer[:n]...)
+	s.pending = nil
+	s.write(chunk)
 }
 
-func (s *stream) drip(piece []byte, over time.Duration) bool {
-	rest := over / time.Duration(len(piece))
-	for i := range piece {
-		if !s.write(piece[i : i+1]) {
+func (s *stream) drip(chunk []byte, over time.Duration) bool {
+	pause := over / time.Duration(len(chunk))
+	for i := range chunk {
+		if !s.write(chunk[i : i+1]) {
 			return false
 		}
-		time.Sleep(rest)
+		time.Sleep(pause)
 	}
 	return true
 }
 
-func (s *stream) write(piece []byte) bool {
+func (s *stream) write(chunk []byte) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ended {
 		return false
 	}
-	if _, err := s.to.Write(piece); err != nil {
+	if _, err := s.to.Write(chunk); err != nil {
 		s.connection.reset()
 		return false
 	}
-	if s.direction == Answers && s.connection.requestsEnded.Load() && isReset(s.to) {
-		s.connection.reset() // the client has closed: the answer reached nobody
+	if s.direction == Responses && s.connection.requestsEnded.Load() && isReset(s.to) {
+		s.connection.reset() // the client has closed the connection and does not read the response
 		return false
 	}
 	return true
 }
 
-// resetWithin is more than it takes on loopback, on a busy machine too, until what was written to a closed socket comes
-// back as a reset.
-const resetWithin = 20 * time.Millisecond
+// resetDelay is longer than a write to a closed socket takes on loopback to cause a reset, even on a busy machine.
+const resetDelay = 20 * time.Millisecond
 
-// isReset tells whether the other side of a connection has reset it.
+// isReset reports whether the peer has reset a connection.
 func isReset(conn *net.TCPConn) (reset bool) {
-	time.Sleep(resetWithin)
+	time.Sleep(resetDelay)
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return true
@@ -381,8 +383,8 @@
 	return reset
 }
 
-// end tells the other side that nothing more comes in this direction.
-func (s *stream) end() {
+// closeWrite closes the direction towards the receiving side.
+func (s *stream) closeWrite() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ended = true
--- a/lab/faultproxy/faultproxy_test.go
+++ b/lab/faultproxy/faultproxy_test.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// Guards against a proxy that disturbs nothing, or more than it was told.
-func TestEachFaultDoesWhatItSays(t *testing.T) {
+// Guards against a proxy that injects no fault, or a different one than requested.
+func TestEachFaultIsInjected(t *testing.T) {
 	const sent = "0123456789"
 	for kind, want := range map[Kind]func(got []byte) bool{
-		"":       func(got []byte) bool { return string(got) == sent },
-		Repeat:   func(got []byte) bool { return string(got) == sent+sent },
-		Hold:     func(got []byte) bool { return string(got) == sent },
-		Split:    func(got []byte) bool { return string(got) == sent },
-		Merge:    func(got []byte) bool { return string(got) == sent },
-		Drip:     func(got []byte) bool { return string(got) == sent },
-		EndOne:   func(got []byte) bool { return string(got) == sent },
-		Truncate: func(got []byte) bool { return len(got) < len(sent) && bytes.HasPrefix([]byte(sent), got) },
-		Alter:    func(got []byte) bool { return len(got) == len(sent) && string(got) != sent },
-		Reset:    func(got []byte) bool { return len(got) == 0 },
+		"":        func(got []byte) bool { return string(got) == sent },
+		Repeat:    func(got []byte) bool { return string(got) == sent+sent },
+		Hold:      func(got []byte) bool { return string(got) == sent },
+		Split:     func(got []byte) bool { return string(got) == sent },
+		Merge:     func(got []byte) bool { return string(got) == sent },
+		Drip:      func(got []byte) bool { return string(got) == sent },
+		HalfClose: func(got []byte) bool { return string(got) == sent },
+		Truncate:  func(got []byte) bool { return len(got) < len(sent) && bytes.HasPrefix([]byte(sent), got) },
+		Alter:     func(got []byte) bool { return len(got) == len(sent) && string(got) != sent },
+		Reset:     func(got []byte) bool { return len(got) == 0 },
 	} {
 		target, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -32,7 +32,7 @@
 			if err != nil {
 				return
 			}
-			io.ReadFull(conn, make([]byte, 1)) // its client is connected, and does not meet a reset before
+			io.ReadFull(conn, make([]byte, 1)) // waits until the client is connected, so that a reset comes after that
 			io.WriteString(conn, sent)
 			time.Sleep(100 * time.Millisecond)
 			conn.Close()
@@ -42,7 +42,7 @@
 			t.Fatal(err)
 		}
 		if kind != "" {
-			p.Add(Fault{Kind: kind, Direction: Answers, Share: 1, Least: 5 * time.Millisecond, Most: 10 * time.Millisecond})
+			p.Add(Fault{Kind: kind, Direction: Responses, Probability: 1, MinDelay: 5 * time.Millisecond, MaxDelay: 10 * time.Millisecond})
 		}
 		conn, err := net.Dial("tcp", p.Address())
 		if err != nil {
@@ -53,7 +53,7 @@
 		if !want(got) {
 			t.Errorf("%q: got %q", kind, got)
 		}
-		if disturbed := p.From(conn.LocalAddr()).Disturbed(); disturbed != (kind != "") {
+		if disturbed := p.ConnFromClient(conn.LocalAddr()).Disturbed(); disturbed != (kind != "") {
 			t.Errorf("%q: disturbed: %v", kind, disturbed)
 		}
 		conn.Close()
@@ -62,7 +62,7 @@
 	}
 }
 
-// Guards against datagrams that pass undisturbed, or reach nobody.
+// Guards against a proxy that forwards all datagrams undisturbed, or none.
 func TestDatagramsAreRepeatedAndDropped(t *testing.T) {
 	receiver, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -74,8 +74,8 @@
 		t.Fatal(err)
 	}
 	defer d.Close()
-	d.SendTo([]*net.UDPAddr{receiver.LocalAddr().(*net.UDPAddr)})
-	d.Disturb(0.5, time.Millisecond)
+	d.SetReceivers([]*net.UDPAddr{receiver.LocalAddr().(*net.UDPAddr)})
+	d.SetFaults(0.5, time.Millisecond)
 	sender, err := net.Dial("udp", d.Address())
 	if err != nil {
 		t.Fatal(err)
@@ -88,19 +88,19 @@
 		time.Sleep(time.Millisecond)
 	}
 	receiver.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
-	for one := make([]byte, 1); ; {
-		if _, err := receiver.Read(one); err != nil {
+	for datagram := make([]byte, 1); ; {
+		if _, err := receiver.Read(datagram); err != nil {
 			break
 		}
-		counts[one[0]]++
+		counts[datagram[0]]++
 	}
-	twice := 0
+	repeated := 0
 	for _, n := range counts {
 		if n > 1 {
-			twice++
+			repeated++
 		}
 	}
-	if len(counts) == 0 || len(counts) == sent || twice == 0 {
-		t.Errorf("%d of %d came, %d of them twice", len(counts), sent, twice)
+	if len(counts) == 0 || len(counts) == sent || repeated == 0 {
+		t.Errorf("%d of %d datagrams received, %d of them twice", len(counts), sent, repeated)
 	}
 }
--- a/lab/report/page.go
+++ b/lab/report/page.go
@@ -2,7 +2,7 @@
 
 import (
 	"bytes"
-	_ "embed" // the page
+	_ "embed" // for page.html
 	"fmt"
 	"html/template"
 	"image/color"
@@ -16,73 +16,73 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"jaspersill/lab/ledger"
-	"jaspersill/lab/run"
+	"jaspersill/lab/checker"
+	"jaspersill/lab/runner"
 	"jaspersill/lab/scenario"
 )
 
 const (
-	chartWide = 22 * vg.Centimeter
-	chartHigh = 7 * vg.Centimeter
+	chartWidth  = 22 * vg.Centimeter
+	chartHeight = 7 * vg.Centimeter
 )
 
-var shade = color.NRGBA{R: 200, G: 80, B: 40, A: 36}
+var faultColor = color.NRGBA{R: 200, G: 80, B: 40, A: 36}
 
-// line is one line of a chart.
-type line struct {
+// series is a named line of a chart.
+type series struct {
 	name   string
 	points plotter.XYs
 	dashed bool
 }
 
-// chart draws lines over the seconds of a run, with the troubles as shaded spans, as SVG.
-func chart(title, y string, day *scenario.Scenario, lines []line) (template.HTML, error) {
+// renderChart draws lines over the time of a run as SVG. The durations of the scenario's faults are shaded.
+func renderChart(title, yLabel string, sc *scenario.Scenario, lines []series) (template.HTML, error) {
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds of the run", y
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds of the run", yLabel
 	p.Legend.Top, p.Legend.Left = true, true
 	p.Add(plotter.NewGrid())
-	top, end := 0.0, 1.0
+	maxY, end := 0.0, 1.0
 	for _, l := range lines {
 		for _, xy := range l.points {
-			top, end = math.Max(top, xy.Y), math.Max(end, xy.X)
+			maxY, end = math.Max(maxY, xy.Y), math.Max(end, xy.X)
 		}
 	}
-	if top == 0 {
-		top = 1
+	if maxY == 0 {
+		maxY = 1
 	}
-	if day != nil {
-		for _, t := range day.Troubles {
-			from, to := float64(t.At)/1e9, float64(t.At+t.For)/1e9
-			if t.For == 0 {
+	if sc != nil {
+		for _, t := range sc.Faults {
+			from, to := float64(t.Start)/1e9, float64(t.Start+t.Duration)/1e9
+			if t.Duration == 0 {
 				to = from + end/300
 			}
-			box, err := plotter.NewPolygon(
-				plotter.XYs{{X: from, Y: 0}, {X: to, Y: 0}, {X: to, Y: top}, {X: from, Y: top}},
+			area, err := plotter.NewPolygon(
+				plotter.XYs{{X: from, Y: 0}, {X: to, Y: 0}, {X: to, Y: maxY}, {X: from, Y: maxY}},
 			)
 			if err != nil {
 				return "", err
 			}
-			box.Color, box.LineStyle.Width = shade, 0
-			p.Add(box)
+			area.Color, area.LineStyle.Width = faultColor, 0
+			p.Add(area)
 		}
 	}
 	for i, l := range lines {
 		if len(l.points) == 0 {
 			continue
 		}
-		drawn, err := plotter.NewLine(l.points)
+		curve, err := plotter.NewLine(l.points)
 		if err != nil {
 			return "", err
 		}
-		drawn.Color, drawn.Width = plotutil.Color(i), vg.Points(1.2)
+		curve.Color, curve.Width = plotutil.Color(i), vg.Points(1.2)
 		if l.dashed {
-			drawn.Dashes = []vg.Length{vg.Points(5), vg.Points(3)}
+			curve.Dashes = []vg.Length{vg.Points(5), vg.Points(3)}
 		}
-		p.Add(drawn)
-		p.Legend.Add(l.name, drawn)
+		p.Add(curve)
+		p.Legend.Add(l.name, curve)
 	}
-	p.X.Min, p.X.Max, p.Y.Min, p.Y.Max = 0, end, 0, top*1.15
-	c := vgsvg.New(chartWide, chartHigh)
+	p.X.Min, p.X.Max, p.Y.Min, p.Y.Max = 0, end, 0, maxY*1.15
+	c := vgsvg.New(chartWidth, chartHeight)
 	p.Draw(draw.New(c))
 	var b bytes.Buffer
 	if _, err := c.WriteTo(&b); err != nil {
@@ -90,103 +90,103 @@
 	}
 	svg := b.Bytes()
 	if at := bytes.Index(svg, []byte("<svg")); at > 0 {
-		svg = svg[at:] // the page has its own head
+		svg = svg[at:] // drops the XML declaration, because the SVG is embedded in HTML
 	}
 	return template.HTML(svg), nil
 }
 
-func points(seconds []run.Second, of func(*run.Second) float64) (xys plotter.XYs) {
+func secondSeries(seconds []runner.SecondStats, value func(*runner.SecondStats) float64) (xys plotter.XYs) {
 	for i := range seconds {
-		if v := of(&seconds[i]); !math.IsNaN(v) && !math.IsInf(v, 0) {
-			xys = append(xys, plotter.XY{X: float64(seconds[i].At), Y: v})
+		if v := value(&seconds[i]); !math.IsNaN(v) && !math.IsInf(v, 0) {
+			xys = append(xys, plotter.XY{X: float64(seconds[i].Start), Y: v})
 		}
 	}
 	return xys
 }
 
-// charts draws what the sets' detailed runs show.
-func (f *File) charts() (charts []template.HTML, err error) {
-	day, err := scenario.Read(scenarioName, []byte(f.Scenario), nil)
+// renderCharts draws the charts of the runs that have per-second statistics, and of the load results.
+func (f *File) renderCharts() (charts []template.HTML, err error) {
+	sc, err := scenario.Read(scenarioFile, []byte(f.Scenario), nil)
 	if err != nil {
 		return nil, err
 	}
-	add := func(title, y string, lines []line) {
+	add := func(title, yLabel string, lines []series) {
 		if err == nil {
 			var c template.HTML
-			if c, err = chart(title, y, day, lines); err == nil {
+			if c, err = renderChart(title, yLabel, sc, lines); err == nil {
 				charts = append(charts, c)
 			}
 		}
 	}
-	var utility []line
-	for _, s := range f.Sets {
+	var utility []series
+	for _, s := range f.Variants {
 		if len(s.Results) > 0 && len(s.Results[0].Seconds) > 0 {
-			utility = append(utility, line{name: s.Name, points: points(s.Results[0].Seconds,
-				func(x *run.Second) float64 { return x.Utility })})
+			utility = append(utility, series{name: s.Name, points: secondSeries(s.Results[0].Seconds,
+				func(x *runner.SecondStats) float64 { return x.Utility })})
 		}
 	}
 	if len(utility) > 0 {
-		add("Utility delivered of what each second asked for", "share", utility)
+		add("Share of the utility requested in each second that was delivered", "share", utility)
 	}
-	for i, s := range f.Sets {
+	for i, s := range f.Variants {
 		if len(s.Results) == 0 || len(s.Results[0].Seconds) == 0 || (i > 0 && f.Kind == "sweep") || i > 2 {
 			continue
 		}
 		seconds := s.Results[0].Seconds
-		var latency []line
-		for n, p := range run.Percentiles[:3] {
-			latency = append(latency, line{name: fmt.Sprintf("p%g", p), points: points(seconds,
-				func(x *run.Second) float64 { return x.Latency[n] })})
-		}
-		add(s.Name+": time from the asking to the delivery", "ms", latency)
-		var outcomes []line
-		for n, name := range ledger.Outcomes {
-			l := line{
+		var latency []series
+		for n, p := range runner.Percentiles[:3] {
+			latency = append(latency, series{name: fmt.Sprintf("p%g", p), points: secondSeries(seconds,
+				func(x *runner.SecondStats) float64 { return x.LatencyMs[n] })})
+		}
+		add(s.Name+": latency from the first request to the delivery", "ms", latency)
+		var outcomes []series
+		for n, name := range checker.OutcomeNames {
+			l := series{
 				name:   name,
-				points: points(seconds, func(x *run.Second) float64 { return float64(x.Outcomes[n]) }),
+				points: secondSeries(seconds, func(x *runner.SecondStats) float64 { return float64(x.Outcomes[n]) }),
 			}
-			if has(l.points) {
+			if anyPositive(l.points) {
 				outcomes = append(outcomes, l)
 			}
 		}
-		add(s.Name+": sends by outcome", "a second", outcomes)
-		var load []line
-		for n, p := range day.Partners {
-			load = append(load, line{name: p.Name + " offered", points: points(seconds,
-				func(x *run.Second) float64 { return float64(x.Offered[n]) })})
-			if refused := (line{name: p.Name + " refused", points: points(seconds,
-				func(x *run.Second) float64 { return float64(x.Refused[n]) })}); has(refused.points) {
+		add(s.Name+": attempts by outcome", "attempts per second", outcomes)
+		var load []series
+		for n, p := range sc.DestinationKinds {
+			load = append(load, series{name: p.Name + " offered", points: secondSeries(seconds,
+				func(x *runner.SecondStats) float64 { return float64(x.Offered[n]) })})
+			if refused := (series{name: p.Name + " refused", points: secondSeries(seconds,
+				func(x *runner.SecondStats) float64 { return float64(x.Refused[n]) })}); anyPositive(refused.points) {
 				load = append(load, refused)
 			}
 			if p.Limit > 0 {
-				most := p.Limit * float64(p.Destinations)
-				if p.Routes {
-					most *= float64(p.Endpoints)
+				limit := p.Limit * float64(p.Destinations)
+				if p.LimitPerEndpoint {
+					limit *= float64(p.Endpoints)
 				}
-				load = append(load, line{name: p.Name + " limit", dashed: true, points: points(seconds,
-					func(*run.Second) float64 { return most })})
+				load = append(load, series{name: p.Name + " limit", dashed: true, points: secondSeries(seconds,
+					func(*runner.SecondStats) float64 { return limit })})
 			}
 		}
-		add(s.Name+": calls offered to each kind of partner, beside its limit", "calls a second", load)
+		add(s.Name+": calls to each destination kind, and its limit", "calls per second", load)
 	}
 	if len(f.Loads) > 0 {
-		var lines []line
-		for n, p := range run.Percentiles {
-			l := line{name: fmt.Sprintf("p%g", p)}
+		var lines []series
+		for n, p := range runner.Percentiles {
+			l := series{name: fmt.Sprintf("p%g", p)}
 			for _, at := range f.Loads {
-				l.points = append(l.points, plotter.XY{X: at.Offered, Y: at.Millis[n]})
+				l.points = append(l.points, plotter.XY{X: at.OfferedRate, Y: at.LatencyMs[n]})
 			}
 			lines = append(lines, l)
 		}
 		var c template.HTML
-		if c, err = chart("Latency by offered events a second (on the x axis)", "ms", nil, lines); err == nil {
+		if c, err = renderChart("Latency by offered events per second (x axis)", "ms", nil, lines); err == nil {
 			charts = append(charts, c)
 		}
 	}
 	return charts, err
 }
 
-func has(xys plotter.XYs) bool {
+func anyPositive(xys plotter.XYs) bool {
 	for _, xy := range xys {
 		if xy.Y > 0 {
 			return true
@@ -198,26 +198,26 @@
 //go:embed page.html
 var pageHTML string
 
-var pageText = template.Must(template.New("page").Funcs(template.FuncMap{
+var pageTemplate = template.Must(template.New("page").Funcs(template.FuncMap{
 	"f3":   func(v float64) string { return fmt.Sprintf("%.3f", v) },
 	"when": func(t time.Time) string { return t.Format("2006-01-02 15:04:05 UTC") },
-	"mean": func(results []run.Result, what string) string {
+	"mean": func(results []runner.Result, metric string) string {
 		total := 0.0
 		for i := range results {
-			s := &results[i].Sum
-			switch what {
+			s := &results[i].Summary
+			switch metric {
 			case "whole":
-				total += s.Whole
+				total += s.Overall
 			case "spell":
-				total += s.WorstSpell
+				total += s.WorstWindow
 			case "type":
 				total += s.WorstType
 			case "waste":
 				total += s.Waste
 			case "p50":
-				total += results[i].Latency[0]
+				total += results[i].LatencyMs[0]
 			case "p99":
-				total += results[i].Latency[2]
+				total += results[i].LatencyMs[2]
 			case "acked":
 				total += float64(s.Acked)
 			case "declined":
@@ -230,18 +230,18 @@
 	},
 }).Parse(pageHTML))
 
-// page is the report as one HTML page that needs nothing else.
-func (f *File) page() ([]byte, error) {
-	charts, err := f.charts()
+// renderPage renders the report as a self-contained HTML page.
+func (f *File) renderPage() ([]byte, error) {
+	charts, err := f.renderCharts()
 	if err != nil {
 		return nil, err
 	}
-	day, err := scenario.Read(scenarioName, []byte(f.Scenario), nil)
+	sc, err := scenario.Read(scenarioFile, []byte(f.Scenario), nil)
 	if err != nil {
 		return nil, err
 	}
 	var b bytes.Buffer
-	err = pageText.Execute(&b, map[string]any{"File": f, "Charts": charts, "Title": f.Kind + " " + day.Name,
-		"Hard": "Hard for: " + day.Hard})
+	err = pageTemplate.Execute(&b, map[string]any{"File": f, "Charts": charts, "Title": f.Kind + " " + sc.Name,
+		"Hard": "Hard for: " + sc.Challenge})
 	return b.Bytes(), err
 }
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -8,69 +8,69 @@
 	"strings"
 	"testing"
 
-	"jaspersill/lab/run"
+	"jaspersill/lab/runner"
 	"jaspersill/lab/scenario"
 	"jaspersill/lab/scenarios"
 )
 
-func TestAResultIsKeptReadAndRefused(t *testing.T) {
-	day, err := scenarios.Find("silence")
+func TestWriteReadAndReject(t *testing.T) {
+	sc, err := scenarios.Find("silence")
 	if err != nil {
 		t.Fatal(err)
 	}
-	day.Length = scenario.Span(20e9)
-	var sets []run.Set
+	sc.Length = scenario.Duration(20e9)
+	var variants []runner.Variant
 	for _, name := range []string{"once", "module", "informed", "module+deaf"} {
-		s, err := run.Named(name, day, 0)
+		s, err := runner.NewVariant(name, sc, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		sets = append(sets, s)
+		variants = append(variants, s)
 	}
-	results, err := run.All(context.Background(), sets, run.Seeds(1, 2), true, nil)
+	results, err := runner.RunAll(context.Background(), variants, runner.Seeds(1, 2), true, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := New("compare", "a command <script>", day)
+	f, err := NewFile("compare", "a command <script>", sc)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, s := range sets {
+	for i, s := range variants {
 		f.Add(s.Name, results[i])
 	}
-	f.Sets[0].Broken, f.Notes = 1, append(f.Notes, "once: 1 broken rules; the first: <b>")
-	f.Placed()
-	f.Differ()
+	f.Variants[0].Broken, f.Notes = 1, append(f.Notes, "once: 1 broken rules; the first: <b>")
+	f.ComputePositions()
+	f.ComputeDifferences()
 	folder := filepath.Join(t.TempDir(), "result")
 	if err := f.Write(folder); err != nil {
 		t.Fatal(err)
 	}
-	page, err := os.ReadFile(filepath.Join(folder, reportName))
+	page, err := os.ReadFile(filepath.Join(folder, reportFile))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if bytes.Contains(page, []byte("<script>")) || bytes.Contains(page, []byte("the first: <b>")) {
-		t.Error("what was given stands in the page as it is")
+		t.Error("the page contains unescaped input")
 	}
 	if n := bytes.Count(page, []byte("<svg")); n < 8 || !bytes.Contains(page, []byte(`class="bad"`)) {
-		t.Errorf("%d charts", n)
+		t.Errorf("want at least 8 charts and a marked violation, got %d charts", n)
 	}
 	again, err := Read(folder)
-	if err != nil || len(again.Sets) != 4 || again.Sets[2].Place != 1 ||
-		len(again.Differences) != 3*len(figures) {
+	if err != nil || len(again.Variants) != 4 || again.Variants[2].Position != 1 ||
+		len(again.Differences) != 3*len(metrics) {
 		t.Fatalf("read back as %+v, %v", again, err)
 	}
-	if err := Rewrite(folder); err != nil {
+	if err := Regenerate(folder); err != nil {
 		t.Fatal(err)
 	}
-	if list, err := List(filepath.Dir(folder)); err != nil || len(list) != 1 {
+	if list, err := FindResults(filepath.Dir(folder)); err != nil || len(list) != 1 {
 		t.Errorf("%v, %v", list, err)
 	}
-	name := filepath.Join(folder, resultName)
+	name := filepath.Join(folder, resultFile)
 	text, _ := os.ReadFile(name)
 	for _, c := range []struct{ old, new, want string }{
 		{`"version": 1`, `"version": 2`, "version: want 1, got 2"},
-		{"{", "[", resultName},
+		{"{", "[", resultFile},
 	} {
 		if err := os.WriteFile(name, bytes.Replace(text, []byte(c.old), []byte(c.new), 1), 0o600); err != nil {
 			t.Fatal(err)
@@ -79,7 +79,7 @@
 			t.Errorf("%s: %v", c.new, err)
 		}
 	}
-	if _, err := List(t.TempDir()); err == nil {
-		t.Error("a folder without a result passes for one")
+	if _, err := FindResults(t.TempDir()); err == nil {
+		t.Error("FindResults accepted a folder without a result")
 	}
 }
--- /dev/null
+++ b/lab/soak/checks.go
@@ -0,0 +1,265 @@
+package soak
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"time"
+)
+
+// check checks every request against the rules after the run.
+func (h *history) check(keyedWindow time.Duration) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, r := range h.ordered {
+		h.checkAnswer(r)
+		h.checkFinal(r)
+		h.checkAfterEnd(r)
+		h.checkRepeats(r, keyedWindow)
+		h.tally(r)
+	}
+	h.checkRecovery()
+}
+
+// checkRecovery adds a violation for a node that refuses at least maxConsecutiveRefusals requests in succession over
+// maxRefusalTime or longer.
+func (h *history) checkRecovery() {
+	type streak struct {
+		refused int
+		since   time.Duration
+	}
+	streaks := map[int]*streak{}
+	for _, r := range h.ordered {
+		if r.status == 0 {
+			continue
+		}
+		if !r.refused() || streaks[r.node] == nil {
+			streaks[r.node] = &streak{}
+			if !r.refused() {
+				continue
+			}
+		}
+		s := streaks[r.node]
+		if s.refused == 0 {
+			s.since = r.answeredAt
+		}
+		s.refused++
+		if s.refused >= maxConsecutiveRefusals && r.answeredAt-s.since >= maxRefusalTime {
+			h.addViolationLocked(RuleRecovery, r.answeredAt, r, "node %d refused %d consecutive requests over %v", r.node,
+				s.refused, r.answeredAt-s.since)
+			streaks[r.node] = &streak{}
+		}
+	}
+}
+
+// Limits of checkRecovery.
+const (
+	maxConsecutiveRefusals = 15
+	maxRefusalTime         = 4 * time.Second
+)
+
+func (h *history) tally(r *request) {
+	switch {
+	case r.deliveredAt > 0:
+		h.counts["delivered"]++
+	case r.noticedAt > 0:
+		h.counts["ended by a notice: "+r.notice]++
+	case r.refused():
+		h.counts["refused"]++
+	default:
+		h.counts["no final answer"]++
+	}
+	if r.accepted() && r.noticedAt > 0 && r.deliveredAt == 0 && len(r.attempts) == 0 {
+		h.counts["accepted, ended without an attempt"]++
+	}
+}
+
+func (r *request) accepted() bool { return r.status == 200 || r.status == 202 }
+func (r *request) refused() bool  { return r.status == 429 || r.status == 503 }
+
+func (h *history) checkAnswer(r *request) {
+	switch {
+	case r.responseErr != "" && !h.exitedBetween(r.node, r.sentAt, r.answeredAt):
+		h.addViolationLocked(RuleAnswer, r.answeredAt, r, "request got no complete response: %s", r.responseErr)
+	case r.status != 0 && !r.accepted() && !r.refused():
+		h.addViolationLocked(RuleAnswer, r.answeredAt, r, "request got status %d", r.status)
+	}
+}
+
+// checkFinal checks that an accepted request was delivered or ended by a notice in time. A response that came after its
+// client's time-out is ignored.
+func (h *history) checkFinal(r *request) {
+	if !r.accepted() || r.answeredAt-r.sentAt > responseTimeout {
+		return
+	}
+	due := h.extendDue(r.node, r.deadline, r.deadline+finalAnswerGrace+socketGrace)
+	for _, outage := range h.unavailable[r.node] {
+		if outage.from <= due && r.sentAt <= outage.to {
+			due = max(due, outage.to+readyGrace+socketGrace)
+		}
+	}
+	end := r.deliveredAt
+	if end == 0 || (r.noticedAt > 0 && r.noticedAt < end) {
+		end = r.noticedAt
+	}
+	switch {
+	case end == 0:
+		h.addViolationLocked(RuleFinal, due, r, "accepted request got no final answer")
+	case end > due:
+		h.addViolationLocked(RuleFinal, due, r, "final answer came %v too late", (end - due).Round(time.Millisecond))
+	}
+}
+
+// maxRecordDelay is how long a node may take to store an outcome while its disk works.
+const maxRecordDelay = 300 * time.Millisecond
+
+// exitedBeforeRecording reports whether a node's process exited between two times before it had a working disk for long
+// enough to store what it learned at the first.
+func (h *history) exitedBeforeRecording(node int, since, until time.Duration) bool {
+	return slices.ContainsFunc(h.exits[node], func(exit time.Duration) bool {
+		if exit < since || exit > until {
+			return false
+		}
+		writable := h.readableFrom(node, since)
+		for _, s := range h.diskFaults[node] {
+			if s.from <= exit && s.to > writable {
+				writable = s.to
+			}
+		}
+		return exit < writable+maxRecordDelay
+	})
+}
+
+// readableFrom returns when a node could first read what was written to it at the given time.
+func (h *history) readableFrom(node int, at time.Duration) time.Duration {
+	for _, s := range h.readOutages[node] {
+		if s.from <= at && s.to > at {
+			at = s.to
+		}
+	}
+	return at
+}
+
+// extendDue postpones the time at which a final answer is due until the node is able to send one: while all its socket
+// writes fail, for example, no program could report the outcome.
+func (h *history) extendDue(node int, deadline, due time.Duration) time.Duration {
+	for _, s := range h.writeOutages[node] {
+		if s.from <= deadline && s.to+noticeGrace > due {
+			due = s.to + noticeGrace
+		}
+	}
+	for _, s := range mergeOverlapping(h.connectOutages[node]) {
+		// The platform closed the node's connections, and the node cannot open new ones.
+		disconnected := slices.ContainsFunc(h.platformDisconnects, func(at time.Duration) bool {
+			return s.from-socketGrace <= at && at < s.to
+		})
+		if disconnected && s.from <= due && s.to+noticeGrace > due {
+			due = s.to + noticeGrace
+		}
+	}
+	for _, s := range h.platformFaults[node] { // a notice may be held, truncated or reset on its way
+		if s.from <= due && s.to+noticeGrace > due {
+			due = s.to + noticeGrace
+		}
+	}
+	return due
+}
+
+// mergeOverlapping joins intervals that overlap.
+func mergeOverlapping(list []interval) (joined []interval) {
+	list = slices.Clone(list)
+	slices.SortFunc(list, func(a, b interval) int { return cmp.Compare(a.from, b.from) })
+	for _, s := range list {
+		if last := len(joined) - 1; last >= 0 && s.from <= joined[last].to {
+			joined[last].to = max(joined[last].to, s.to)
+			continue
+		}
+		joined = append(joined, s)
+	}
+	return joined
+}
+
+// checkAfterEnd checks that no request was forwarded after its refusal, notice, delivery or deadline. A node may forward
+// a repeatable request again after its delivery if it exited before it had time to store the delivery, or if the
+// response came on a disturbed connection. Calls on a disturbed connection are skipped, because the proxy may have held
+// them back; for the same reason, requests on one are not checked against their deadline.
+func (h *history) checkAfterEnd(r *request) {
+	for _, a := range r.attempts {
+		if a.conn.Disturbed() {
+			continue
+		}
+		exitedUnrecorded := func(since time.Duration) bool { return h.exitedBeforeRecording(r.node, since, a.at) }
+		switch {
+		case r.refused() && r.answeredAt-r.sentAt <= responseTimeout:
+			h.addViolationLocked(RuleAfterEnd, a.at, r, "refused request was forwarded")
+		case r.noticedAt > 0 && a.at > r.noticedAt+processingGrace:
+			h.addViolationLocked(RuleAfterEnd, a.at, r, "forwarded after its notice")
+		case r.deliveredAt > 0 && a.at > r.deliveredAt+processingGrace && (r.class == Once ||
+			!(exitedUnrecorded(r.deliveredAt) || r.attempts[r.deliveredBy].conn.Disturbed())):
+			h.addViolationLocked(RuleAfterEnd, a.at, r, "forwarded after its delivery")
+		case a.at > r.deadline+processingGrace+socketGrace && !r.disturbed:
+			h.addViolationLocked(RuleAfterEnd, a.at, r, "forwarded after its deadline")
+		default:
+			continue
+		}
+		return
+	}
+}
+
+func (h *history) checkRepeats(r *request, keyedWindow time.Duration) {
+	var first *attempt
+	for i := range r.attempts {
+		a := &r.attempts[i]
+		if !a.ran {
+			continue
+		}
+		switch {
+		case first == nil:
+			first = a
+			continue
+		case r.class == Once:
+			h.addViolationLocked(RuleRepeat, a.at, r, "request that may not be repeated was executed twice")
+		case r.class == Keyed && a.at > first.at+keyedWindow+socketGrace && !a.conn.Disturbed():
+			// A call on a disturbed connection may have been sent in time and held back by the proxy.
+			h.addViolationLocked(RuleRepeat, a.at, r, "keyed request was executed again %v after its window", a.at-first.at-keyedWindow)
+		default:
+			continue
+		}
+		return
+	}
+}
+
+// checkUntried adds a violation if more than half, and more than two, of the requests that a restart found without an
+// attempt and with at least half of their time left were ended early without one. The requests that may not be repeated
+// are checked separately as well.
+func (h *history) checkUntried(restarts map[int][]interval) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	type tally struct{ found, abandoned int }
+	var all, once tally
+	for _, r := range h.ordered {
+		for _, restart := range restarts[r.node] {
+			if !r.accepted() || r.answeredAt > restart.from || (r.deliveredAt > 0 && r.deliveredAt < restart.from) ||
+				(r.noticedAt > 0 && r.noticedAt < restart.from) || r.deadline-restart.to < (r.deadline-r.sentAt)/2 ||
+				(len(r.attempts) > 0 && r.attempts[0].at < restart.from) {
+				continue
+			}
+			abandoned := 0
+			if len(r.attempts) == 0 && r.noticedAt > 0 && r.noticedAt < r.deadline-(r.deadline-r.sentAt)/5 {
+				abandoned = 1
+			}
+			all.found, all.abandoned = all.found+1, all.abandoned+abandoned
+			if r.class == Once {
+				once.found, once.abandoned = once.found+1, once.abandoned+abandoned
+			}
+		}
+	}
+	h.counts["without an attempt at a restart"] += all.found
+	h.counts["without an attempt at a restart, ended early without one"] += all.abandoned
+	for name, s := range map[string]tally{"requests": all, "requests that may not be repeated": once} {
+		if s.abandoned > 2 && s.abandoned*2 > s.found {
+			h.addViolationLocked(RuleUntried, h.now(), nil, "%s", fmt.Sprintf("%d of %d %s without an attempt at a restart were ended "+
+				"early without one", s.abandoned, s.found, name))
+		}
+	}
+}
--- a/lab/soak/discovery.go
+++ b/lab/soak/discovery.go
@@ -13,26 +13,26 @@
 	"time"
 )
 
-const signOfLife = 2 * time.Second // between the empty lines of a watch: the protocol's
+const watchKeepalive = 2 * time.Second // interval of a watch's empty lines, set by the protocol
 
-// discovery serves the list of endpoints and takes the notices, at an address for each node.
+// discovery emulates the platform: it serves the endpoint list and receives notices, on a separate address for each node.
 type discovery struct {
-	ledger    *ledger
+	history   *history
 	endpoints []*endpoint
 	listeners []net.Listener
-	paths     *paths
+	network   *network
 
 	mu       sync.Mutex
 	sequence int
 	draining map[int]bool
-	silent   map[int]bool // nodes whose open watches have fallen silent
+	silent   map[int]bool // nodes whose open watches are stalled
 	down     bool
 	changed  chan struct{} // closed at each change
 	conns    map[net.Conn]struct{}
 }
 
-func newDiscovery(l *ledger, endpoints []*endpoint, nodes int) (*discovery, error) {
-	d := &discovery{ledger: l, endpoints: endpoints, sequence: 1, draining: map[int]bool{}, silent: map[int]bool{},
+func newDiscovery(h *history, endpoints []*endpoint, nodes int) (*discovery, error) {
+	d := &discovery{history: h, endpoints: endpoints, sequence: 1, draining: map[int]bool{}, silent: map[int]bool{},
 		changed: make(chan struct{}), conns: map[net.Conn]struct{}{}}
 	for node := range nodes {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -59,7 +59,7 @@
 	}
 }
 
-func (d *discovery) change(do func()) {
+func (d *discovery) update(do func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	do()
@@ -67,24 +67,24 @@
 	d.changed = make(chan struct{})
 }
 
-// drain marks an endpoint as one that wants nothing new.
+// drain marks an endpoint as draining.
 func (d *discovery) drain(endpoint int) {
-	d.change(func() {
+	d.update(func() {
 		d.sequence++
 		d.draining[endpoint] = true
 	})
 }
 
-// silence has the open watches of a node tell nothing any more.
-func (d *discovery) silence(node int) { d.change(func() { d.silent[node] = true }) }
+// silenceWatches stops all output on the open watches of a node.
+func (d *discovery) silenceWatches(node int) { d.update(func() { d.silent[node] = true }) }
 
-// fail takes discovery down or up again. Notices are taken all the while.
-func (d *discovery) fail(down bool) {
-	d.change(func() { d.down = down })
+// setDown takes discovery down or brings it up again. Notices are received at all times.
+func (d *discovery) setDown(down bool) {
+	d.update(func() { d.down = down })
 	if !down {
 		return
 	}
-	d.ledger.drops()
+	d.history.recordPlatformDisconnect()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for conn := range d.conns {
@@ -102,7 +102,7 @@
 		d.conns[conn] = struct{}{}
 		d.mu.Unlock()
 		go func() {
-			d.attend(node, conn)
+			d.handle(node, conn)
 			conn.Close()
 			d.mu.Lock()
 			delete(d.conns, conn)
@@ -111,14 +111,14 @@
 	}
 }
 
-func (d *discovery) attend(node int, conn net.Conn) {
+func (d *discovery) handle(node int, conn net.Conn) {
 	in := bufio.NewReader(conn)
 	for {
 		call, err := http.ReadRequest(in)
 		if err != nil {
 			return
 		}
-		body, err := io.ReadAll(io.LimitReader(call.Body, mostCallBytes))
+		body, err := io.ReadAll(io.LimitReader(call.Body, maxCallBytes))
 		if err != nil {
 			return
 		}
@@ -138,7 +138,7 @@
 		if call.URL.Query().Get("watch") == "" {
 			text, _ := d.list(node)
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
-			d.told(node, conn)
+			d.recordDrains(node, conn)
 			continue
 		}
 		d.watch(node, conn)
@@ -150,17 +150,17 @@
 	for line := range strings.Lines(string(body)) {
 		var n struct{ ID, Status string }
 		if err := json.Unmarshal([]byte(line), &n); err != nil {
-			d.ledger.broke(RuleAnswer, "a notice that cannot be read: %q", line)
+			d.history.addViolation(RuleAnswer, "malformed notice: %q", line)
 			_, err = io.WriteString(conn, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 			return err
 		}
-		d.ledger.notices(n.ID, n.Status)
+		d.history.recordNotice(n.ID, n.Status)
 	}
 	_, err := io.WriteString(conn, "HTTP/1.1 204 No Content\r\n\r\n")
 	return err
 }
 
-// list is the whole list as a node gets it, and what ends its being the newest.
+// list returns the full endpoint list for a node, and a channel that is closed when the list changes.
 func (d *discovery) list(node int) (string, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -171,18 +171,18 @@
 			health = "Terminating"
 		}
 		hosts = append(hosts, fmt.Sprintf(`{"host":"e%d","dial":%q,"site":"here","class":"m0","block":%d,"health":%q,`+
-			`"share":1.0,"born_ms":0}`, e.number, d.paths.endpoints[node][e.number].Address(), e.dest, health))
+			`"share":1.0,"born_ms":0}`, e.number, d.network.endpoints[node][e.number].Address(), e.dest, health))
 	}
 	return `{"seq":` + strconv.Itoa(d.sequence) + `,"whole":true,"hosts":[` + strings.Join(hosts, ",") + "]}\n", d.changed
 }
 
-// told notes which endpoints a node knows by now to be draining.
-func (d *discovery) told(node int, conn net.Conn) {
-	by := d.paths.discovery[node].SeenAs(conn.RemoteAddr())
+// recordDrains records that a node has been sent the endpoints that are draining now.
+func (d *discovery) recordDrains(node int, conn net.Conn) {
+	proxyConn := d.network.discovery[node].ConnToTarget(conn.RemoteAddr())
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for number := range d.draining {
-		d.endpoints[number].toldToDrain(node, by)
+		d.endpoints[number].recordDrain(node, proxyConn)
 	}
 }
 
@@ -193,13 +193,13 @@
 	if _, err := io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"); err != nil {
 		return
 	}
-	say := func(line string) error {
+	send := func(line string) error {
 		_, err := fmt.Fprintf(conn, "%x\r\n%s\r\n", len(line), line)
 		return err
 	}
 	newest := ""
-	alive := time.NewTicker(signOfLife)
-	defer alive.Stop()
+	keepalive := time.NewTicker(watchKeepalive)
+	defer keepalive.Stop()
 	for {
 		text, changed := d.list(node)
 		d.mu.Lock()
@@ -209,19 +209,19 @@
 		case down:
 			return
 		case silent:
-			io.Copy(io.Discard, conn) // until the node opens another
+			io.Copy(io.Discard, conn) // until the node closes the watch
 			return
 		case text != newest:
 			newest = text
-			if say(text) != nil {
+			if send(text) != nil {
 				return
 			}
-			d.told(node, conn)
+			d.recordDrains(node, conn)
 		}
 		select {
 		case <-changed:
-		case <-alive.C:
-			if say("\n") != nil {
+		case <-keepalive.C:
+			if send("\n") != nil {
 				return
 			}
 		}
--- a/lab/stat/stat.go
+++ b/lab/stat/stat.go
@@ -1,4 +1,4 @@
-// Package stat compares runs: means with intervals that say how much of a difference is chance.
+// Package stat compares runs by means with confidence intervals, which show how much of a difference is chance.
 package stat
 
 import (
@@ -11,12 +11,12 @@
 )
 
 const (
-	resamples = 2000
-	level     = 0.95
-	fewValues = 10 // below so many the bootstrap has too little to draw from, and Student's t is used
+	resamples          = 2000
+	confidence         = 0.95
+	minBootstrapValues = 10 // with fewer values there is too little to resample, and Student's t is used
 )
 
-// Interval is a mean with a 95% interval round it, over so many pairs or runs.
+// Interval is a mean with its 95% confidence interval, over N runs or pairs of runs.
 type Interval struct {
 	Mean  float64 `json:"mean"`
 	Least float64 `json:"least"`
@@ -24,13 +24,13 @@
 	N     int     `json:"n"`
 }
 
-// Holds tells whether a value lies in the interval.
-func (i Interval) Holds(v float64) bool { return v >= i.Least && v <= i.Most }
+// Contains reports whether a value lies in the interval.
+func (i Interval) Contains(v float64) bool { return v >= i.Least && v <= i.Most }
 
-// Bootstrap is the mean of some values with its interval, by the studentised bootstrap: the plain one is too
-// narrow for thirty values, and for under ten Student's t serves better than either. Chance is drawn from the
-// seed. One value has an endless interval.
-func Bootstrap(values []float64, seed uint64) Interval {
+// MeanInterval returns the mean of the values with its confidence interval, from a studentised bootstrap: the plain
+// percentile bootstrap gives too narrow an interval for thirty values. For fewer than ten values Student's t is used,
+// which is better than either. The resampling is seeded by seed. The interval of a single value is infinite.
+func MeanInterval(values []float64, seed uint64) Interval {
 	n := len(values)
 	if n == 0 {
 		return Interval{Mean: math.NaN(), Least: math.Inf(-1), Most: math.Inf(1)}
@@ -45,20 +45,20 @@
 		i.Least, i.Most = mean, mean
 		return i
 	}
-	if n < fewValues {
-		t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(n - 1)}.Quantile(1 - (1-level)/2)
+	if n < minBootstrapValues {
+		t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(n - 1)}.Quantile(1 - (1-confidence)/2)
 		i.Least, i.Most = mean-t*dev/math.Sqrt(float64(n)), mean+t*dev/math.Sqrt(float64(n))
 		return i
 	}
-	chance := rand.New(rand.NewPCG(seed, 0xb007))
+	random := rand.New(rand.NewPCG(seed, 0xb007))
 	ts := make([]float64, 0, resamples)
 	sample := make([]float64, n)
 	for range resamples {
 		for k := range sample {
-			sample[k] = values[chance.IntN(n)]
+			sample[k] = values[random.IntN(n)]
 		}
 		m, d := stat.MeanStdDev(sample, nil)
-		if d == 0 { // all the same: it says nothing of the spread
+		if d == 0 { // all values are the same, which says nothing about the spread
 			continue
 		}
 		ts = append(ts, (m-mean)/(d/math.Sqrt(float64(n))))
@@ -68,17 +68,17 @@
 		i.Least, i.Most = mean, mean
 		return i
 	}
-	half := dev / math.Sqrt(float64(n))
-	i.Least = mean - stat.Quantile(1-(1-level)/2, stat.Empirical, ts, nil)*half
-	i.Most = mean - stat.Quantile((1-level)/2, stat.Empirical, ts, nil)*half
+	stdErr := dev / math.Sqrt(float64(n))
+	i.Least = mean - stat.Quantile(1-(1-confidence)/2, stat.Empirical, ts, nil)*stdErr
+	i.Most = mean - stat.Quantile((1-confidence)/2, stat.Empirical, ts, nil)*stdErr
 	return i
 }
 
-// Paired is the mean of b - a, pair by pair.
-func Paired(a, b []float64, seed uint64) Interval {
+// PairedDifference returns the mean of the pairwise differences b - a with its confidence interval.
+func PairedDifference(a, b []float64, seed uint64) Interval {
 	differences := make([]float64, min(len(a), len(b)))
 	for i := range differences {
 		differences[i] = b[i] - a[i]
 	}
-	return Bootstrap(differences, seed)
+	return MeanInterval(differences, seed)
 }
--- a/lab/sysfault/supervisor.go
+++ b/lab/sysfault/supervisor.go
@@ -14,10 +14,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Call is a kind of system call that can be made to fail.
+// Call is a kind of system call that faults can be injected into.
 type Call string
 
-// The kinds of calls. A read or write is told by what its descriptor stands for.
+// The kinds of calls. Reads and writes are distinguished by what their descriptor refers to.
 const (
 	FileWrite    Call = "file-write"
 	FileRead     Call = "file-read"
@@ -34,7 +34,7 @@
 	otherCall    Call = ""
 )
 
-var trapped = map[int]Call{
+var interceptedCalls = map[int]Call{
 	unix.SYS_WRITE:     FileWrite, // or SocketWrite
 	unix.SYS_READ:      FileRead,  // or SocketRead
 	unix.SYS_OPENAT:    FileOpen,
@@ -48,45 +48,46 @@
 	unix.SYS_CONNECT:   Connect,
 }
 
-// Fault is what happens to calls of one kind while it is in force.
+// Fault describes what happens to calls of one kind until a given time.
 type Fault struct {
-	Call  Call
-	Errno syscall.Errno // 0 with Delay for a call that is only slow
-	Share float64       // of the calls, 0 for all
-	Short bool          // a write goes out in part before the next one fails
-	Delay time.Duration
-	Until time.Time
+	Call        Call
+	Errno       syscall.Errno // 0 for a call that is only delayed
+	Probability float64       // for each call; 0 means every call
+	Short       bool          // half of the first write is written, and the next call fails
+	Delay       time.Duration
+	Until       time.Time
 }
 
-// Supervisor decides on the calls of one child process.
+// Supervisor injects faults into the system calls of one child process.
 type Supervisor struct {
 	listener int
 	done     chan struct{}
-	failed   atomic.Int64
+	faulted  atomic.Int64
 
 	mu     sync.Mutex
 	folder string
 	faults []Fault
 }
 
-// Watch names the folder to whose files file faults are limited: no program can load without reading others.
-func (s *Supervisor) Watch(folder string) {
+// LimitFileFaults sets the folder whose files are subject to file faults. Without a folder there are no file faults,
+// because a program has to read other files to load.
+func (s *Supervisor) LimitFileFaults(folder string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.folder = folder
 }
 
-// Add puts a fault in force until its time is up.
+// Add puts a fault in force until its Until time.
 func (s *Supervisor) Add(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = append(s.faults, f)
 }
 
-// Failed counts the calls that were failed, shortened or delayed.
-func (s *Supervisor) Failed() int64 { return s.failed.Load() }
+// FaultCount returns the number of calls that were failed, shortened or delayed.
+func (s *Supervisor) FaultCount() int64 { return s.faulted.Load() }
 
-// Wait returns once the child has ended.
+// Wait waits until the child has exited.
 func (s *Supervisor) Wait() { <-s.done }
 
 // notification and response are the kernel's seccomp_notif and seccomp_notif_resp.
@@ -124,14 +125,14 @@
 			continue
 		}
 		var n notification
-		if err := s.control(unix.SECCOMP_IOCTL_NOTIF_RECV, unsafe.Pointer(&n)); err != nil {
-			continue // the call ended meanwhile
+		if err := s.ioctl(unix.SECCOMP_IOCTL_NOTIF_RECV, unsafe.Pointer(&n)); err != nil {
+			continue // the call was interrupted or its thread exited
 		}
 		s.decide(&n)
 	}
 }
 
-func (s *Supervisor) control(request uintptr, argument unsafe.Pointer) error {
+func (s *Supervisor) ioctl(request uintptr, argument unsafe.Pointer) error {
 	_, _, errno := unix.Syscall(unix.SYS_IOCTL, uintptr(s.listener), request, uintptr(argument))
 	if errno != 0 {
 		return errno
@@ -139,26 +140,26 @@
 	return nil
 }
 
-func (s *Supervisor) answer(r response) { s.control(unix.SECCOMP_IOCTL_NOTIF_SEND, unsafe.Pointer(&r)) }
+func (s *Supervisor) respond(r response) { s.ioctl(unix.SECCOMP_IOCTL_NOTIF_SEND, unsafe.Pointer(&r)) }
 
 func (s *Supervisor) proceed(id uint64) {
-	s.answer(response{id: id, flags: unix.SECCOMP_USER_NOTIF_FLAG_CONTINUE})
+	s.respond(response{id: id, flags: unix.SECCOMP_USER_NOTIF_FLAG_CONTINUE})
 }
 
-// decide lets a call go on or does to it what a fault in force says.
+// decide lets a call proceed or injects the fault in force.
 func (s *Supervisor) decide(n *notification) {
 	fault := s.faultFor(n)
 	if fault == nil {
 		s.proceed(n.id)
 		return
 	}
-	s.failed.Add(1)
+	s.faulted.Add(1)
 	switch {
 	case fault.Errno == 0:
 		time.AfterFunc(fault.Delay, func() { s.proceed(n.id) })
 	case fault.Short && s.shorten(n):
 	default:
-		s.answer(response{id: n.id, errno: -int32(fault.Errno)})
+		s.respond(response{id: n.id, errno: -int32(fault.Errno)})
 	}
 }
 
@@ -179,22 +180,22 @@
 	if len(kept) == 0 {
 		return nil
 	}
-	call := s.kind(n)
+	call := s.classify(n)
 	if call == otherCall {
 		return nil
 	}
 	for i := range s.faults {
 		f := s.faults[i]
-		if f.Call == call && (f.Share == 0 || rand.Float64() < f.Share) {
+		if f.Call == call && (f.Probability == 0 || rand.Float64() < f.Probability) {
 			return &f
 		}
 	}
 	return nil
 }
 
-// kind tells what a call does; the lock is held.
-func (s *Supervisor) kind(n *notification) Call {
-	call := trapped[int(n.number)]
+// classify returns the kind of a call. The caller holds s.mu.
+func (s *Supervisor) classify(n *notification) Call {
+	call := interceptedCalls[int(n.number)]
 	switch call {
 	case FileWrite, FileRead, FileTruncate, FileSync:
 		target, err := os.Readlink("/proc/" + strconv.Itoa(int(n.pid)) + "/fd/" + strconv.Itoa(int(int32(n.arguments[0]))))
@@ -218,11 +219,11 @@
 	return call
 }
 
-// readString reads a string that ends with a zero byte out of another process.
+// readString reads a NUL-terminated string from the memory of another process.
 func readString(pid int, address uintptr) string {
 	text := make([]byte, 0, 256)
 	for len(text) < unix.PathMax {
-		part := make([]byte, 256-int(address%256)) // never across a page
+		part := make([]byte, 256-int(address%256)) // never crosses a page boundary
 		local := []unix.Iovec{{Base: &part[0], Len: uint64(len(part))}}
 		remote := []unix.RemoteIovec{{Base: address, Len: len(part)}}
 		size, err := unix.ProcessVMReadv(pid, local, remote, 0)
@@ -238,7 +239,8 @@
 	return string(text)
 }
 
-// shorten writes half of what a call is to write in the child's place. The next call of the kind fails.
+// shorten writes the first half of a write call's data on behalf of the child and reports the short count to it. Later
+// calls are no longer shortened, so that the next one fails.
 func (s *Supervisor) shorten(n *notification) bool {
 	size := int(n.arguments[2]) / 2
 	if n.number != unix.SYS_WRITE || size == 0 {
@@ -250,7 +252,7 @@
 	if got, err := unix.ProcessVMReadv(int(n.pid), local, remote, 0); err != nil || got != size {
 		return false
 	}
-	descriptor, err := copyDescriptor(int(n.pid), int(int32(n.arguments[0])))
+	descriptor, err := duplicateDescriptor(int(n.pid), int(int32(n.arguments[0])))
 	if err != nil {
 		return false
 	}
@@ -259,7 +261,7 @@
 	if err != nil {
 		return false
 	}
-	s.answer(response{id: n.id, value: int64(written)})
+	s.respond(response{id: n.id, value: int64(written)})
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range s.faults {
@@ -268,9 +270,9 @@
 	return true
 }
 
-// copyDescriptor takes a copy of a descriptor of another process.
-func copyDescriptor(thread, descriptor int) (int, error) {
-	process, err := unix.PidfdOpen(leaderOf(thread), 0)
+// duplicateDescriptor duplicates a descriptor of another process into this one.
+func duplicateDescriptor(thread, descriptor int) (int, error) {
+	process, err := unix.PidfdOpen(threadGroupLeader(thread), 0)
 	if err != nil {
 		return 0, err
 	}
@@ -278,8 +280,8 @@
 	return unix.PidfdGetfd(process, descriptor, 0)
 }
 
-// leaderOf is the process that a thread belongs to.
-func leaderOf(thread int) int {
+// threadGroupLeader returns the ID of the process that a thread belongs to.
+func threadGroupLeader(thread int) int {
 	status, err := os.ReadFile("/proc/" + strconv.Itoa(thread) + "/status")
 	if err != nil {
 		return thread
