--- a/connreuse/connreuse.go
+++ b/connreuse/connreuse.go
@@ -14,7 +14,7 @@
 	defaultQuiet = 500 * millisecond // used until an answer has been measured
 	slowestDecay = 16                // each faster answer reduces the recorded maximum by 1/16 of it
 
-	initialAlikeShare = 0.25 // share of similar refusals assumed at first: two that differ are enough to bring it under maxAlikeShare
+	initialAlikeShare = 0.25 // share of alike refusals assumed at first: two that differ are enough to fall below maxAlikeShare
 	alikeWeight       = 0.25 // weight of a new refusal in the average
 	maxAlikeShare     = 0.15 // below this share, a refused event that must not be repeated is seldom given up for lack of proof
 
--- a/delivery/delivery.go
+++ b/delivery/delivery.go
@@ -89,7 +89,7 @@
 // Directory describes how the list of endpoints is delivered.
 type Directory struct {
 	RequiresWatch bool  // changes are delivered only to nodes that watch
-	Automatic     bool  // nodes are held to changes from the first moment, whether they watch or not
+	Automatic     bool  // changes count as known to the nodes from the first moment, whether they watch or not
 	DrainGrace    int64 // time allowed to stop sending to a draining or gone endpoint
 }
 
@@ -101,7 +101,8 @@
 }
 
 // Executor carries out the decisions of one round, in order. Sends of one round to one endpoint may share a call.
-// A call ends as a whole: when the shortest of their timeouts expires, or when one of them is cancelled.
+// A call ends as a whole: when the shortest of their timeouts expires, or when one of them is cancelled by Cancel or
+// CancelUnsent.
 type Executor interface {
 	Send(event, endpoint int32, timeout int64)
 	Decline(event int32, retryAfter int64)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -35,7 +35,7 @@
 	paceCutFactor         = 0.5          // a refusal halves the pace, as the design has it
 	minPace               = 1.0          // calls per second below which a pace does not fall, so that feedback continues
 	paceGrowth            = 0.1          // relative growth of the pace per second while calls are accepted
-	minPaceShare          = 0.6          // minimum pace as a share of this node's equal part of a reported limit: others may be unpaced
+	minPaceShare          = 0.6          // minimum pace as a share of this node's equal part of a reported limit; below 1 as others may be unpaced
 	absoluteMinPace       = 0.1          // lower bound of any pace, in calls per second: one call in the life of most events
 	exhaustedShare        = 0.15         // a refusal with less than this share of the limit left means the limit is used up
 	paceRecovery          = 0.5          // share of this node's equal part of a reported limit by which a lower pace grows per second
@@ -180,7 +180,7 @@
 
 func (s *Scheduler) Event(evt int32, typ, customer int, key uint64, left, work int64, dest int32) {
 	s.ensureDestination(dest)
-	t, age := &s.types[typ], s.types[typ].MaxAge-left // an event accepted before a restart is not new
+	t, age := &s.types[typ], s.types[typ].MaxAge-left // one submitted again by its client, or accepted before a restart, is not new
 	s.events = setAt(s.events, evt, event{typ: typ, dest: dest, call: -1, key: key, arrivedAt: s.now - age,
 		notBefore: s.now, deadline: s.now + left - finalAnswerMargin, live: true, value: t.Utility,
 		slo: min(t.MaxAge, t.SLO+int64(t.SLOPerWork*float64(work)))})
@@ -204,7 +204,7 @@
 	return min(minFullRetryAfter+int64(s.rng.float()*float64(minFullRetryAfter)), s.limits.MaxRetryAfter)
 }
 
-// ProcessingStarted removes the deadline of an event.
+// ProcessingStarted removes the deadline of an event: no time limit applies once its processing has started.
 func (s *Scheduler) ProcessingStarted(evt int32, send int) { s.events[evt].deadline = math.MaxInt64 }
 
 // Unconfirmed notes that an answer proves nothing about its send, since it may belong to another call.
@@ -236,8 +236,9 @@
 			if outcome == delivery.Acked || (outcome == delivery.Reset && float64(took) < soon) {
 				s.stale.record(outcome == delivery.Reset, c.idleBefore, s.now)
 			}
+			// A connect that failed between answers indicates an endpoint with too few connections, not an outage.
 			if outcome == delivery.Acked && (s.endpoints.failures[ep] == 1 || (!wasEjected && s.endpoints.failures[ep] > 0)) &&
-				s.endpoints.lastFailure[ep] == delivery.ConnectFailed && s.limiters.nodes >= crowdedMinNodes { // no outage
+				s.endpoints.lastFailure[ep] == delivery.ConnectFailed && s.limiters.nodes >= crowdedMinNodes {
 				s.stale.crowdedUntil = s.now + staleDuration
 			}
 			// Some outcomes are conclusive on their own. With many nodes, each may see only one failure of an outage, such
@@ -455,8 +456,8 @@
 			continue
 		}
 		c := &s.calls[e.call]
-		// A send may wait for its connection. By the time that is up, a requested wait, the list or the dedup window may
-		// forbid the send.
+		// A send may have to wait for its connection. By the time the connection is open, a requested wait, the list or the
+		// dedup window may forbid the send.
 		if !e.unsentCancelled && (s.now < s.limiters.waitUntil[s.endpoints.limiter[c.endpoint]] ||
 			!s.endpoints.ready[c.endpoint] || s.now >= s.dedupWindowEnd(e)) {
 			s.exec.CancelUnsent(int32(i), e.sends-1)
@@ -542,8 +543,9 @@
 	return 1 - (1-t.LateUtility)*late/float64(max(1, t.MaxAge-slo))
 }
 
-// pickEndpoint returns the endpoint for an event, or -1 for none: the first in rank with room, else the least used. A
-// suspect endpoint gets one trial call at a time.
+// pickEndpoint returns the endpoint for an event, or -1 for none: the first in rank with a call that the event can join,
+// else the first without a call in flight, else the one with the fewest calls. A suspect endpoint gets one trial call at
+// a time.
 func (s *Scheduler) pickEndpoint(e *event) int32 {
 	best, trial, t := int32(-1), int32(-1), &s.types[e.typ]
 	_, ranZone := e.firstPossibleRun()
@@ -847,7 +849,7 @@
 // one of them would be lost too.
 type staleDetector struct {
 	losses, acks                      int
-	lastLossAt, minIdle, crowdedUntil int64 // minIdle: shortest before a loss; crowdedUntil: connects may fail
+	lastLossAt, minIdle, crowdedUntil int64 // minIdle: shortest before a loss; crowdedUntil: until then failed connects are no outage
 }
 
 func (s *staleDetector) record(lost bool, idle, now int64) {
@@ -901,7 +903,7 @@
 	nextWatchAt, retryDelay, firstWatchAt int64
 }
 
-// watchIfDue asks for a watch until one is confirmed: this node is held to changes even if it does not watch.
+// watchIfDue asks for a watch until one is confirmed: changes count as known to this node even if it does not watch.
 func (d *directory) watchIfDue(now int64, exec delivery.Executor) {
 	if d.requiresWatch && !d.watched && now >= d.nextWatchAt {
 		exec.Watch(true)
@@ -909,8 +911,8 @@
 	}
 }
 
-// holdsSends reports whether sends wait for the first list. The list kept from before a restart is outdated, and an
-// automatic directory holds nodes to later changes from the first moment. A directory that cannot be reached must not
+// holdsSends reports whether sends wait for the first list. The list kept from before a restart is outdated, and with
+// an automatic directory later changes count as known from the first moment. A directory that cannot be reached must not
 // hold back accepted events for long.
 func (d *directory) holdsSends(now int64) bool {
 	return d.automatic && !d.firstCallEnded && now < d.firstWatchAt+firstListWait
--- a/store/store.go
+++ b/store/store.go
@@ -379,8 +379,8 @@
 	return item != nil && item.value > s.clock()
 }
 
-// RecordBackoff records that a destination, or a route to it, asked for no calls until the given time of day. It never
-// shortens a backoff.
+// RecordBackoff records that a destination, or an endpoint with a rate limit of its own, asked for no calls until the
+// given time of day. It never shortens a backoff.
 func (s *Store) RecordBackoff(name string, until int64) error {
 	s.mu.Lock()
 	if old := s.backoffs[name]; old != nil && old.value >= until {
