--- a/node/call.go
+++ b/node/call.go
@@ -45,7 +45,7 @@
 	abandonOutcome delivery.Outcome // the outcome of an abandoned call
 	sentAt         int64            // when writing the request began
 
-	timeoutExtended bool        // the call timed out while its response was arriving, and the timeout was extended once
+	timeoutExtended bool        // the call timed out while its response was arriving, and got responseReadTimeout more
 	localFailure    atomic.Bool // connecting or writing last failed for a reason local to this machine
 }
 
@@ -247,7 +247,7 @@
 // recordAttempt writes one attempt to the journal, retrying for as long as the attempt is wanted. It reports whether the
 // record was written.
 func (c *call) recordAttempt(a *attempt) bool {
-	for c.pool.stalled(a.event.dest) && c.recordStillWanted(a) { // an unread response may tell the relay to wait
+	for c.pool.stalled(a.event.dest) && c.recordStillWanted(a) { // an unread response may carry a Retry-After
 		time.Sleep(recordRetryInterval)
 	}
 	if a.event.request.StartAttempt(c.pool.clock.now()) != nil {
--- a/node/clientconn.go
+++ b/node/clientconn.go
@@ -248,7 +248,7 @@
 }
 
 // waitReadable waits until the connection is readable, and reports whether input is available, which it does not
-// consume. End of stream and errors that are not momentary give false.
+// consume. It returns false at the end of the stream and after errors that are not transient.
 func (c *clientConn) waitReadable() (unread bool) {
 	raw, err := c.SyscallConn()
 	if err != nil {
--- a/node/clients.go
+++ b/node/clients.go
@@ -238,7 +238,7 @@
 	c.respond(ctx, request.response)
 }
 
-// acceptEvent starts processing an event or refuses it, and returns the answer for the client.
+// acceptEvent starts processing an event or refuses it, and returns the response for the client.
 func (c *clientServer) acceptEvent(ctx *fasthttp.RequestCtx, e *event) clientResponse {
 	if reason := c.node.refusalReason(e); reason != "" {
 		recordRefusal(e.id, reason)
@@ -252,11 +252,11 @@
 }
 
 // respond tells the client that its event was accepted, or when to retry.
-func (c *clientServer) respond(ctx *fasthttp.RequestCtx, a clientResponse) {
-	ctx.SetStatusCode(a.status)
-	if a.status == statusDeclined {
+func (c *clientServer) respond(ctx *fasthttp.RequestCtx, response clientResponse) {
+	ctx.SetStatusCode(response.status)
+	if response.status == statusDeclined {
 		ctx.Response.Header.Set(headerRetryAfter,
-			strconv.FormatFloat(float64(a.retryAfter)/1e9, 'f', retryAfterDecimals, 64))
+			strconv.FormatFloat(float64(response.retryAfter)/1e9, 'f', retryAfterDecimals, 64))
 	}
 }
 
--- a/node/clock.go
+++ b/node/clock.go
@@ -34,7 +34,7 @@
 	clockFile            = "clock" // relates the monotonic clock to the time of day
 	clockTempFile        = "clock.new"
 	clockFileMode        = 0o600
-	clockWriteTimeout    = 5 * time.Second // covers momentary failures to write the file
+	clockWriteTimeout    = 5 * time.Second // covers transient failures to write the file
 	clockWriteRetryDelay = 20 * time.Millisecond
 	bootIDFile           = "/proc/sys/kernel/random/boot_id"
 )
@@ -86,10 +86,10 @@
 
 // newClock starts the clock of a state folder. After a reboot only the wall clock tells how long the machine was off, so
 // it is used, but never to go back behind the recorded time of day.
-func newClock(folder string, m timeSource) clock {
-	start, wallNow := time.Now(), m.wallClock()
-	monotonicNow, err := m.monotonic()
-	currentBoot := m.bootID()
+func newClock(folder string, source timeSource) clock {
+	start, wallNow := time.Now(), source.wallClock()
+	monotonicNow, err := source.monotonic()
+	currentBoot := source.bootID()
 	if err != nil || currentBoot == "" {
 		logs.Part("node").WithError(err).Warn("no monotonic clock or boot id available: using the wall clock")
 		return clock{start, wallNow}
--- a/node/decisionloop.go
+++ b/node/decisionloop.go
@@ -16,7 +16,7 @@
 	clock         clock
 	scheduler     delivery.Scheduler
 	minInterval   int64 // minimum time between rounds
-	eventsPerCall []int // maximum number of events in one call, by partner
+	eventsPerCall []int // maximum number of events in one call, by destination kind
 	endpoints     *endpointPool
 	directory     *directory
 	peers         *peerMessenger
@@ -31,7 +31,7 @@
 	activeAttempts []*attempt // the attempt in flight, by event index; nil for none
 	destIndex      idmap.Table[uint32]
 	endpointIndex  idmap.Table[string]
-	partnerOf      []int   // by endpoint index
+	partnerOf      []int   // destination kind, by endpoint index
 	forgotten      []int32 // endpoints that the scheduler has removed but calls may still use
 
 	wakeAt    int64 // 0 if the scheduler did not ask to be woken
@@ -196,8 +196,9 @@
 	}
 }
 
-// registerEndpoint returns the index of an endpoint; fresh means that it was newly assigned. An endpoint that is listed again
-// just after the scheduler removed it must keep its index, so its release is cancelled.
+// registerEndpoint returns the index of an endpoint; fresh means that it was newly assigned, so nothing is known of the
+// endpoint. partner is the index of its destination kind. An endpoint that is listed again just after the scheduler removed
+// it must keep its index, so its release is cancelled.
 func (d *decisionLoop) registerEndpoint(host string, partner int) (ep int32, fresh bool) {
 	ep, fresh = d.endpointIndex.Acquire(host)
 	if int(ep) == len(d.partnerOf) {
--- a/node/directory.go
+++ b/node/directory.go
@@ -44,7 +44,7 @@
 	silenceTimeout atomic.Int64 // ns; a call that receives nothing for this long has failed
 	decisions      *decisionLoop
 	endpoints      *endpointPool
-	partnerNames   []string // names of the endpoint classes, by index
+	partnerNames   []string // names of the destination kinds, by index; a list gives them as "class"
 	zoneNames      []string
 	useRates       bool // lists contain the rate limits of endpoints
 
@@ -214,14 +214,14 @@
 	onRead    func(blank bool)
 }
 
-func (s *heartbeatReader) Read(b []byte) (int, error) {
-	if s.remaining <= 0 {
+func (r *heartbeatReader) Read(b []byte) (int, error) {
+	if r.remaining <= 0 {
 		return 0, errors.New("list exceeds the size limit")
 	}
-	n, err := s.body.Read(b[:min(len(b), s.remaining)])
-	s.remaining -= n
+	n, err := r.body.Read(b[:min(len(b), r.remaining)])
+	r.remaining -= n
 	if n > 0 {
-		s.onRead(len(bytes.TrimSpace(b[:n])) == 0)
+		r.onRead(len(bytes.TrimSpace(b[:n])) == 0)
 	}
 	return n, err
 }
--- a/node/endpointconn.go
+++ b/node/endpointconn.go
@@ -21,7 +21,7 @@
 	closeUnread    closeReason = "unread"    // bytes arrived while no call was waiting for a response
 	closeEnded     closeReason = "ended"     // the remote side closed or reset it while it was idle
 	closeMoved     closeReason = "moved"     // the endpoint's address changed or was removed
-	closePolicy    closeReason = "policy"    // the decision module asked to close idle connections to the endpoint
+	closePolicy    closeReason = "policy"    // the scheduler asked to close idle connections to the endpoint
 	closeFull      closeReason = "full"      // the pool holds its maximum number of idle connections
 	closeGivenUp   closeReason = "given_up"  // its call timed out, or was cancelled or recalled
 	closeBroken    closeReason = "broken"    // it failed during a call
--- a/node/endpointpool.go
+++ b/node/endpointpool.go
@@ -132,7 +132,8 @@
 }
 
 // takeIdle returns an idle connection for a call, or nil, and the address to connect to. It does not return one that
-// the endpoint has closed or is about to close: whether a call on such a connection has run would be unknown.
+// the endpoint has closed or is about to close: whether a call on such a connection has run would be unknown. repeatable
+// tells whether all events of the call may be sent again after an attempt that may have run.
 func (p *endpointPool) takeIdle(ep int32, repeatable bool) (*endpointConn, string) {
 	p.mu.Lock()
 	defer p.unlockAndSettle()
@@ -158,12 +159,12 @@
 	}
 }
 
-// recordRefusal updates the refusal statistics with a refusal on a connection that had carried one before. alike tells
-// whether it may be a copy of an earlier response.
-func (p *endpointPool) recordRefusal(alike bool) {
+// recordRefusal updates the refusal statistics with a refusal on a connection that had carried one before. unconfirmed
+// tells whether it may be a copy of an earlier response.
+func (p *endpointPool) recordRefusal(unconfirmed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.refusals.Record(alike)
+	p.refusals.Record(unconfirmed)
 }
 
 // closeConn closes a connection that carries a call.
--- a/node/event.go
+++ b/node/event.go
@@ -52,8 +52,8 @@
 // eventUpdate is sent to the eventTask of an event when something happens to the event.
 type eventUpdate struct {
 	kind       updateKind
-	attempt    *attempt // for updateSendStarted, updateSendEnded and updateRefusalConfirmed
-	result     result   // for updateSendEnded and updateRefusalConfirmed
+	attempt    *attempt // for updateAttemptStarted, updateAttemptEnded and updateRefusalConfirmed
+	result     result   // for updateAttemptEnded and updateRefusalConfirmed
 	retryAfter int64    // for updateDecline
 }
 
@@ -66,7 +66,7 @@
 	updateDecline
 	updateDiscard
 	updateNoticeAcknowledged // the platform has received the notice
-	updateRefusalConfirmed
+	updateRefusalConfirmed   // a refusal that might have belonged to another call was found to be the attempt's own
 )
 
 // updateBuffer is the capacity of an event's updates channel: each attempt produces two updates, and an event has
@@ -78,7 +78,7 @@
 	outcome              delivery.Outcome
 	retryAfter, duration int64
 	final                bool    // the endpoint states that the event needs no further attempt
-	rateFree, rateLimit  float64 // rate limit in the response: calls per second, and the free share of it
+	rateFree, rateLimit  float64 // from the response: the free share of the rate limit, and the limit in calls per second
 
 	confirmation *confirmation // set if the response may belong to another call and acting on it would then do harm
 }
--- a/node/eventtask.go
+++ b/node/eventtask.go
@@ -43,7 +43,7 @@
 	*event
 	clientWaiting    bool // the client still waits for its response
 	attemptsInFlight int  // attempts that have not ended
-	released         bool // its place was given back, and no further decision is made for it
+	released         bool // its place among the active events was given back, and no further decision is made for it
 	pending          pendingEnd
 	deadlineTimer    *time.Timer
 	endUnreported    bool // the end is decided but not reported
@@ -74,8 +74,8 @@
 	n.decisions.removeEvent(e)
 }
 
-// accept stores the event. It returns false if the event was refused, or if it duplicates one that is already in the
-// journal.
+// accept stores the event. It returns false if the event was refused, or if the journal already has an event with its id;
+// that one is processed on its own.
 func (t *eventTask) accept() bool {
 	err := t.node.journal.accept(t.event, t.node.typeNames[t.typ], t.node.customerName(t.customer))
 	if err == nil {
@@ -235,15 +235,15 @@
 
 // endUndelivered ends an event that is not delivered. A refusal is reported to the client if it still waits, any other end
 // to the platform. Either is reported only once a restart would no longer send the event.
-func (t *eventTask) endUndelivered(v resolution, retryAfter int64) {
+func (t *eventTask) endUndelivered(end resolution, retryAfter int64) {
 	t.release()
 	if !t.request.DecideEnd() {
 		return
 	}
-	t.resolution, t.retryAfter = v, retryAfter
+	t.resolution, t.retryAfter = end, retryAfter
 	t.endUnreported = true
 	t.node.unreportedEnds.Add(1)
-	if t.clientWaiting && v == declined {
+	if t.clientWaiting && end == declined {
 		t.pending = pendingEnd{record: t.node.journal.complete(t.event), toClient: true, clientTimeout: time.After(refusalRecordTimeout)}
 	} else {
 		t.respond(statusAccepted, 0)
--- a/node/journal.go
+++ b/node/journal.go
@@ -17,7 +17,7 @@
 	writeFailures failureLog
 
 	store     *store.Store
-	wallClock func() int64
+	wallClock func() int64 // time of day in ns from clock.timeOfDay, which never steps
 	stop      chan struct{}
 	done      chan struct{}
 }
@@ -35,17 +35,17 @@
 )
 
 // openJournal opens the store in a folder and returns the events that are still pending, in order of arrival. The journal
-// of an older version is imported. find maps the names of a stream type and a customer to their indices, and wallClock
-// returns the time of day in ns.
-func openJournal(folder string, fsys store.FS, wallClock func() int64, limitMB float64, maxAttempts int,
+// of an older version is imported. find maps the names of a stream type and a customer to their indices, and timeOfDay
+// returns the time of day in ns, which must never step.
+func openJournal(folder string, fsys store.FS, timeOfDay func() int64, limitMB float64, maxAttempts int,
 	find func(kind, owner string) (int, int, bool)) (*journal, []*event, error) {
-	s, recovered, err := store.Open(fsys, int64(limitMB*1e6), maxAttempts, store.SyncNever, wallClock)
+	s, recovered, err := store.Open(fsys, int64(limitMB*1e6), maxAttempts, store.SyncNever, timeOfDay)
 	if err != nil {
 		return nil, nil, err
 	}
 	j := &journal{
 		store:         s,
-		wallClock:     wallClock,
+		wallClock:     timeOfDay,
 		writeFailures: failureLog{part: "journal", operation: "writing a record"},
 		stop:          make(chan struct{}),
 		done:          make(chan struct{}),
@@ -159,16 +159,17 @@
 	return j.store.RecordResolution(e.id, e.arrivalSeq, store.Resolution(e.resolution), e.retryAfter)
 }
 
-// recordResolutionAndTrim is recordResolution for an event that may at most need its notice delivered.
-func (j *journal) recordResolutionAndTrim(e *event, v resolution) *store.PendingWrite {
-	return j.store.RecordResolutionAndTrim(e.id, e.arrivalSeq, store.Resolution(v))
+// recordResolutionAndTrim is recordResolution for an event that may at most need its notice delivered: its body and
+// attempts are dropped from the journal.
+func (j *journal) recordResolutionAndTrim(e *event, end resolution) *store.PendingWrite {
+	return j.store.RecordResolutionAndTrim(e.id, e.arrivalSeq, store.Resolution(end))
 }
 
 // complete records that an event needs nothing more.
 func (j *journal) complete(e *event) *store.PendingWrite { return j.completeByID(e.id, e.arrivalSeq) }
 
-// completeByID is complete for an event given by its ID and arrival sequence number. The ID is retained for endedFor, also
-// across restarts, so that a duplicate is detected.
+// completeByID is complete for an event given by its id and arrival sequence number. The id is retained for
+// completedIDRetention, also across restarts, so that a duplicate is detected.
 func (j *journal) completeByID(id string, arrivalSeq uint64) *store.PendingWrite {
 	return j.store.Complete(id, arrivalSeq, j.wallClock()+int64(completedIDRetention))
 }
--- a/node/listener.go
+++ b/node/listener.go
@@ -11,7 +11,7 @@
 const (
 	acceptRetryDelay  = 20 * time.Millisecond  // enough for a connection that was asked to close to be gone
 	backlogAcceptTime = 100 * time.Millisecond // within which the connections that queued up while accepting failed are accepted
-	firstByteGrace    = 10 * time.Millisecond  // when at the limit: a connection without a first byte is spared for this long,
+	firstByteGrace    = 10 * time.Millisecond  // at the limit, a connection that is lingering or has no first byte is spared for this long,
 	requestReadGrace  = 100 * time.Millisecond // an incomplete request for this long, as requests usually arrive in one piece,
 	idleGrace         = 150 * time.Millisecond // and an idle connection for this long while another may prove a better candidate
 )
@@ -52,8 +52,8 @@
 }
 
 // acceptConn returns the next connection. It waits while the limit is reached. It returns an error only for a closed
-// listener and retries after all others: those are shortages of this machine, or concern a single connection that broke
-// before it was accepted.
+// listener and retries after all others: those are transient failures of this machine, or concern a single connection
+// that broke before it was accepted, and do not mean that the listener has failed.
 func (l *listener) acceptConn() (*clientConn, error) {
 	socket, err := l.Listener.Accept()
 	for err != nil {
--- a/node/node.go
+++ b/node/node.go
@@ -79,8 +79,8 @@
 // Open opens the journal and the sockets of a node. Run starts it.
 func Open(config Config, limits Limits, timeouts ClientTimeouts, settings settings.Settings, scheduler delivery.Scheduler) (*Node, error) {
 	if config.timeSource == nil {
-		m := systemTimeSource()
-		config.timeSource = &m
+		source := systemTimeSource()
+		config.timeSource = &source
 	}
 	c := newClock(config.StateFolder, *config.timeSource)
 	n := &Node{clock: c, maxEvents: int64(settings.Limits.MaxEvents), types: settings.StreamTypes, typeNames: settings.StreamTypeNames,
--- a/node/notices.go
+++ b/node/notices.go
@@ -63,7 +63,7 @@
 	cancelAddress context.CancelFunc
 	spare         *platformConn // open and unused, nil if there is none
 	lastUsed      *platformConn // the connection used last, nil if there is none
-	unverified    int           // notices at the head of the queue that were posted on lastUsed
+	unverified    int           // notices at the head of the queue that were posted on a reused connection only
 }
 
 // platformConn is a connection to the platform for notices.
--- a/node/retryconn.go
+++ b/node/retryconn.go
@@ -27,6 +27,7 @@
 type retryConn struct {
 	net.Conn
 	// readFailingSince is when a read first failed with a transient error. Data read since then may have arrived that early.
+	// For a client connection that could not be accepted at once, it starts as the time since which accepting was delayed.
 	readFailingSince time.Time
 	// onStall is called with true when reads start to fail with transient errors, and with false when the read ends. It may
 	// be nil.
--- a/node/wire.go
+++ b/node/wire.go
@@ -53,7 +53,7 @@
 }
 
 // writeCall writes the HTTP request of a call with one event, or of a bulk call with several. The id, idempotency key and
-// body of each event are passed on unchanged. The deadline is wait, in ns.
+// body of each event are passed on unchanged. wait, in ns, is sent as the deadline.
 func writeCall(out *bytebufferpool.ByteBuffer, attempts []*attempt, wait int64) error {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
@@ -234,7 +234,7 @@
 
 // classifyStatus maps the HTTP status of a response to the outcome of the attempt, and tells whether the event is
 // complete.
-func classifyStatus(status int, noSlot, bulk bool) (how delivery.Outcome, over bool) {
+func classifyStatus(status int, noSlot, bulk bool) (outcome delivery.Outcome, final bool) {
 	switch {
 	case status == fasthttp.StatusOK:
 		return delivery.Acked, true
