--- a/node/endpointpool.go
+++ b/node/endpointpool.go
@@ -159,12 +159,12 @@
 	}
 }
 
-// recordRefusal updates the refusal statistics with a refusal on a connection that had carried one before. unconfirmed
-// tells whether it may be a copy of an earlier response.
-func (p *endpointPool) recordRefusal(unconfirmed bool) {
+// recordRefusal updates the refusal statistics with a refusal on a connection that had carried one before. alike tells
+// whether the two look alike, so that the later one may be a copy.
+func (p *endpointPool) recordRefusal(alike bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.refusals.Record(unconfirmed)
+	p.refusals.Record(alike)
 }
 
 // closeConn closes a connection that carries a call.
--- a/node/notices.go
+++ b/node/notices.go
@@ -318,7 +318,7 @@
 
 type statusError int
 
-func (s statusError) Error() string { return "status " + strconv.Itoa(int(s)) }
+func (s statusError) Error() string { return "platform answered with status " + strconv.Itoa(int(s)) }
 
 // exchange posts notices and reads the response. sent tells whether any byte may have been sent or the connection is
 // unusable.
--- a/node/peers.go
+++ b/node/peers.go
@@ -38,15 +38,15 @@
 var lateDatagrams = metrics.NewCounter("jaspersill_late_peer_datagrams_total",
 	"Datagrams of peers that came again, or behind a later one.")
 
-func newPeerMessenger(address, broadcast string, list []string, me int, d *decisionLoop,
+func newPeerMessenger(address, broadcast string, peers []string, self int, d *decisionLoop,
 	timeOfDay int64) (*peerMessenger, error) {
 	p := &peerMessenger{peerIndex: make(map[string]int), decisions: d, processStart: uint64(timeOfDay),
 		lastReceived: make(map[int]receivedDatagram)}
 	if address == "" || broadcast == "" {
 		return p, nil // peer messages are not configured
 	}
-	for i, address := range list {
-		if i != me { // a node receives its own datagrams too
+	for i, address := range peers {
+		if i != self { // a node receives its own datagrams too
 			p.peerIndex[address] = i
 		}
 	}
