--- a/node/node.go
+++ b/node/node.go
@@ -123,7 +123,7 @@
 	n.decisions.endpoints, n.decisions.directory, n.decisions.peers = n.endpoints, n.directory, n.peers
 	if len(config.KnownEndpoints) > 0 {
 		if err = n.directory.applyList(nil, config.KnownEndpoints); err != nil {
-			err = fmt.Errorf("known list of endpoints: %w", err)
+			err = fmt.Errorf("known: %w", err)
 		}
 	}
 	if err == nil {
