--- a/cmd/jaspersill/serve.go
+++ b/cmd/jaspersill/serve.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return err
 	}
-	module := scheduler.New(seed, s.StreamTypes, s.DestinationKinds, s.Limits, s.Recovery, s.Directory, s.Cluster, s.OrderPause)
+	sched := scheduler.New(seed, s.StreamTypes, s.DestinationKinds, s.Limits, s.Recovery, s.Directory, s.Cluster, s.OrderPause)
 	n, err := node.Open(
 		node.Config{
 			Listen:         c.Text("node.listen"),
@@ -59,7 +59,7 @@
 		node.ClientTimeouts{FirstRequest: c.Duration("clients.first"), Request: c.Duration("clients.whole"),
 			Idle: c.Duration("clients.between")},
 		s,
-		module,
+		sched,
 	)
 	if err != nil {
 		return err
--- a/node/attribution_test.go
+++ b/node/attribution_test.go
@@ -304,7 +304,7 @@
 	}
 }
 
-// Guards against unbounded growth of the recent requests.
+// Guards against request ids that are remembered forever, so that the memory for them grows without bound.
 func TestOldRequestIDsAreEvicted(t *testing.T) {
 	var r recentRequests
 	for i := range maxRecentRequests + 10 {
--- a/node/call_test.go
+++ b/node/call_test.go
@@ -212,7 +212,7 @@
 			}
 			results, _ := executeCall(t, p, timeout)
 			if results[0].duration <= 0 {
-				t.Errorf("took %d", results[0].duration)
+				t.Errorf("duration %d ns, want more than 0", results[0].duration)
 			}
 			if results[0].duration = 0; results[0] != c.want {
 				t.Errorf("got %+v, want %+v", results[0], c.want)
@@ -236,7 +236,7 @@
 	closedAddress := l.Addr().String()
 	l.Close()
 	if results, _ := executeCall(t, newTestPool(t, closedAddress), testTimeout); results[0].outcome != delivery.ConnectFailed {
-		t.Errorf("connection refused: %+v", results[0])
+		t.Errorf("connection refused: %+v, want connect failed", results[0])
 	}
 	endpoint := newTestEndpoint(t, respond(httpResponse("200 OK", "", "")))
 	p := newTestPool(t, endpoint.Addr().String())
@@ -260,7 +260,7 @@
 		t.Errorf("attempt cancelled before it was sent: %+v", r)
 	}
 	if calls, _ := endpoint.counts(); calls != 0 {
-		t.Errorf("%d calls reached the endpoint", calls)
+		t.Errorf("%d calls reached the endpoint, want none", calls)
 	}
 }
 
@@ -397,7 +397,7 @@
 	executeCall(t, p, testTimeout)
 	waitForIdle(1)
 	if calls, conns := endpoint.counts(); calls != 2 || conns != 1 {
-		t.Errorf("%d calls on %d connections", calls, conns)
+		t.Errorf("%d calls on %d connections, want 2 on 1", calls, conns)
 	}
 	p.closeExpired(p.clock.now() + p.idleTimeout - idleMargin)
 	waitForIdle(0)
@@ -462,7 +462,7 @@
 	p := newTestPool(t, endpoint.Addr().String())
 	results, _ := executeCall(t, p, testTimeout, testTimeout, testTimeout, testTimeout, testTimeout)
 	if body := <-bodies; strings.Count(body, " mark 4\r\na\r\nb\r\n") != 5 || len(bulkIDs(body)) != 5 {
-		t.Errorf("body %q", body)
+		t.Errorf("unexpected body %q", body)
 	}
 	for i, want := range []result{{outcome: delivery.Acked, final: true}, {outcome: delivery.Errored}, {outcome: delivery.Refused},
 		{outcome: delivery.Unsent, final: true}, {outcome: delivery.Unsent}} {
--- a/node/iofaults_test.go
+++ b/node/iofaults_test.go
@@ -102,15 +102,15 @@
 			disk.failing.Store(false)
 		}
 		env.waitFor("the platform has a notice", func() bool { return len(env.receivedNotices()) > 0 })
-		heard := time.Since(sent)
+		noticeDelay := time.Since(sent)
 		if e := recoverAfterKill(t, env.folder)["x"]; recovers && e != nil && e.Resolution == store.Unresolved {
 			t.Error("notice sent before its record was on disk")
 		}
-		if recovers && heard > left {
-			t.Errorf("notice sent after %v, though the disk had recovered", heard)
+		if recovers && noticeDelay > left {
+			t.Errorf("notice sent after %v, after the deadline although the disk had recovered", noticeDelay)
 		}
-		if !recovers && (heard < left || heard > left+300*time.Millisecond) {
-			t.Errorf("notice sent after %v, want at most 0.3 s after the deadline of %v", heard, left)
+		if !recovers && (noticeDelay < left || noticeDelay > left+300*time.Millisecond) {
+			t.Errorf("notice sent after %v, want at most 0.3 s after the deadline of %v", noticeDelay, left)
 		}
 		disk.failing.Store(false)
 	}
@@ -134,12 +134,12 @@
 	const left = 18 * time.Millisecond // too short for an attempt, so the event is refused at once
 	sent := time.Now()
 	status, _ := env.dial().submit(submitRequest("refused", "alert", "9", left.Milliseconds(), ""))
-	heard := time.Since(sent)
+	responseDelay := time.Since(sent)
 	if status != statusDeclined {
 		t.Errorf("status %d, want %d", status, statusDeclined)
 	}
-	if _, found := recoverAfterKill(t, env.folder)["refused"]; found && heard < left {
-		t.Error("refused, but a restart would forward the event")
+	if _, found := recoverAfterKill(t, env.folder)["refused"]; found && responseDelay < left {
+		t.Error("the client was told of the refusal, but a restart would forward the event")
 	}
 	env.waitFor("all events are complete", env.journal.empty)
 }
@@ -173,7 +173,7 @@
 	}
 	t.Cleanup(j.close)
 	endpoint := newTestEndpoint(t, respond(httpResponse("200 OK", "", "")))
-	for name, callOff := range map[string]func(*call){
+	for name, cancel := range map[string]func(*call){
 		"cancelled": func(c *call) { c.abandon(delivery.Cancelled) },
 		"recalled":  func(c *call) { c.recall(c.attempts[0]) },
 	} {
@@ -185,13 +185,13 @@
 		disk.writeDelay.Store(int64(time.Second))
 		go p.execute(c)
 		time.Sleep(200 * time.Millisecond) // the attempt's record is being written
-		began := time.Now()
-		callOff(c)
-		if took := time.Since(began); took > 100*time.Millisecond {
-			t.Errorf("%s: took %v", name, took)
+		start := time.Now()
+		cancel(c)
+		if elapsed := time.Since(start); elapsed > 100*time.Millisecond {
+			t.Errorf("%s: took %v, want at most 0.1 s", name, elapsed)
 		}
 		if r := awaitResult(t, s); r.outcome != delivery.Unsent {
-			t.Errorf("%s: ended as %v", name, r.outcome)
+			t.Errorf("%s: ended as %v, want unsent", name, r.outcome)
 		}
 		disk.writeDelay.Store(0)
 	}
@@ -314,10 +314,10 @@
 			return &faultyConn{TCPConn: conn.(*net.TCPConn), errno: errno, failReads: 3, failWrites: 3}, nil
 		}
 		if ends, _ := executeCall(t, p, 5*time.Second); ends[0].outcome != delivery.Acked {
-			t.Errorf("%v: ended as %v", errno, ends[0].outcome)
+			t.Errorf("%v: ended as %v, want delivered", errno, ends[0].outcome)
 		}
 		if calls, _ := endpoint.counts(); calls != 1 {
-			t.Errorf("%v: %d calls", errno, calls)
+			t.Errorf("%v: %d calls, want 1", errno, calls)
 		}
 	}
 }
@@ -329,7 +329,7 @@
 		return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", syscall.ENFILE)}
 	}
 	if ends, _ := executeCall(t, p, 300*time.Millisecond); ends[0].outcome != delivery.Unsent {
-		t.Errorf("ended as %v", ends[0].outcome)
+		t.Errorf("ended as %v, want unsent", ends[0].outcome)
 	}
 }
 
@@ -345,10 +345,10 @@
 			n.clients.listener.Listener = l
 		}
 		env.startNode()
-		resting, half := env.dial(), env.dial()
-		resting.submit(submitRequest("a", "charge", "1", 8000, ""))
+		idle, incomplete := env.dial(), env.dial()
+		idle.submit(submitRequest("a", "charge", "1", 8000, ""))
 		text := submitRequest("b", "charge", "1", 8000, "body")
-		io.WriteString(half, text[:len(text)-1])
+		io.WriteString(incomplete, text[:len(text)-1])
 		l.mu.Lock()
 		l.acceptFailures = 12
 		l.mu.Unlock()
@@ -357,11 +357,11 @@
 			t.Errorf("%v: the next client got status %d", errno, status)
 		}
 		env.waitFor("accepting works again", func() bool { l.mu.Lock(); defer l.mu.Unlock(); return l.acceptFailures < 0 })
-		if status, _ := resting.submit(submitRequest("d", "charge", "1", 8000, "")); status != statusAccepted {
+		if status, _ := idle.submit(submitRequest("d", "charge", "1", 8000, "")); status != statusAccepted {
 			t.Errorf("%v: the idle connection got status %d", errno, status)
 		}
-		io.WriteString(half, text[len(text)-1:])
-		if status, _ := half.readResponse(""); status != statusAccepted {
+		io.WriteString(incomplete, text[len(text)-1:])
+		if status, _ := incomplete.readResponse(""); status != statusAccepted {
 			t.Errorf("%v: the connection with an incomplete request got status %d", errno, status)
 		}
 	}
@@ -432,10 +432,11 @@
 	l.Close()
 }
 
-// Guards against an attempt that is sent late, after it was cancelled or recalled or its deadline has passed, because
-// writing it had failed for a while.
+// Guards against an attempt that is sent late because writing it had failed for a while. By then a Retry-After may have to
+// be waited for, the deduplication window may be over or the deadline may have passed. So until it is written, an attempt
+// can still be cancelled or recalled, and expires at its deadline.
 func TestAttemptCanBeRecalledWhileWriteFails(t *testing.T) {
-	for name, callOff := range map[string]func(*call){
+	for name, cancel := range map[string]func(*call){
 		"timed out": func(c *call) { c.abandon(delivery.TimedOut) },
 		"recalled":  func(c *call) { c.recall(c.attempts[0]) },
 		"late":      func(c *call) {},
@@ -458,9 +459,9 @@
 		c.attempts = []*attempt{s}
 		go p.execute(c)
 		time.Sleep(50 * time.Millisecond)
-		callOff(c)
+		cancel(c)
 		if r := awaitResult(t, s); r.outcome != delivery.Unsent {
-			t.Errorf("%s: ended as %v", name, r.outcome)
+			t.Errorf("%s: ended as %v, want unsent", name, r.outcome)
 		}
 		time.Sleep(400 * time.Millisecond) // 20 write errors take 0.3 s
 		if calls, _ := endpoint.counts(); calls > 0 {
@@ -494,13 +495,13 @@
 	time.Sleep(50 * time.Millisecond) // the first byte of the call cannot be written
 	c.recall(recalled)
 	if r := awaitResult(t, recalled); r.outcome != delivery.Unsent {
-		t.Errorf("recalled: %+v", r)
+		t.Errorf("recalled event: %+v, want unsent", r)
 	}
 	if r := awaitResult(t, kept); r.outcome != delivery.Acked {
-		t.Errorf("kept: %+v", r)
+		t.Errorf("other event of the call: %+v, want delivered", r)
 	}
 	if body := <-bodies; strings.Contains(body, "recalled body") || !strings.Contains(body, "kept body") {
-		t.Errorf("body of the call: %q", body)
+		t.Errorf("body of the call: %q, want only that of the event that was not recalled", body)
 	}
 }
 
@@ -532,10 +533,10 @@
 	}
 	second.recall(recalled)
 	if r := awaitResult(t, recalled); r.outcome != delivery.Unsent {
-		t.Errorf("recalled: ended as %v", r.outcome)
+		t.Errorf("the recalled call ended as %v, want unsent", r.outcome)
 	}
 	if r := awaitResult(t, first.attempts[0]); r.outcome != delivery.Acked {
-		t.Errorf("the first call ended as %v", r.outcome)
+		t.Errorf("the first call ended as %v, want delivered", r.outcome)
 	}
 }
 
@@ -616,7 +617,7 @@
 	time.Sleep(110 * time.Millisecond) // the response has started to arrive, and is unread or being read
 	c.abandon(delivery.TimedOut)
 	if r := <-ends; r.outcome != delivery.Acked {
-		t.Errorf("ended as %v", r.outcome)
+		t.Errorf("ended as %v, want delivered", r.outcome)
 	}
 }
 
@@ -638,6 +639,6 @@
 	}
 	c := &call{pool: p, conn: conn, progress: progressWritten}
 	if c.abandon(delivery.TimedOut); c.abandoned || !c.timeoutExtended {
-		t.Error("the call was abandoned")
+		t.Error("the call was abandoned although its response had arrived")
 	}
 }
--- a/node/journal_test.go
+++ b/node/journal_test.go
@@ -326,14 +326,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkReport := func(what string, data []byte, wantPending int, wantTorn, wantLost, wantFaults bool) {
+	checkReport := func(what string, data []byte, wantPending int, wantTruncated, wantMissing, wantFaults bool) {
 		t.Helper()
 		if err := os.WriteFile(name, data, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		before := folderSize(t, folder)
 		report, err := ReadJournal(folder)
-		if err != nil || len(report.Pending) != wantPending || (report.TruncatedBytes > 0) != wantTorn || report.RecordsMissing != wantLost ||
+		if err != nil || len(report.Pending) != wantPending || (report.TruncatedBytes > 0) != wantTruncated || report.RecordsMissing != wantMissing ||
 			(len(report.Faults) > 0) != wantFaults {
 			t.Errorf("%s: %+v, %v", what, report, err)
 		}
@@ -354,8 +354,8 @@
 	}
 }
 
-// Guards against events whose body files are gone while the legacy journal itself could not be removed: the next start
-// imports them again and would discard them.
+// Guards against a legacy journal whose failed removal goes unnoticed: the next start would import its events again,
+// including those completed since, and would discard those whose body files are gone.
 func TestUnremovableLegacyJournalKeepsItsBodies(t *testing.T) {
 	folder := t.TempDir()
 	legacy := &legacyJournal{name: filepath.Join(folder, legacyName)}
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -94,10 +94,10 @@
 		env.t.Fatal(err)
 	}
 	s.Directory.RequiresWatch = true
-	decider := scheduler.New(1, s.StreamTypes, s.DestinationKinds, s.Limits, s.Recovery, s.Directory, s.Cluster, s.OrderPause)
+	sched := scheduler.New(1, s.StreamTypes, s.DestinationKinds, s.Limits, s.Recovery, s.Directory, s.Cluster, s.OrderPause)
 	env.Node, err = Open(Config{Listen: "127.0.0.1:0", Directory: directory.Addr().String(), StateFolder: env.folder,
 		KnownEndpoints: []byte(list), disk: env.disk, timeSource: env.timeSource},
-		Limits{DiskMB: env.diskMB}, ClientTimeouts{}, s, decider)
+		Limits{DiskMB: env.diskMB}, ClientTimeouts{}, s, sched)
 	if err != nil {
 		env.t.Fatal(err)
 	}
@@ -190,7 +190,7 @@
 		"nowhere":   submitRequest("nowhere", "charge", "9", 100, ""),
 	} {
 		if status, _ := c.submit(r); status != statusAccepted {
-			t.Fatalf("%s: %d", id, status)
+			t.Fatalf("%s: status %d", id, status)
 		}
 	}
 	env.waitFor("all events are complete", env.journal.empty)
@@ -217,7 +217,7 @@
 func TestDuplicateID(t *testing.T) {
 	env := newTestEnv(t)
 	answer := make(chan string)
-	at := env.addEndpoint(1, func(conn net.Conn, body string) bool { return respond(<-answer)(conn, body) })
+	endpoint := env.addEndpoint(1, func(conn net.Conn, body string) bool { return respond(<-answer)(conn, body) })
 	env.startNode()
 	c := env.dial()
 	for range 2 { // a duplicate of a pending event is answered but not accepted again
@@ -227,7 +227,7 @@
 	}
 	answer <- httpResponse("200 OK", "", "")
 	env.waitFor("the event is complete", env.journal.empty)
-	if calls, _ := at.counts(); calls != 1 {
+	if calls, _ := endpoint.counts(); calls != 1 {
 		t.Errorf("got %d calls, want 1", calls)
 	}
 	// An event submitted in the round that frees the index of a completed one with the same id is a new event.
@@ -240,7 +240,7 @@
 	d.round(1)
 	d.Discard(second.index)
 	if len(second.updates) != 2 || len(first.updates) != 1 {
-		t.Errorf("got %d and %d steps, want 1 and 2", len(first.updates), len(second.updates))
+		t.Errorf("got %d and %d updates, want 1 and 2", len(first.updates), len(second.updates))
 	}
 }
 
@@ -283,12 +283,12 @@
 		length("Transfer-Encoding: identity"):                                                        400,
 		length("Transfer-Encoding: chunked\r\n\r\nxyz\r\n"):                                          400,
 		both + "0\r\n\r\n":                                                                           400,
-		strings.Replace(good, "dest=1", "dest=2", 1):                                                 503, // the destination is not listed
+		strings.Replace(good, "dest=1", "dest=2", 1):                                                 503, // the destination is not listed, or not yet
 	} {
 		c := env.dial()
 		go io.WriteString(c, text)
 		if status, _ := c.readResponse(headerRetryAfter); status != want {
-			t.Errorf("%.80q: %d, want %d", text, status, want)
+			t.Errorf("%.80q: status %d, want %d", text, status, want)
 		}
 	}
 	// Nothing that follows a request with invalid framing is parsed as a request.
@@ -304,7 +304,7 @@
 	for _, body := range []string{"", strings.Repeat("\x00\r\n", 21000)} { // bodies up to the limit are valid
 		id := fmt.Sprint("y", len(body))
 		if status, _ := env.dial().submit(submitRequest(id, "charge", "1", 8000, body)); status != statusAccepted {
-			t.Errorf("body of %d bytes: %d", len(body), status)
+			t.Errorf("body of %d bytes: status %d", len(body), status)
 		}
 	}
 }
@@ -319,12 +319,12 @@
 		env.maxEvents, env.diskMB = c.open, c.diskMB
 		env.addEndpoint(1, noResponse)
 		env.startNode()
-		conn, status, back := env.dial(), statusAccepted, ""
+		conn, status, retryAfter := env.dial(), statusAccepted, ""
 		for i := 0; status == statusAccepted && i < 60; i++ {
-			status, back = conn.submit(submitRequest(fmt.Sprint("x", i), "charge", "1", 8000, c.body))
+			status, retryAfter = conn.submit(submitRequest(fmt.Sprint("x", i), "charge", "1", 8000, c.body))
 		}
-		if status != statusDeclined || !strings.HasPrefix(back, "0.") || back == "0.000" {
-			t.Errorf("%d events of %d bytes on %v MB: status %d, Retry-After %q", c.open, len(c.body), c.diskMB, status, back)
+		if status != statusDeclined || !strings.HasPrefix(retryAfter, "0.") || retryAfter == "0.000" {
+			t.Errorf("%d events of %d bytes on %v MB: status %d, Retry-After %q", c.open, len(c.body), c.diskMB, status, retryAfter)
 		}
 		if size := folderSize(t, env.folder); size > int64(c.diskMB*1e6) {
 			t.Errorf("%d bytes on disk exceed the limit", size)
@@ -334,7 +334,7 @@
 
 func TestRestartRecoversAcceptedEvents(t *testing.T) {
 	env := newTestEnv(t)
-	at := env.addEndpoint(1, noResponse)
+	unresponsive := env.addEndpoint(1, noResponse)
 	env.addEndpoint(2, respond(httpResponse("429 Full", "Retry-After: 60\r\n", "")))
 	env.startNode()
 	c := env.dial()
@@ -342,7 +342,7 @@
 		c.submit(submitRequest(id, kind, "1", 8000, "body of "+id))
 	}
 	c.submit(submitRequest("waiting", "charge", "5", 8000, "body of waiting"))
-	env.waitFor("three attempts are open", func() bool { calls, _ := at.counts(); return calls == 3 })
+	env.waitFor("three attempts are open", func() bool { calls, _ := unresponsive.counts(); return calls == 3 })
 
 	// A copy of the folder at any moment is what a killed process would leave behind.
 	restarted := newTestEnv(t)
@@ -368,7 +368,7 @@
 	head := strings.Join(good.requestHeaders, "")
 	if !strings.Contains(head, "Req-Id: out-keyed\r\n") ||
 		!strings.Contains(head, "Idempotency-Key: mark-out-keyed\r\n") {
-		t.Errorf("id or idempotency key changed: %q", head)
+		t.Errorf("id or idempotency key changed after the restart: %q", head)
 	}
 }
 
@@ -417,10 +417,10 @@
 	env.waitFor("the outcome is decided", func() bool { return env.activeEvents.Load() == 0 })
 	restarted := newTestEnv(t)
 	restarted.folder = copyAsKilled(t, env.folder)
-	at := restarted.addEndpoint(1, respond(httpResponse("200 OK", "", "")))
+	endpoint := restarted.addEndpoint(1, respond(httpResponse("200 OK", "", "")))
 	restarted.startNode()
 	restarted.waitFor("all events are complete", restarted.journal.empty)
-	if calls, _ := at.counts(); calls != 0 || len(restarted.receivedNotices()) != 1 {
+	if calls, _ := endpoint.counts(); calls != 0 || len(restarted.receivedNotices()) != 1 {
 		t.Errorf("got %d calls and notices %q, want no call and one notice", calls, restarted.receivedNotices())
 	}
 }
@@ -433,14 +433,14 @@
 		return respond(httpResponse("200 OK", "", ""))(conn, body)
 	})
 	env.startNode()
-	idle, busy, half := env.dial(), env.dial(), env.dial()
+	idle, busy, incomplete := env.dial(), env.dial(), env.dial()
 	for i, c := range []*testClient{idle, busy} {
 		if status, _ := c.submit(submitRequest(fmt.Sprint("x", i), "charge", "1", 8000, "")); status != statusAccepted {
 			t.Fatal(status)
 		}
 	}
 	text := submitRequest("late", "charge", "1", 8000, "body")
-	io.WriteString(half, text[:len(text)-2])
+	io.WriteString(incomplete, text[:len(text)-2])
 	env.stop()
 	env.waitFor("the node drains", func() bool { return env.Phase() == Draining })
 	io.WriteString(busy, submitRequest("x2", "charge", "1", 8000, ""))
@@ -450,8 +450,8 @@
 	if _, err := idle.reader.ReadByte(); err != io.EOF {
 		t.Errorf("idle connection: %v, want EOF", err)
 	}
-	io.WriteString(half, text[len(text)-2:]) // this request had started before the idle connections were closed
-	if status, connection := half.readResponse("Connection"); status != statusAccepted || connection != "close" {
+	io.WriteString(incomplete, text[len(text)-2:]) // this request had started before the idle connections were closed
+	if status, connection := incomplete.readResponse("Connection"); status != statusAccepted || connection != "close" {
 		t.Errorf("request started before the drain: status %d, Connection: %q", status, connection)
 	}
 	close(answer)
@@ -460,7 +460,7 @@
 	}
 	env.done <- nil
 	if !env.journal.empty() || env.Phase() != Stopped {
-		t.Errorf("events left at the end: %v, phase %s", !env.journal.empty(), env.Phase())
+		t.Errorf("events left after the drain: %v, phase %s", !env.journal.empty(), env.Phase())
 	}
 }
 
@@ -588,8 +588,8 @@
 	env.clients.listener.mu.Lock()
 	env.clients.listener.maxConns = 10
 	env.clients.listener.mu.Unlock()
-	usual, text := env.dial(), submitRequest("x", "alert", "1", 8000, "body")
-	usual.submit(text)
+	existing, text := env.dial(), submitRequest("x", "alert", "1", 8000, "body")
+	existing.submit(text)
 	// An idle connection may be evicted after idleGrace, which a busy machine can exceed: keep this one recently used.
 	env.waitFor("the existing client is idle", func() bool {
 		env.clients.listener.mu.Lock()
@@ -612,7 +612,7 @@
 	if took := time.Since(begin); took > defaultFirstRequestTimeout {
 		t.Errorf("new client waited %v, want at most %v", took, defaultFirstRequestTimeout)
 	}
-	if status, _ := usual.submit(submitRequest("z", "alert", "1", 8000, "")); status != statusAccepted {
+	if status, _ := existing.submit(submitRequest("z", "alert", "1", 8000, "")); status != statusAccepted {
 		t.Errorf("existing client: status %d", status)
 	}
 }
@@ -683,10 +683,10 @@
 	}
 	listener.mu.Lock()
 	io.WriteString(c, "request")
-	rested := make(chan bool)
-	go func() { rested <- conn.awaitRequest() }()
+	hasRequest := make(chan bool)
+	go func() { hasRequest <- conn.awaitRequest() }()
 	listener.mu.Unlock()
-	if !<-rested {
+	if !<-hasRequest {
 		t.Error("the request was not noticed")
 	}
 }
@@ -696,17 +696,17 @@
 	listener := env.clients.listener
 	listener.requestTimeout = 50 * time.Millisecond // far less than the idle timeout
 	go env.clients.serve()
-	ahead, half := env.dial(), env.dial()
-	io.WriteString(half, "GET /up HTTP/1.1\r\nHo")
-	if status, connection := half.readResponse("Connection"); status != 408 || connection != "close" {
+	idle, incomplete := env.dial(), env.dial()
+	io.WriteString(incomplete, "GET /up HTTP/1.1\r\nHo")
+	if status, connection := incomplete.readResponse("Connection"); status != 408 || connection != "close" {
 		t.Errorf("incomplete request: status %d, Connection: %q", status, connection)
 	}
-	io.WriteString(ahead, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n") // after being idle for longer than requestTimeout
-	if status, _ := ahead.readResponse(""); status != 200 {
+	io.WriteString(idle, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n") // after being idle for longer than requestTimeout
+	if status, _ := idle.readResponse(""); status != 200 {
 		t.Errorf("idle connection: status %d", status)
 	}
 	listener.closeAllIdle()
-	if b, err := ahead.reader.ReadByte(); err != io.EOF { // an idle connection closes without a response
+	if b, err := idle.reader.ReadByte(); err != io.EOF { // an idle connection closes without a response
 		t.Errorf("idle connection after the close: %q, %v", b, err)
 	}
 }
@@ -771,7 +771,7 @@
 
 func TestRequestFramings(t *testing.T) {
 	env := newTestEnv(t)
-	at := env.addEndpoint(1, respond(httpResponse("200 OK", "", "")))
+	endpoint := env.addEndpoint(1, respond(httpResponse("200 OK", "", "")))
 	env.startNode()
 	head := func(id, more string) string {
 		return "POST /api HTTP/1.1\r\nhost: x\r\nREQ-ID: " + id + "\r\nreq-kind:alert\r\nReq-Owner:  acme \r\n" +
@@ -807,7 +807,7 @@
 	if status, _ := c.submit("abc"); status != statusAccepted {
 		t.Errorf("request after 100 Continue: status %d", status)
 	}
-	env.waitFor("all events are delivered", func() bool { calls, _ := at.counts(); return calls > 0 && env.journal.empty() })
+	env.waitFor("all events are delivered", func() bool { calls, _ := endpoint.counts(); return calls > 0 && env.journal.empty() })
 }
 
 // recordingScheduler is a scheduler that records some of its input and decides nothing.
@@ -874,7 +874,7 @@
 	const second = `{"seq":9,"whole":false,"hosts":[{"host":"a","dial":"127.0.0.1:3","site":"there",` +
 		`"class":"small one","block":3,"health":"Gone","share":2.5}]}` + "\n"
 	resume := make(chan bool)
-	at := newTestEndpoint(t, func(conn net.Conn, _ string) bool {
+	server := newTestEndpoint(t, func(conn net.Conn, _ string) bool {
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for _, part := range strings.SplitAfter(first+"\n\n"+second, "s") {
 			fmt.Fprintf(conn, "%x\r\n%s\r\n", len(part), part)
@@ -886,7 +886,7 @@
 		resume <- true
 		return <-resume // silence from here on
 	})
-	d, r := newTestDirectory(t, at.Addr().String())
+	d, r := newTestDirectory(t, server.Addr().String())
 	d.setWatching(true)
 	env := &testEnv{t: t}
 	want := "whole=true 0/0/1/1/2/2.5 1/1/2/2/1/1 ; whole=false 0/0/1/1/3/2.5 ;"
@@ -897,13 +897,13 @@
 	env.waitFor("the silent watch fails", func() bool { return r.joined() == want+" failed" })
 	resume <- false
 	d.setWatching(true)
-	env.waitFor("the next watch is opened", func() bool { calls, _ := at.counts(); return calls == 2 })
+	env.waitFor("the next watch is opened", func() bool { calls, _ := server.counts(); return calls == 2 })
 	<-resume
 	resume <- false
-	at.mu.Lock()
-	defer at.mu.Unlock()
-	if !strings.Contains(at.requestHeaders[1], "GET /discovery/hosts?watch=1&from=9 ") {
-		t.Errorf("second call: %q", at.requestHeaders[1])
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	if !strings.Contains(server.requestHeaders[1], "GET /discovery/hosts?watch=1&from=9 ") {
+		t.Errorf("second call: %q", server.requestHeaders[1])
 	}
 	if _, dial := d.endpoints.takeIdle(0, true); dial != "" {
 		t.Errorf("endpoint still has the address %q", dial)
@@ -916,14 +916,14 @@
 		"      \"health\": \"Ready\"\n    }\n  ]\n}\n"
 	const older = `{"seq":6,"whole":false,"hosts":[{"host":"a","block":3,"health":"Gone"}]}` + "\n"
 	const half = `{"seq":9,"whole":false,"hosts":[{"host":"a","block":3,"health":"Gone"}`
-	at := newTestEndpoint(t, func(conn net.Conn, _ string) bool {
+	server := newTestEndpoint(t, func(conn net.Conn, _ string) bool {
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for line := range strings.Lines(first + older + half) {
 			fmt.Fprintf(conn, "%x\r\n%s\r\n", len(line), line)
 		}
 		return false
 	})
-	d, r := newTestDirectory(t, at.Addr().String())
+	d, r := newTestDirectory(t, server.Addr().String())
 	d.setWatching(true)
 	(&testEnv{t: t}).waitFor("the watch fails", func() bool { return strings.HasSuffix(r.joined(), "failed") })
 	if got, want := r.joined(), "whole=true 0/0/2/2/2/0 ; whole=false ; failed"; got != want {
@@ -949,9 +949,9 @@
 		d.setWatching(true)
 		(&testEnv{t: t}).waitFor(name+" is reported", func() bool { return r.joined() == "failed" })
 	}
-	at := newTestEndpoint(t, respond(httpResponse("200 OK", "", `{"seq":1,"whole":true,"hosts":[{"block":1},{"host":"x"},`+
+	server := newTestEndpoint(t, respond(httpResponse("200 OK", "", `{"seq":1,"whole":true,"hosts":[{"block":1},{"host":"x"},`+
 		`{"host":"a","block":1,"class":"small one","health":"Ready"}]}`)))
-	d, r := newTestDirectory(t, at.Addr().String())
+	d, r := newTestDirectory(t, server.Addr().String())
 	d.setWatching(true)
 	(&testEnv{t: t}).waitFor("the full list is applied", func() bool {
 		return r.joined() == "whole=true 0/0/1/2/2/0 ; failed" // the response ended, which ends the watch
@@ -1002,24 +1002,24 @@
 }
 
 func TestNoticesUseNewAddressWithoutWaitingForTheOld(t *testing.T) {
-	hangs, heard := newTestEndpoint(t, noResponse), make(chan string, 9)
+	hangs, posts := newTestEndpoint(t, noResponse), make(chan string, 9)
 	after := newTestEndpoint(t, func(conn net.Conn, body string) bool {
-		heard <- body
+		posts <- body
 		return respond("HTTP/1.1 204 No Content\r\n\r\n")(conn, body)
 	})
-	o, stop, told := newNoticeSender(hangs.Addr().String()), make(chan struct{}), make(chan struct{}, 1)
+	sender, stop, acknowledged := newNoticeSender(hangs.Addr().String()), make(chan struct{}), make(chan struct{}, 1)
 	defer close(stop)
-	o.setTimeouts(testTimeout, noticeRetryInterval)
-	go o.run(stop)
-	o.enqueue(notice{id: "x", resolution: discarded, onAcknowledged: func() { told <- struct{}{} }})
+	sender.setTimeouts(testTimeout, noticeRetryInterval)
+	go sender.run(stop)
+	sender.enqueue(notice{id: "x", resolution: discarded, onAcknowledged: func() { acknowledged <- struct{}{} }})
 	(&testEnv{t: t}).waitFor("the notice is posted", func() bool { calls, _ := hangs.counts(); return calls == 1 })
-	o.setAddress(after.Addr().String())
+	sender.setAddress(after.Addr().String())
 	select {
-	case <-heard:
+	case <-posts:
 	case <-time.After(testTimeout / 2):
 		t.Fatal("the notice still waits for the old address")
 	}
-	<-told
+	<-acknowledged
 }
 
 func TestForgottenEndpointKeepsIndexUntilItsCallsEnd(t *testing.T) {
