--- a/node/attribution_test.go
+++ b/node/attribution_test.go
@@ -65,40 +65,40 @@
 	return n
 }
 
-func (w *testEnv) hasNotice(id string) bool {
-	return slices.ContainsFunc(w.receivedNotices(), func(n string) bool { return strings.Contains(n, fmt.Sprintf("%q", id)) })
+func (env *testEnv) hasNotice(id string) bool {
+	return slices.ContainsFunc(env.receivedNotices(), func(n string) bool { return strings.Contains(n, fmt.Sprintf("%q", id)) })
 }
 
 // Guards against a duplicated 200 response being taken for the response to the next request, which was refused: that
 // request would count as delivered and the platform would never hear of it.
 func TestDuplicateDeliveryResponseDoesNotCompleteNextRequest(t *testing.T) {
-	w := newTestEnv(t)
+	env := newTestEnv(t)
 	endpoint := &duplicatingEndpoint{firstResponse: httpResponse("200 OK", "", ""), realResponse: httpResponse("503 Full", "", ""), realDelay: 50 * time.Millisecond}
-	w.addEndpoint(1, endpoint.handle)
-	w.startNode()
-	c := w.dial()
+	env.addEndpoint(1, endpoint.handle)
+	env.startNode()
+	c := env.dial()
 	c.submit(submitRequest("first", "alert", "1", 1000, "first"))
-	w.waitFor("the first call is received", func() bool { return endpoint.callsWithBody("first") == 1 })
+	env.waitFor("the first call is received", func() bool { return endpoint.callsWithBody("first") == 1 })
 	time.Sleep(20 * time.Millisecond)
 	c.submit(submitRequest("second", "alert", "1", 1000, "second"))
-	w.waitFor("the second call is received", func() bool { return endpoint.callsWithBody("second") == 1 })
-	w.waitFor("the notice of the second event is received", func() bool { return w.hasNotice("second") })
-	w.waitFor("the journal is empty", w.journal.empty)
+	env.waitFor("the second call is received", func() bool { return endpoint.callsWithBody("second") == 1 })
+	env.waitFor("the notice of the second event is received", func() bool { return env.hasNotice("second") })
+	env.waitFor("the journal is empty", env.journal.empty)
 }
 
 // Guards against a duplicated refusal being taken for the response to the next request, which ran: a request that is not
 // idempotent would be sent again.
 func TestDuplicateRefusalDoesNotRepeatNextRequest(t *testing.T) {
-	w := newTestEnv(t)
+	env := newTestEnv(t)
 	endpoint := &duplicatingEndpoint{firstResponse: httpResponse("503 Full", "", ""), realResponse: httpResponse("200 OK", "", ""), realDelay: 50 * time.Millisecond}
-	w.addEndpoint(1, endpoint.handle)
-	w.startNode()
-	c := w.dial()
+	env.addEndpoint(1, endpoint.handle)
+	env.startNode()
+	c := env.dial()
 	c.submit(submitRequest("first", "alert", "1", 3000, "first"))
-	w.waitFor("the first call is received", func() bool { return endpoint.callsWithBody("first") == 1 })
+	env.waitFor("the first call is received", func() bool { return endpoint.callsWithBody("first") == 1 })
 	time.Sleep(200 * time.Millisecond)
 	c.submit(submitRequest("second", "charge", "1", 3000, "second"))
-	w.waitFor("the journal is empty", w.journal.empty)
+	env.waitFor("the journal is empty", env.journal.empty)
 	if n := endpoint.callsWithBody("second"); n != 1 {
 		t.Errorf("the second event ran %d times, want 1", n)
 	}
@@ -107,18 +107,18 @@
 // Guards against a kill that turns an unconfirmed delivery into a confirmed one, because the journal records as delivered an
 // event whose response may belong to another call.
 func TestKillDuringUnconfirmedDeliveryStillOwesNotice(t *testing.T) {
-	w := newTestEnv(t)
+	env := newTestEnv(t)
 	endpoint := &duplicatingEndpoint{firstResponse: httpResponse("200 OK", "", ""), realResponse: httpResponse("503 Full", "", ""), realDelay: testTimeout}
-	w.addEndpoint(1, endpoint.handle)
-	w.startNode()
-	c := w.dial()
+	env.addEndpoint(1, endpoint.handle)
+	env.startNode()
+	c := env.dial()
 	c.submit(submitRequest("first", "alert", "1", 8000, "first"))
-	w.waitFor("the first call is received", func() bool { return endpoint.callsWithBody("first") == 1 })
+	env.waitFor("the first call is received", func() bool { return endpoint.callsWithBody("first") == 1 })
 	time.Sleep(20 * time.Millisecond)
 	c.submit(submitRequest("second", "alert", "1", 8000, "second"))
-	w.waitFor("the second call is received", func() bool { return endpoint.callsWithBody("second") == 1 })
-	w.waitFor("the journal records the second event as discarded", func() bool {
-		e := recoverAfterKill(t, w.folder)["second"]
+	env.waitFor("the second call is received", func() bool { return endpoint.callsWithBody("second") == 1 })
+	env.waitFor("the journal records the second event as discarded", func() bool {
+		e := recoverAfterKill(t, env.folder)["second"]
 		return e != nil && e.Resolution == store.Discarded
 	})
 }
@@ -126,22 +126,22 @@
 // Guards against a duplicated response that arrives while the next attempt is being recorded, before that attempt is sent,
 // and is taken for its response.
 func TestDuplicateResponseWhileRecordingAttemptIsIgnored(t *testing.T) {
-	w := newTestEnv(t)
-	disk := &faultyDisk{Dir: store.Dir(w.folder)}
-	w.disk = disk
+	env := newTestEnv(t)
+	disk := &faultyDisk{Dir: store.Dir(env.folder)}
+	env.disk = disk
 	endpoint := &duplicatingEndpoint{firstResponse: httpResponse("200 OK", "", ""), realResponse: httpResponse("503 Full", "", ""), sendCopy: make(chan struct{})}
-	w.addEndpoint(1, endpoint.handle)
-	w.startNode()
-	c := w.dial()
+	env.addEndpoint(1, endpoint.handle)
+	env.startNode()
+	c := env.dial()
 	c.submit(submitRequest("first", "alert", "1", 1500, "first"))
-	w.waitFor("the first call is received", func() bool { return endpoint.callsWithBody("first") == 1 })
+	env.waitFor("the first call is received", func() bool { return endpoint.callsWithBody("first") == 1 })
 	time.Sleep(20 * time.Millisecond)
 	disk.writeDelay.Store(int64(30 * time.Millisecond))
 	c.submit(submitRequest("second", "alert", "1", 1500, "second"))
 	time.Sleep(15 * time.Millisecond) // the second attempt is being recorded
 	close(endpoint.sendCopy)
 	disk.writeDelay.Store(0)
-	w.waitFor("the notice of the second event is received", func() bool { return w.hasNotice("second") })
+	env.waitFor("the notice of the second event is received", func() bool { return env.hasNotice("second") })
 }
 
 // Guards against trusting a response that arrives before the call was written completely: an endpoint starts a call only
@@ -242,8 +242,8 @@
 	post("first")
 	<-posts
 	<-acknowledged
-	w := &testEnv{t: t}
-	w.waitFor("the spare connection is open", func() bool { n.mu.Lock(); defer n.mu.Unlock(); return n.spare != nil })
+	env := &testEnv{t: t}
+	env.waitFor("the spare connection is open", func() bool { n.mu.Lock(); defer n.mu.Unlock(); return n.spare != nil })
 	platform.Listener.Close() // no further connection can be opened
 	post("second")
 	<-posts
@@ -266,34 +266,34 @@
 // the event is pending, after its completion, after a refusal or after a restart is answered, but the request is accepted
 // only once.
 func TestRepeatedRequestIsAcceptedOnceAndAnsweredEachTime(t *testing.T) {
-	w := newTestEnv(t)
-	endpoint := w.addEndpoint(1, respond(httpResponse("200 OK", "", "")))
-	w.startNode()
+	env := newTestEnv(t)
+	endpoint := env.addEndpoint(1, respond(httpResponse("200 OK", "", "")))
+	env.startNode()
 	taken, refused := submitRequest("taken", "charge", "1", 8000, ""), submitRequest("refused", "charge", "7", 8000, "")
-	c := w.dial()
+	c := env.dial()
 	io.WriteString(c, taken+taken)
 	for range 2 {
 		if status, _ := c.readResponse(""); status != statusAccepted {
 			t.Errorf("copy on the same connection: status %d", status)
 		}
 	}
-	w.waitFor("the event is completed", w.journal.empty)
-	if status, _ := w.dial().submit(taken); status != statusAccepted {
+	env.waitFor("the event is completed", env.journal.empty)
+	if status, _ := env.dial().submit(taken); status != statusAccepted {
 		t.Errorf("copy after completion: status %d", status)
 	}
 	c.submit(refused)
-	w.directory.mu.Lock()
-	w.directory.knownDests[7] = struct{}{} // the destination is known now, but the client may have submitted the event again
-	w.directory.mu.Unlock()
-	if status, _ := w.dial().submit(refused); status != statusDeclined {
+	env.directory.mu.Lock()
+	env.directory.knownDests[7] = struct{}{} // the destination is known now, but the client may have submitted the event again
+	env.directory.mu.Unlock()
+	if status, _ := env.dial().submit(refused); status != statusDeclined {
 		t.Errorf("copy after a refusal: status %d", status)
 	}
-	if calls, _ := endpoint.counts(); calls != 1 || !w.journal.empty() {
+	if calls, _ := endpoint.counts(); calls != 1 || !env.journal.empty() {
 		t.Errorf("%d calls, want 1, or the journal is not empty", calls)
 	}
-	folder := copyAsKilled(t, w.folder)
+	folder := copyAsKilled(t, env.folder)
 	next := newTestEnv(t)
-	next.folder, next.hosts = folder, w.hosts
+	next.folder, next.hosts = folder, env.hosts
 	next.startNode()
 	if status, _ := next.dial().submit(taken); status != statusAccepted {
 		t.Errorf("copy after a restart: status %d", status)
@@ -347,15 +347,15 @@
 	d, r := newTestDirectory(t, endpoint.Addr().String())
 	d.setWatching(true)
 	want := "whole=true 0/0/2/2/2/0 ; whole=false 0/0/2/2/1/0 ; whole=false ; whole=false 0/0/2/2/1/0 ;"
-	w := &testEnv{t: t}
-	w.waitFor("the first watch is read", func() bool { return len(r.joined()) >= len(want) })
+	env := &testEnv{t: t}
+	env.waitFor("the first watch is read", func() bool { return len(r.joined()) >= len(want) })
 	if got := r.joined(); got != want {
 		t.Errorf("got  %s\nwant %s", got, want)
 	}
 	d.setWatching(true)
-	w.waitFor("a watch that begins with an older list fails", func() bool { return r.joined() == want+" failed" })
+	env.waitFor("a watch that begins with an older list fails", func() bool { return r.joined() == want+" failed" })
 	d.setWatching(true)
-	w.waitFor("an older list is accepted on the next watch", func() bool { return strings.HasPrefix(r.joined(), want+" failed whole=true 0/0/2/2/2/0 ;") })
+	env.waitFor("an older list is accepted on the next watch", func() bool { return strings.HasPrefix(r.joined(), want+" failed whole=true 0/0/2/2/2/0 ;") })
 }
 
 // Guards against closing the spare connection because a write temporarily fails, at a time when no other connection can be
--- a/node/iofaults_test.go
+++ b/node/iofaults_test.go
@@ -206,7 +206,7 @@
 	errno           syscall.Errno
 	mu              sync.Mutex
 	failReads       int  // number of reads that fail
-	failWrites      int  // number of writes that fail, the first after a partial write of one byte
+	failWrites      int  // number of writes that fail, each after a partial write of one byte
 	writeNothing    bool // failing writes write nothing at all
 	writeClosed     bool
 	bytesAfterClose int // bytes read after CloseWrite
--- a/simwire/simwire.go
+++ b/simwire/simwire.go
@@ -58,7 +58,7 @@
 	maxCatalogs     = 16
 	allPeers        = 0xffff
 	maxIDBits       = 52
-	maxDelayMS      = 71 * 60 * 1000
+	maxDelayMS      = 71 * 60 * 1000 // longer delays of a Remind are cut to this
 	topologyCached  = 0
 	topologyChanges = 1
 	topologyFailed  = 2
