--- a/lab/destination/destination.go
+++ b/lab/destination/destination.go
@@ -522,7 +522,8 @@
 
 // BestEndpoint returns the endpoint of a destination that would finish a call first, given its actual state and the
 // calls in transit to it, or -1 if none would start the call at once. avoidFaulty excludes endpoints that fail calls or
-// whose answers are lost or unreadable. Only a policy with complete knowledge could choose so.
+// whose answers are lost or unreadable. hasIdleConnection reports whether the caller has an idle connection to an
+// endpoint and so needs no new one. Only a policy with complete knowledge could choose so.
 func (m *Model) BestEndpoint(
 	now int64,
 	dest int32,
--- a/lab/loadgen/load_test.go
+++ b/lab/loadgen/load_test.go
@@ -77,6 +77,7 @@
 	}
 }
 
+// A ramp from 100 to 300 events per second over 2 s has to have 400 due times, in ascending order.
 func TestRampOffersIntegralOfRate(t *testing.T) {
 	p := newTestPlan("127.0.0.1:9", 100)
 	p.EndRate, p.Duration = 300, 2*time.Second
--- a/lab/policy/policy.go
+++ b/lab/policy/policy.go
@@ -25,7 +25,7 @@
 	"once":     "one attempt for each event",
 	"fixed":    "retries after one second",
 	"backoff":  "exponential backoff with full jitter",
-	"source":   "only the retry rule of the source",
+	"source":   "only the default retry rule, without the rest of the scheduler",
 	"breaker":  "backoff with a retry budget of 10 % and a circuit breaker for each destination",
 }
 
@@ -158,8 +158,8 @@
 	fixedDelay     = int64(1e9)  // ns
 	backoffBase    = int64(1e8)  // ns
 	backoffMax     = int64(1e10) // ns
-	sourceBase     = int64(5e9)  // ns after a refusal, as in the source
-	sourceExtra    = int64(1e9)  // ns more, doubled with each failure, as in the source
+	sourceBase     = int64(5e9)  // ns after a refusal; the default of the retry rule
+	sourceExtra    = int64(1e9)  // ns more, doubled with each failure; the default of the retry rule
 	sourceError    = int64(2e8)  // ns after another failure, doubled with each
 	sendTimeout    = int64(4e9)  // ns
 	budgetPerEvent = 0.1         // retries for each event
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -13,6 +13,8 @@
 	"jaspersill/lab/scenarios"
 )
 
+// Guards against results that are lost when they are written and read back, unescaped input in the page, and damaged or
+// outdated result files that are accepted.
 func TestWriteReadAndReject(t *testing.T) {
 	sc, err := scenarios.Find("silence")
 	if err != nil {
--- a/lab/runner/run_test.go
+++ b/lab/runner/run_test.go
@@ -50,6 +50,8 @@
 	}
 }
 
+// Guards against a checker that overlooks a violation, reports the wrong rule or gives no evidence: each defect has to
+// violate its own rule, and the scheduler without defects none.
 func TestDefectivePoliciesViolateTheirRules(t *testing.T) {
 	for _, c := range []struct {
 		defect, scenario string
@@ -101,6 +103,7 @@
 	}
 }
 
+// Guards against false positives of the checker in runs without faults.
 func TestNoViolationsWithoutFaults(t *testing.T) {
 	sc := findScenario(t, "farm")
 	n := 40
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -62,7 +62,7 @@
 	MaxEvents          int      `toml:"events"` // unfinished events per node
 	MaxAttempts        int      `toml:"sends"`  // sends per event
 	Tick               Duration `toml:"tick"`
-	MaxRetryAfter      Duration `toml:"come_back"` // longest retry delay to tell clients; "0s" for none
+	MaxRetryAfter      Duration `toml:"come_back"` // longest retry-after time that clients honour; "0s" if none can be sent
 	AllowDuplicates    bool     `toml:"copies"`    // an event may have two sends in flight
 	PeerMessages       bool     `toml:"notes"`
 	PeerMessageLoss    float64  `toml:"note_loss"` // share of peer messages that are lost
--- a/lab/simulator/simulation.go
+++ b/lab/simulator/simulation.go
@@ -116,7 +116,7 @@
 
 	directoryStates  []delivery.EndpointState // by endpoint, as last published by the directory
 	changes          []endpointChange
-	publishedChanges int // the first so many of changes have been published
+	publishedChanges int // number of leading entries of changes that have been published
 	directoryDown    int // active faults of this kind; so is directoryFrozen
 	directoryFrozen  int
 	peerMessageLoss  float64
--- a/lab/soak/checks.go
+++ b/lab/soak/checks.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// checkFinal checks that an accepted request was delivered or ended by a notice in time. A response that came after its
-// client's time-out is ignored.
+// checkFinal checks that an accepted request was delivered or ended by a notice in time. A request whose response came
+// after its client's time-out is not checked, because the client has given it up.
 func (h *history) checkFinal(r *request) {
 	if !r.accepted() || r.answeredAt-r.sentAt > responseTimeout {
 		return
@@ -254,12 +254,12 @@
 			}
 		}
 	}
-	h.counts["without an attempt at a restart"] += all.found
-	h.counts["without an attempt at a restart, ended early without one"] += all.abandoned
+	h.counts["found without an attempt by a restart"] += all.found
+	h.counts["found without an attempt by a restart, ended early without one"] += all.abandoned
 	for name, s := range map[string]tally{"requests": all, "requests that may not be repeated": once} {
 		if s.abandoned > 2 && s.abandoned*2 > s.found {
-			h.addViolationLocked(RuleUntried, h.now(), nil, "%s", fmt.Sprintf("%d of %d %s without an attempt at a restart were ended "+
-				"early without one", s.abandoned, s.found, name))
+			h.addViolationLocked(RuleUntried, h.now(), nil, "%s", fmt.Sprintf("a restart found %[2]d %[3]s without an attempt, and "+
+				"%[1]d of them were ended early without one", s.abandoned, s.found, name))
 		}
 	}
 }
--- a/lab/soak/endpoint.go
+++ b/lab/soak/endpoint.go
@@ -384,7 +384,9 @@
 }
 
 // checkSlowStart checks the number of calls within fallAfter against the limit for an endpoint that recovers from an
-// outage, which grows from coldShare of its capacity until rampTime has passed. The caller holds e.mu.
+// outage, which grows from coldShare of its capacity until rampTime has passed. The limit allows for random arrivals by
+// two standard deviations and two calls, or three of each for small numbers. It is a violation only if more than two
+// thirds of the calls came from nodes that saw the outage. The caller holds e.mu.
 func (e *endpoint) checkSlowStart(now time.Duration) {
 	middle := max(0, now-fallAfter/2-e.recoveredAt)
 	share := coldShare + (1-coldShare)*middle.Seconds()/rampTime.Seconds()
--- a/lab/soak/process.go
+++ b/lab/soak/process.go
@@ -33,10 +33,10 @@
 	maxAttempts             = 6
 	keyedWindow             = 1500 * time.Millisecond
 	drainGrace              = 300 * time.Millisecond
-	coldShare               = 0.2
-	fallMultiple            = 2.0
-	fallAfter               = 2 * time.Second
-	rampTime                = 4 * time.Second
+	coldShare               = 0.2             // share of its capacity that an endpoint has right after an outage
+	fallMultiple            = 2.0             // multiple of its current capacity that overloads a recovering endpoint
+	fallAfter               = 2 * time.Second // time window for which the calls are counted
+	rampTime                = 4 * time.Second // time until an endpoint is back at full capacity
 	endpointCapacity        = 200.0
 	socketLimit             = 1024
 	crowdedSocketLimit      = 160
