--- a/lab/emulator/emulator.go
+++ b/lab/emulator/emulator.go
@@ -277,7 +277,7 @@
 		}
 		sends = append(sends, send)
 	}
-	work += work / 4 * int64(len(sends)-1)
+	work += work / 4 * int64(len(sends)-1) // a batch takes less time than its events one by one
 	overloads := len(em.destinations.Overloads)
 	result := em.destinations.StartCall(now, ep, node >= 0 && em.sawOutage(node, group), work, len(sends))
 	overloaded := len(em.destinations.Overloads) > overloads
--- a/lab/search/search_test.go
+++ b/lab/search/search_test.go
@@ -10,8 +10,8 @@
 	"jaspersill/lab/scenarios"
 )
 
-// Guards against a search that misses a defect of the scheduler, and against a shrunk scenario that has needless faults or
-// does not reproduce its violations after it is written and read back.
+// Guards against a search that misses a defect of the scheduler, and against a shrunk scenario that has needless faults
+// or does not reproduce its violations after it is written and read back.
 func TestSearchFindsAndShrinks(t *testing.T) {
 	if testing.Short() {
 		t.Skip("runs many scenarios")
--- a/lab/soak/plan.go
+++ b/lab/soak/plan.go
@@ -69,11 +69,11 @@
 }
 
 const (
-	groupDisk    = "disk"
-	groupSockets = "sockets"
-	groupSlow    = "slow"
-	groupKills   = "kills"
-	groupCalls   = "calls"
+	groupDisk    = "disk"    // system calls on files fail
+	groupSockets = "sockets" // all other system calls fail
+	groupSlow    = "slow"    // writes to files are delayed
+	groupKills   = "kills"   // nodes are killed, terminated and told to reload
+	groupCalls   = "calls"   // system calls of all kinds fail
 	groupAnswers = "answers" // responses of endpoints arrive twice
 	groupNotices = "notices" // responses of the platform arrive twice
 	groupPaths   = "paths"   // all network connections are disturbed
