--- a/node/clientconn.go
+++ b/node/clientconn.go
@@ -96,7 +96,7 @@
 	}
 	c.setReadTimeout(c.listener.idleTimeout)
 	if c.responseWritten {
-		c.readFailingSince = time.Time{}
+		c.delayedSince = time.Time{}
 	}
 	c.listener.mu.Unlock()
 	n, err := c.retryConn.Read(c.firstByte[:])
@@ -230,10 +230,10 @@
 // receiveDelay returns how long the last request may have waited before it was read, or 0 if reading and accepting
 // were not delayed.
 func (c *clientConn) receiveDelay() time.Duration {
-	if c.readFailingSince.IsZero() {
+	if c.delayedSince.IsZero() {
 		return 0
 	}
-	return time.Since(c.readFailingSince)
+	return time.Since(c.delayedSince)
 }
 
 // awaitPeerClose waits until the client has closed its side, the linger timeout has passed or the connection is
--- a/node/clients.go
+++ b/node/clients.go
@@ -318,7 +318,7 @@
 	if conn, ok := ctx.Conn().(*clientConn); ok { // the deadline counts from the arrival of the request
 		left -= uint64(min(conn.receiveDelay().Milliseconds(), int64(left)))
 	}
-	e.monoDeadline, e.wallDeadline = n.clock.now()+int64(left)*1e6, n.clock.timeOfDay()+int64(left)*1e6
+	e.monoDeadline, e.deadlineTimeOfDay = n.clock.now()+int64(left)*1e6, n.clock.timeOfDay()+int64(left)*1e6
 	e.safety = n.safetyOf(e.typ)
 	e.request = lifecycle.NewRequest(e.id, e.monoDeadline, n.repeatable(e.typ))
 	e.updates, e.response = make(chan eventUpdate, updateBuffer), make(chan clientResponse, 1)
--- a/node/decisionloop.go
+++ b/node/decisionloop.go
@@ -31,7 +31,7 @@
 	activeAttempts []*attempt // the attempt in flight, by event index; nil for none
 	destIndex      idmap.Table[uint32]
 	endpointIndex  idmap.Table[string]
-	partnerOf      []int   // destination kind, by endpoint index
+	kindOf         []int   // destination kind, by endpoint index
 	forgotten      []int32 // endpoints that the scheduler has removed but calls may still use
 
 	wakeAt    int64 // 0 if the scheduler did not ask to be woken
@@ -201,10 +201,10 @@
 // it must keep its index, so its release is cancelled.
 func (d *decisionLoop) registerEndpoint(host string, partner int) (ep int32, fresh bool) {
 	ep, fresh = d.endpointIndex.Acquire(host)
-	if int(ep) == len(d.partnerOf) {
-		d.partnerOf = append(d.partnerOf, 0)
+	if int(ep) == len(d.kindOf) {
+		d.kindOf = append(d.kindOf, 0)
 	}
-	d.partnerOf[ep] = partner
+	d.kindOf[ep] = partner
 	d.forgotten = slices.DeleteFunc(d.forgotten, func(removed int32) bool { return removed == ep })
 	return ep, fresh
 }
@@ -221,7 +221,7 @@
 	a := &attempt{event: e, number: e.attemptCount, endpoint: ep, timeout: timeout, startedAt: d.clock.now()}
 	e.attemptCount++
 	d.activeAttempts[evt] = a
-	maxAttempts := d.eventsPerCall[min(d.partnerOf[ep], len(d.eventsPerCall)-1)]
+	maxAttempts := d.eventsPerCall[min(d.kindOf[ep], len(d.eventsPerCall)-1)]
 	for _, c := range d.newCalls {
 		if c.endpoint == ep && len(c.attempts) < maxAttempts && c.bodySize+bulkSize(e) <= maxBodyBytes {
 			a.call, c.attempts, c.bodySize = c, append(c.attempts, a), c.bodySize+bulkSize(e)
@@ -262,7 +262,7 @@
 func (d *decisionLoop) Watch(on bool)            { d.directory.setWatching(on) }
 func (d *decisionLoop) CloseIdle(ep int32)       { d.endpoints.closeIdle(ep) }
 func (d *decisionLoop) Forget(ep int32)          { d.forgotten = append(d.forgotten, ep) }
-func (d *decisionLoop) AnnounceHealthy(ep int32) { d.peers.sendGood(d.endpointIndex.ID(ep)) }
+func (d *decisionLoop) AnnounceHealthy(ep int32) { d.peers.announceHealthy(d.endpointIndex.ID(ep)) }
 
 // Probe only logs: the scheduler never requests a probe, and the protocol has no call for one.
 func (d *decisionLoop) Probe(ep int32) {
--- a/node/directory.go
+++ b/node/directory.go
@@ -40,13 +40,13 @@
 // directory keeps the list of endpoints up to date from the discovery service. It holds a watch open while the scheduler
 // wants one.
 type directory struct {
-	address        string
-	silenceTimeout atomic.Int64 // ns; a call that receives nothing for this long has failed
-	decisions      *decisionLoop
-	endpoints      *endpointPool
-	partnerNames   []string // names of the destination kinds, by index; a list gives them as "class"
-	zoneNames      []string
-	useRates       bool // lists contain the rate limits of endpoints
+	address              string
+	silenceTimeout       atomic.Int64 // ns; a call that receives nothing for this long has failed
+	decisions            *decisionLoop
+	endpoints            *endpointPool
+	destinationKindNames []string // names of the destination kinds, by index; a list gives them as "class"
+	zoneNames            []string
+	useRates             bool // lists contain the rate limits of endpoints
 
 	watchErrors failureLog
 
@@ -250,14 +250,14 @@
 	for _, h := range hosts.GetArray() {
 		e := entry{host: string(h.GetStringBytes("host")), dial: string(h.GetStringBytes("dial")),
 			dest: uint32(h.GetUint64("block")), site: string(h.GetStringBytes("site")),
-			partner: slices.Index(d.partnerNames, settings.NormalizeName(string(h.GetStringBytes("class"))))}
+			partner: slices.Index(d.destinationKindNames, settings.NormalizeName(string(h.GetStringBytes("class"))))}
 		if e.host == "" || !h.Exists("block") { // skipping one bad entry keeps the others usable
 			logs.Part("directory").WithField("entry", fmt.Sprintf("%.200s", h)).
 				Warn("skipped a list entry without a host or a block")
 			continue
 		}
 		if e.partner < 0 {
-			e.partner = len(d.partnerNames)
+			e.partner = len(d.destinationKindNames)
 		}
 		if d.useRates {
 			e.rate = h.GetFloat64("share")
--- a/node/event.go
+++ b/node/event.go
@@ -16,7 +16,7 @@
 	safety             delivery.Safety
 	dest               uint32
 	monoDeadline       int64 // on the monotonic clock that the scheduler uses
-	wallDeadline       int64 // the same deadline as time of day, which stays valid after a restart
+	deadlineTimeOfDay  int64 // the same deadline as time of day, which stays valid after a restart
 	body               []byte
 	updates            chan eventUpdate    // read by its eventTask
 	response           chan clientResponse // read by its client's handler; nil for an event restored after a restart
--- a/node/journal.go
+++ b/node/journal.go
@@ -17,7 +17,7 @@
 	writeFailures failureLog
 
 	store     *store.Store
-	wallClock func() int64 // time of day in ns from clock.timeOfDay, which never steps
+	timeOfDay func() int64 // time of day in ns from clock.timeOfDay, which never steps
 	stop      chan struct{}
 	done      chan struct{}
 }
@@ -45,7 +45,7 @@
 	}
 	j := &journal{
 		store:         s,
-		wallClock:     timeOfDay,
+		timeOfDay:     timeOfDay,
 		writeFailures: failureLog{part: "journal", operation: "writing a record"},
 		stop:          make(chan struct{}),
 		done:          make(chan struct{}),
@@ -75,7 +75,7 @@
 		events = append(
 			events,
 			&event{id: stored.ID, arrivalSeq: stored.ArrivalSeq, idempotencyKey: stored.IdempotencyKey, typ: typ, customer: customer, dest: stored.Dest,
-				wallDeadline: stored.Deadline, body: stored.Body, pastAttempts: stored.Attempts, attemptCount: len(stored.Attempts), resolution: resolution(stored.Resolution),
+				deadlineTimeOfDay: stored.Deadline, body: stored.Body, pastAttempts: stored.Attempts, attemptCount: len(stored.Attempts), resolution: resolution(stored.Resolution),
 				retryAfter: stored.RetryAfter, updates: make(chan eventUpdate, updateBuffer)},
 		)
 	}
@@ -140,7 +140,7 @@
 // accept records an event as pending.
 func (j *journal) accept(e *event, kind, owner string) (err error) {
 	e.arrivalSeq, err = j.store.Accept(store.Event{ID: e.id, Kind: kind, Owner: owner, IdempotencyKey: e.idempotencyKey, Dest: e.dest,
-		Deadline: e.wallDeadline, Body: e.body})
+		Deadline: e.deadlineTimeOfDay, Body: e.body})
 	return err
 }
 
@@ -171,7 +171,7 @@
 // completeByID is complete for an event given by its id and arrival sequence number. The id is retained for
 // completedIDRetention, also across restarts, so that a duplicate is detected.
 func (j *journal) completeByID(id string, arrivalSeq uint64) *store.PendingWrite {
-	return j.store.Complete(id, arrivalSeq, j.wallClock()+int64(completedIDRetention))
+	return j.store.Complete(id, arrivalSeq, j.timeOfDay()+int64(completedIDRetention))
 }
 
 // pendingCount returns the number of pending events.
--- a/node/journal_bench_test.go
+++ b/node/journal_bench_test.go
@@ -44,7 +44,7 @@
 	defer j.close()
 	b.ResetTimer()
 	run(b, func(id string) error {
-		e := &event{id: id, idempotencyKey: "m", dest: 7, wallDeadline: 1 << 60, body: body}
+		e := &event{id: id, idempotencyKey: "m", dest: 7, deadlineTimeOfDay: 1 << 60, body: body}
 		if err := errors.Join(j.accept(e, "alert", "acme"), j.recordAttempt(e, 0, 5, "zone")); err != nil {
 			return err
 		}
--- a/node/journal_test.go
+++ b/node/journal_test.go
@@ -56,7 +56,7 @@
 func fillJournal(t *testing.T, j *journal) {
 	t.Helper()
 	for i, body := range []string{"over", "a\r\n\x00b", "", strings.Repeat("long", 16<<10)} {
-		e := &event{id: fmt.Sprint("e", i), idempotencyKey: "m", dest: 7, wallDeadline: 1 << 60, body: []byte(body)}
+		e := &event{id: fmt.Sprint("e", i), idempotencyKey: "m", dest: 7, deadlineTimeOfDay: 1 << 60, body: []byte(body)}
 		if err := j.accept(e, "alert", "acme"); err != nil {
 			t.Fatal(err)
 		}
@@ -84,7 +84,7 @@
 		t.Fatalf("%d events pending, want %d", len(pending), want)
 	}
 	for _, e := range pending {
-		if e.idempotencyKey != "m" || e.dest != 7 || e.wallDeadline != 1<<60 {
+		if e.idempotencyKey != "m" || e.dest != 7 || e.deadlineTimeOfDay != 1<<60 {
 			t.Errorf("%s recovered as %+v", e.id, e)
 		}
 		switch e.id {
@@ -136,11 +136,11 @@
 		refused := 0
 		for i := range 1500 {
 			e := &event{
-				id:             fmt.Sprintf("%016x", i),
-				idempotencyKey: "m",
-				dest:           7,
-				wallDeadline:   1 << 60,
-				body:           make([]byte, size),
+				id:                fmt.Sprintf("%016x", i),
+				idempotencyKey:    "m",
+				dest:              7,
+				deadlineTimeOfDay: 1 << 60,
+				body:              make([]byte, size),
 			}
 			switch err := j.accept(e, "alert", "acme"); {
 			case err == nil:
--- a/node/listener.go
+++ b/node/listener.go
@@ -86,7 +86,7 @@
 		l.roomChanged.Wait()
 		recheck.Stop()
 	}
-	c.readFailingSince, c.stateSince = l.delayedSince, time.Now()
+	c.delayedSince, c.stateSince = l.delayedSince, time.Now()
 	l.conns[c] = struct{}{}
 	return c, nil
 }
--- a/node/node.go
+++ b/node/node.go
@@ -111,7 +111,7 @@
 		idleTimeout: settings.ConnIdleTimeout, maxIdle: idleEndpoints}
 	n.directory = &directory{address: config.Directory, openWatches: make(map[*watch]struct{}),
 		knownDests: make(map[uint32]struct{}), decisions: n.decisions, endpoints: n.endpoints,
-		partnerNames: settings.DestinationKindNames, zoneNames: settings.ZoneNames, useRates: settings.HasRates,
+		destinationKindNames: settings.DestinationKindNames, zoneNames: settings.ZoneNames, useRates: settings.HasRates,
 		watchErrors: failureLog{part: "directory", operation: "watching the directory"}}
 	n.notices = newNoticeSender(config.Directory)
 	if n.peers, err = newPeerMessenger(config.PeerListen, config.PeersAll, config.Peers, settings.Cluster.Self, n.decisions,
@@ -166,7 +166,7 @@
 func (n *Node) restoreEvents() {
 	n.activeEvents.Add(int64(len(n.restored)))
 	for _, e := range n.restored {
-		e.monoDeadline = n.clock.now() + e.wallDeadline - n.clock.timeOfDay()
+		e.monoDeadline = n.clock.now() + e.deadlineTimeOfDay - n.clock.timeOfDay()
 		e.safety = n.safetyOf(e.typ)
 		e.request = lifecycle.RestoreRequest(e.id, e.monoDeadline, n.repeatable(e.typ), e.mayHaveRun())
 		if e.resolution == unresolved {
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -389,7 +389,7 @@
 
 func TestBulkCallsRespectBodyLimit(t *testing.T) {
 	d := newDecisionLoop(clock{start: time.Now()}, nil, ms, []int{3})
-	d.partnerOf = []int{0}
+	d.kindOf = []int{0}
 	for i, size := range []int{40 << 10, 20 << 10, 20 << 10, 10, 10} {
 		d.eventIndex.Acquire(&event{id: fmt.Sprint(i), body: make([]byte, size)})
 		d.activeAttempts = append(d.activeAttempts, nil)
@@ -857,7 +857,7 @@
 	d.endpoints = newTestPool(t, "")
 	d.directory = &directory{address: address, openWatches: make(map[*watch]struct{}),
 		knownDests: make(map[uint32]struct{}), decisions: d, endpoints: d.endpoints, useRates: true,
-		partnerNames: []string{"big", "small_one"}, zoneNames: []string{"here", "there"}}
+		destinationKindNames: []string{"big", "small_one"}, zoneNames: []string{"here", "there"}}
 	d.directory.silenceTimeout.Store(int64(300 * time.Millisecond))
 	go d.run()
 	t.Cleanup(func() {
@@ -1066,7 +1066,7 @@
 	defer p.close()
 	go p.receive()
 	_ = d.applyList(nil, []byte(`{"seq":1,"whole":true,"hosts":[{"host":"a","block":1},{"host":"b","block":1}]}`))
-	p.sendGood("b")
+	p.announceHealthy("b")
 	buf := make([]byte, 300)
 	n, from, err := sockets[1].ReadFromUDP(buf)
 	if err != nil || from.String() != addresses[0] {
--- a/node/peers.go
+++ b/node/peers.go
@@ -104,8 +104,8 @@
 	return true
 }
 
-// sendGood tells all peers that an endpoint answers calls.
-func (p *peerMessenger) sendGood(host string) {
+// announceHealthy tells all peers that an endpoint answers calls.
+func (p *peerMessenger) announceHealthy(host string) {
 	data := peermsg.EncodeHealthyHost(host, peermsg.Sequence{Incarnation: p.processStart, Number: p.sequence.Add(1)})
 	if p.conn == nil || len(data) > peermsg.MaxSize {
 		return
--- a/node/retryconn.go
+++ b/node/retryconn.go
@@ -26,9 +26,9 @@
 // closing it, end the retries. Only one goroutine may read at a time.
 type retryConn struct {
 	net.Conn
-	// readFailingSince is when a read first failed with a transient error. Data read since then may have arrived that early.
+	// delayedSince is when a read first failed with a transient error. Data read since then may have arrived that early.
 	// For a client connection that could not be accepted at once, it starts as the time since which accepting was delayed.
-	readFailingSince time.Time
+	delayedSince time.Time
 	// onStall is called with true when reads start to fail with transient errors, and with false when the read ends. It may
 	// be nil.
 	onStall func(bool)
@@ -51,8 +51,8 @@
 			return n, err
 		}
 		transientFailures.With("read").Inc()
-		if c.readFailingSince.IsZero() {
-			c.readFailingSince = time.Now()
+		if c.delayedSince.IsZero() {
+			c.delayedSince = time.Now()
 		}
 		if !stalled && c.onStall != nil {
 			stalled = true
