--- a/node/notices.go
+++ b/node/notices.go
@@ -63,7 +63,7 @@
 	cancelAddress context.CancelFunc
 	spare         *platformConn // open and unused, nil if there is none
 	lastUsed      *platformConn // the connection used last, nil if there is none
-	unverified    int           // notices at the head of the queue that were posted on lastUsed
+	unverified    int           // notices at the head of the queue that were posted on a reused connection only
 }
 
 // platformConn is a connection to the platform for notices.
@@ -318,7 +318,7 @@
 
 type statusError int
 
-func (s statusError) Error() string { return "status " + strconv.Itoa(int(s)) }
+func (s statusError) Error() string { return "platform answered with status " + strconv.Itoa(int(s)) }
 
 // exchange posts notices and reads the response. sent tells whether any byte may have been sent or the connection is
 // unusable.
