--- a/delivery/delivery.go
+++ b/delivery/delivery.go
@@ -126,8 +126,9 @@
 	Resumed(event int32, sends int, mayRun bool, ago int64, zone int)
 	ProcessingStarted(event int32, send int)
 	// Outcome reports the end of a send. limit is the rate limit that the destination reported, in calls per second, or
-	// 0 for none; left is the share of it that was reported as unused.
-	Outcome(event int32, send int, endpoint int32, outcome Outcome, wait, took int64, ended bool, left, limit float64)
+	// 0 for none; freeShare is the share of it that was reported as unused. retryAfter is 0 if the destination asked for
+	// no wait.
+	Outcome(event int32, send int, endpoint int32, outcome Outcome, retryAfter, took int64, ended bool, freeShare, limit float64)
 	// Unconfirmed precedes the Outcome of a send whose answer may belong to another call. The send may have run,
 	// whatever its outcome says.
 	Unconfirmed(event int32, send int)
@@ -138,7 +139,7 @@
 	EndpointListed(endpoint, dest int32, kind, zone int, state EndpointState, rate float64)
 	ListEnded()
 	ListFailed()
-	Probed(endpoint int32, outcome Outcome, took int64, left, limit float64)
+	Probed(endpoint int32, outcome Outcome, took int64, freeShare, limit float64)
 	PeerReportedHealthy(peer int, endpoint int32)
 	Woken()
 }
--- a/node/decisionloop.go
+++ b/node/decisionloop.go
@@ -174,7 +174,7 @@
 		if r.confirmation != nil && !ended {
 			to.Unconfirmed(e.index, a.number)
 		}
-		to.Outcome(e.index, a.number, a.endpoint, r.outcome, r.retryAfter, r.duration, ended, r.rateFree, r.rateLimit)
+		to.Outcome(e.index, a.number, a.endpoint, r.outcome, r.retryAfter, r.duration, ended, r.freeShare, r.rateLimit)
 	})
 }
 
@@ -197,14 +197,14 @@
 }
 
 // registerEndpoint returns the index of an endpoint; fresh means that it was newly assigned, so nothing is known of the
-// endpoint. partner is the index of its destination kind. An endpoint that is listed again just after the scheduler removed
+// endpoint. kind is the index of its destination kind. An endpoint that is listed again just after the scheduler removed
 // it must keep its index, so its release is cancelled.
-func (d *decisionLoop) registerEndpoint(host string, partner int) (ep int32, fresh bool) {
+func (d *decisionLoop) registerEndpoint(host string, kind int) (ep int32, fresh bool) {
 	ep, fresh = d.endpointIndex.Acquire(host)
 	if int(ep) == len(d.kindOf) {
 		d.kindOf = append(d.kindOf, 0)
 	}
-	d.kindOf[ep] = partner
+	d.kindOf[ep] = kind
 	d.forgotten = slices.DeleteFunc(d.forgotten, func(removed int32) bool { return removed == ep })
 	return ep, fresh
 }
--- a/node/directory.go
+++ b/node/directory.go
@@ -240,24 +240,24 @@
 	whole := v.GetBool("whole")
 	type entry struct {
 		host, dial string
-		site       string
+		zone       string
 		dest       uint32
-		partner    int
+		kind       int
 		state      delivery.EndpointState
 		rate       float64
 	}
 	var list []entry
 	for _, h := range hosts.GetArray() {
 		e := entry{host: string(h.GetStringBytes("host")), dial: string(h.GetStringBytes("dial")),
-			dest: uint32(h.GetUint64("block")), site: string(h.GetStringBytes("site")),
-			partner: slices.Index(d.destinationKindNames, settings.NormalizeName(string(h.GetStringBytes("class"))))}
+			dest: uint32(h.GetUint64("block")), zone: string(h.GetStringBytes("site")),
+			kind: slices.Index(d.destinationKindNames, settings.NormalizeName(string(h.GetStringBytes("class"))))}
 		if e.host == "" || !h.Exists("block") { // skipping one bad entry keeps the others usable
 			logs.Part("directory").WithField("entry", fmt.Sprintf("%.200s", h)).
 				Warn("skipped a list entry without a host or a block")
 			continue
 		}
-		if e.partner < 0 {
-			e.partner = len(d.destinationKindNames)
+		if e.kind < 0 {
+			e.kind = len(d.destinationKindNames)
 		}
 		if d.useRates {
 			e.rate = h.GetFloat64("share")
@@ -292,15 +292,15 @@
 	d.decisions.enqueue(func(to delivery.Handler) {
 		to.ListStarted(whole)
 		for _, e := range list {
-			ep, fresh := d.decisions.registerEndpoint(e.host, e.partner)
+			ep, fresh := d.decisions.registerEndpoint(e.host, e.kind)
 			if e.dial != "" || fresh {
-				d.endpoints.updateEndpoint(ep, e.host, e.site, e.dial)
+				d.endpoints.updateEndpoint(ep, e.host, e.zone, e.dial)
 			}
 			if e.state == delivery.Gone { // another endpoint may answer at this address from now on
-				d.endpoints.updateEndpoint(ep, e.host, e.site, "")
+				d.endpoints.updateEndpoint(ep, e.host, e.zone, "")
 			}
 			dest, _ := d.decisions.destIndex.Acquire(e.dest)
-			to.EndpointListed(ep, dest, e.partner, d.zoneIndex(e.site), e.state, e.rate)
+			to.EndpointListed(ep, dest, e.kind, d.zoneIndex(e.zone), e.state, e.rate)
 		}
 		to.ListEnded()
 	})
--- a/node/iofaults_test.go
+++ b/node/iofaults_test.go
@@ -163,7 +163,7 @@
 	}
 }
 
-// Guards against a slow journal write that blocks the cancellation of an attempt, which the event loop performs.
+// Guards against a slow journal write that blocks the cancellation of an attempt, which the decision loop performs.
 func TestCancellationDoesNotWaitForTheDisk(t *testing.T) {
 	folder := t.TempDir()
 	disk := &faultyDisk{Dir: store.Dir(folder)}
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -846,8 +846,8 @@
 func (r *recordingScheduler) ListEnded()                         { r.record(";") }
 func (r *recordingScheduler) ListFailed()                        { r.record("failed") }
 func (r *recordingScheduler) PeerReportedHealthy(p int, e int32) { r.record("good %d %d", p, e) }
-func (r *recordingScheduler) EndpointListed(ep, dest int32, partner, zone int, state delivery.EndpointState, rate float64) {
-	r.record("%d/%d/%d/%d/%d/%v", ep, dest, partner, zone, state, rate)
+func (r *recordingScheduler) EndpointListed(ep, dest int32, kind, zone int, state delivery.EndpointState, rate float64) {
+	r.record("%d/%d/%d/%d/%d/%v", ep, dest, kind, zone, state, rate)
 }
 
 // newTestDirectory starts a directory client for an address, with a recording scheduler.
--- a/node/peers.go
+++ b/node/peers.go
@@ -20,14 +20,14 @@
 	peerIndex     map[string]int // by the peer's address
 	decisions     *decisionLoop
 
-	processStart uint64 // sent with each datagram, so that peers can order them across restarts
+	incarnation  uint64 // sent with each datagram, so that peers can order them across restarts
 	sequence     atomic.Uint32
 	lastReceived map[int]receivedDatagram // by peer; owned by the goroutine that runs receive
 }
 
 // receivedDatagram is the position of a peer's latest datagram and the time it was received.
 type receivedDatagram struct {
-	order      peermsg.Sequence
+	sequence   peermsg.Sequence
 	receivedAt time.Time
 }
 
@@ -40,7 +40,7 @@
 
 func newPeerMessenger(address, broadcast string, peers []string, self int, d *decisionLoop,
 	timeOfDay int64) (*peerMessenger, error) {
-	p := &peerMessenger{peerIndex: make(map[string]int), decisions: d, processStart: uint64(timeOfDay),
+	p := &peerMessenger{peerIndex: make(map[string]int), decisions: d, incarnation: uint64(timeOfDay),
 		lastReceived: make(map[int]receivedDatagram)}
 	if address == "" || broadcast == "" {
 		return p, nil // peer messages are not configured
@@ -77,11 +77,11 @@
 			continue
 		}
 		peer, known := p.peerIndex[from.String()]
-		host, order, ok := peermsg.DecodeHealthyHost(buf[:size])
+		host, sequence, ok := peermsg.DecodeHealthyHost(buf[:size])
 		if !known || !ok { // a stray datagram must not mark an endpoint as healthy
 			continue
 		}
-		if !p.isNewer(peer, order, time.Now()) { // nor must one that was sent before the endpoint's last outage
+		if !p.isNewer(peer, sequence, time.Now()) { // nor must one that was sent before the endpoint's last outage
 			lateDatagrams.Inc()
 			continue
 		}
@@ -94,19 +94,19 @@
 }
 
 // isNewer reports whether a datagram is later than all others received from its peer, and records it if so.
-func (p *peerMessenger) isNewer(peer int, order peermsg.Sequence, now time.Time) bool {
+func (p *peerMessenger) isNewer(peer int, sequence peermsg.Sequence, now time.Time) bool {
 	newest, known := p.lastReceived[peer]
-	if known && !order.After(newest.order) &&
-		(order.Incarnation == newest.order.Incarnation || now.Sub(newest.receivedAt) < maxDatagramDelay) {
+	if known && !sequence.After(newest.sequence) &&
+		(sequence.Incarnation == newest.sequence.Incarnation || now.Sub(newest.receivedAt) < maxDatagramDelay) {
 		return false
 	}
-	p.lastReceived[peer] = receivedDatagram{order, now}
+	p.lastReceived[peer] = receivedDatagram{sequence, now}
 	return true
 }
 
 // announceHealthy tells all peers that an endpoint answers calls.
 func (p *peerMessenger) announceHealthy(host string) {
-	data := peermsg.EncodeHealthyHost(host, peermsg.Sequence{Incarnation: p.processStart, Number: p.sequence.Add(1)})
+	data := peermsg.EncodeHealthyHost(host, peermsg.Sequence{Incarnation: p.incarnation, Number: p.sequence.Add(1)})
 	if p.conn == nil || len(data) > peermsg.MaxSize {
 		return
 	}
--- a/node/wire.go
+++ b/node/wire.go
@@ -144,7 +144,7 @@
 		return callResponse{results: []result{{outcome: delivery.Unreadable, retryAfter: r.retryAfter(resp)}}, close: closeAnswer}
 	}
 	var common result
-	common.rateFree, common.rateLimit = parseLoad(string(resp.Header.Peek(headerLoad)))
+	common.freeShare, common.rateLimit = parseLoad(string(resp.Header.Peek(headerLoad)))
 	common.retryAfter = parseRetryAfter(string(resp.Header.Peek(headerRetryAfter)))
 	out := callResponse{results: make([]result, len(attempts))}
 	out.identity.Digest = responseDigest(resp)
@@ -309,7 +309,7 @@
 // parseLoad parses a load report: x0 is the share of the limit that is left, x1 the limit in calls per second. A report
 // with a malformed part is ignored as a whole, as its remaining parts could say that nothing is left or that there is no
 // limit.
-func parseLoad(text string) (left, limit float64) {
+func parseLoad(text string) (freeShare, limit float64) {
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		f, err := strconv.ParseFloat(value, 64)
@@ -318,10 +318,10 @@
 		}
 		switch name {
 		case "x0":
-			left = f
+			freeShare = f
 		case "x1":
 			limit = f
 		}
 	}
-	return left, limit
+	return freeShare, limit
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -220,16 +220,16 @@
 	e.unconfirmed = slices.DeleteFunc(e.unconfirmed, func(u unconfirmed) bool { return u.send == send })
 }
 
-func (s *Scheduler) Outcome(evt int32, send int, ep int32, outcome delivery.Outcome, wait, took int64, ended bool,
-	left, reportedLimit float64) {
+func (s *Scheduler) Outcome(evt int32, send int, ep int32, outcome delivery.Outcome, retryAfter, took int64, ended bool,
+	freeShare, reportedLimit float64) {
 	e := &s.events[evt]
 	if e.call >= 0 {
 		c := &s.calls[e.call]
 		// The executor may send the events of one call in several calls, only one of which is told to wait.
-		s.limiters.holdUntil(s.endpoints.limiter[ep], s.now+wait)
+		s.limiters.holdUntil(s.endpoints.limiter[ep], s.now+retryAfter)
 		if !c.recorded {
 			c.recorded = true
-			s.limiters.recordOutcome(s.endpoints.limiter[ep], s.now, outcome, wait, left, reportedLimit)
+			s.limiters.recordOutcome(s.endpoints.limiter[ep], s.now, outcome, retryAfter, freeShare, reportedLimit)
 			wasEjected := s.endpoints.ejected[ep]
 			// A reset this soon suggests a dead connection; after a short idle time it must come sooner to count.
 			soon := s.endpoints.latencyMean[ep] * min(0.5, float64(c.idleBefore)/1e9)
@@ -250,17 +250,17 @@
 				s.endpoints.lastAckAt[ep] < c.startedAt, s.rng.float()
 			limit := s.limiters.limit[s.endpoints.limiter[ep]]
 			smallBudget := s.endpoints.coldBudget(limit) < fewColdCalls*s.limiters.nodes
-			conclusive := silent || wait >= unavailableWait || (outcome == delivery.ConnectFailed &&
+			conclusive := silent || retryAfter >= unavailableWait || (outcome == delivery.ConnectFailed &&
 				(took >= minOverdue || (smallBudget && limit > 0 && s.now >= s.stale.crowdedUntil)))
 			if silent { // timeouts expire at different times on the nodes, so an immediate trial causes no surge
 				credit = 1
 			}
-			s.endpoints.recordOutcome(ep, s.now, outcome, took, reportedLimit > 0 && left < unavailableShare, conclusive, credit)
+			s.endpoints.recordOutcome(ep, s.now, outcome, took, reportedLimit > 0 && freeShare < unavailableShare, conclusive, credit)
 			if !wasEjected && s.endpoints.ejected[ep] {
 				s.exec.Log("endpoint ejected", ep)
 				// An outage affects all endpoints under the limit, and many nodes would try each of them.
 				for _, sibling := range s.byDest[e.dest] {
-					if conclusive && (smallBudget || wait >= unavailableWait) &&
+					if conclusive && (smallBudget || retryAfter >= unavailableWait) &&
 						s.endpoints.limiter[sibling] == s.endpoints.limiter[ep] &&
 						s.endpoints.lastAckAt[sibling] < s.endpoints.firstFailureAt[ep] {
 						s.endpoints.eject(sibling, s.now, s.rng.float())
@@ -275,7 +275,7 @@
 			// Credit starts to grow at the end of a requested wait: all nodes would spend what they saved during it at once.
 			for _, sibling := range s.byDest[e.dest] {
 				if s.endpoints.ejected[sibling] && s.endpoints.limiter[sibling] == s.endpoints.limiter[ep] {
-					s.endpoints.creditAt[sibling] = max(s.endpoints.creditAt[sibling], s.limiters.waitUntil[s.endpoints.limiter[ep]])
+					s.endpoints.creditAt[sibling] = max(s.endpoints.creditAt[sibling], s.limiters.heldUntil[s.endpoints.limiter[ep]])
 				}
 			}
 		}
@@ -299,7 +299,7 @@
 	if ended || !e.live {
 		s.closeEvent(evt)
 	} else {
-		s.retry(evt, ep, outcome, wait)
+		s.retry(evt, ep, outcome, retryAfter)
 	}
 }
 
@@ -337,10 +337,11 @@
 	s.dir.firstCallEnded = s.dir.watched
 }
 
-func (s *Scheduler) Withdrawn(evt int32)                                                 { s.closeEvent(evt) }
-func (s *Scheduler) ListFailed()                                                         { s.dir.failed(s.now, &s.rng) }
-func (s *Scheduler) Probed(ep int32, outcome delivery.Outcome, took int64, l, r float64) {}
-func (s *Scheduler) Woken()                                                              { s.wakeAt = 0 }
+func (s *Scheduler) Withdrawn(evt int32) { s.closeEvent(evt) }
+func (s *Scheduler) ListFailed()         { s.dir.failed(s.now, &s.rng) }
+func (s *Scheduler) Probed(ep int32, outcome delivery.Outcome, took int64, freeShare, limit float64) {
+}
+func (s *Scheduler) Woken() { s.wakeAt = 0 }
 
 func (s *Scheduler) PeerReportedHealthy(peer int, ep int32) {
 	if s.endpoints.suspect(ep, s.now) { // it returns as a cold endpoint
@@ -355,11 +356,11 @@
 }
 
 // retry schedules the next send of an event after a failed one, or ends the event.
-func (s *Scheduler) retry(evt, ep int32, outcome delivery.Outcome, wait int64) {
+func (s *Scheduler) retry(evt, ep int32, outcome delivery.Outcome, retryAfter int64) {
 	e, t := &s.events[evt], &s.types[s.events[evt].typ]
-	delay := wait
+	delay := retryAfter
 	switch {
-	case outcome == delivery.Refused && wait == 0:
+	case outcome == delivery.Refused && retryAfter == 0:
 		delay = min(refusalBaseDelay, t.MaxAge/refusalBaseDivisor) +
 			min(refusalBackoff, t.MaxAge/refusalBackoffDivisor)<<min(e.refusals, 20)
 		e.refusals++
@@ -367,7 +368,7 @@
 		delay = errorBackoff << min(e.errors, 20)
 		e.errors++
 	}
-	if wait == 0 {
+	if retryAfter == 0 {
 		delay += int64(s.rng.float() * jitterShare * float64(delay))
 	}
 	// Events refused at many nodes together would all be retried at once. Spread them over the time in which this node's
@@ -458,7 +459,7 @@
 		c := &s.calls[e.call]
 		// A send may have to wait for its connection. By the time the connection is open, a requested wait, the list or the
 		// dedup window may forbid the send.
-		if !e.unsentCancelled && (s.now < s.limiters.waitUntil[s.endpoints.limiter[c.endpoint]] ||
+		if !e.unsentCancelled && (s.now < s.limiters.heldUntil[s.endpoints.limiter[c.endpoint]] ||
 			!s.endpoints.ready[c.endpoint] || s.now >= s.dedupWindowEnd(e)) {
 			s.exec.CancelUnsent(int32(i), e.sends-1)
 			e.unsentCancelled = true
@@ -491,7 +492,7 @@
 		s.endpoints.lastListedAt[ep] = s.now
 	}
 	limiter := s.endpoints.limiter[ep]
-	expired := s.now >= max(s.endpoints.lastListedAt[ep]+removedRetention, s.limiters.waitUntil[limiter])
+	expired := s.now >= max(s.endpoints.lastListedAt[ep]+removedRetention, s.limiters.heldUntil[limiter])
 	if expired {
 		if s.limiters.endpointCount[limiter]--; s.limiters.endpointCount[limiter] == 0 && s.destLimiter[dest] == limiter {
 			s.destLimiter[dest] = -1
@@ -552,7 +553,7 @@
 	for _, ep := range s.byDest[e.dest] {
 		limiter := s.endpoints.limiter[ep]
 		switch {
-		case !s.endpoints.ready[ep] || s.now < s.limiters.waitUntil[limiter]:
+		case !s.endpoints.ready[ep] || s.now < s.limiters.heldUntil[limiter]:
 		case e.mayHaveRun() && t.DedupPerZone && s.endpoints.zone[ep] != ranZone: // would not recognize the duplicate
 		case s.joinableCall(ep, t) >= 0:
 			return ep
@@ -779,7 +780,7 @@
 	maxEventsPerCall, inFlight                   []int     // inFlight: calls
 	limit, endpointCount                         []float64 // limit: reported by the destination, in calls per second
 	pace, credit                                 []float64 // pace: calls per second, 0 for unpaced; credit: calls allowed now
-	waitUntil, creditAt, lastCutAt, lastGrowthAt []int64
+	heldUntil, creditAt, lastCutAt, lastGrowthAt []int64
 	recentCalls                                  [][]int64  // start times within the last second
 	lastCall                                     [][2]int32 // call opened last, by waitClass; -1: none
 }
@@ -789,7 +790,7 @@
 	i := int32(slices.Index(append(l.endpointCount, 0), 0)) // an index is free once all its endpoints are forgotten
 	l.maxEventsPerCall, l.inFlight, l.endpointCount = setAt(l.maxEventsPerCall, i, maxEvents), setAt(l.inFlight, i, 0),
 		setAt(l.endpointCount, i, 0)
-	l.waitUntil, l.limit, l.recentCalls = setAt(l.waitUntil, i, 0), setAt(l.limit, i, 0), setAt(l.recentCalls, i, nil)
+	l.heldUntil, l.limit, l.recentCalls = setAt(l.heldUntil, i, 0), setAt(l.limit, i, 0), setAt(l.recentCalls, i, nil)
 	l.pace, l.credit, l.creditAt = setAt(l.pace, i, 0), setAt(l.credit, i, credit), setAt(l.creditAt, i, 0)
 	l.lastCutAt, l.lastGrowthAt = setAt(l.lastCutAt, i, -paceCutInterval), setAt(l.lastGrowthAt, i, 0)
 	l.lastCall = setAt(l.lastCall, i, [2]int32{-1, -1})
@@ -797,9 +798,9 @@
 }
 
 // recordOutcome adapts the pace of a limiter to the outcome of a call.
-func (l *limiters) recordOutcome(limiter int32, now int64, outcome delivery.Outcome, wait int64, left, limit float64) {
+func (l *limiters) recordOutcome(limiter int32, now int64, outcome delivery.Outcome, retryAfter int64, freeShare, limit float64) {
 	l.limit[limiter] = cmp.Or(limit, l.limit[limiter])
-	l.holdUntil(limiter, now+wait)
+	l.holdUntil(limiter, now+retryAfter)
 	switch {
 	case outcome == delivery.Acked && l.pace[limiter] > 0:
 		span := float64(min(now-l.lastGrowthAt[limiter], maxGrowthSpan)) / float64(second)
@@ -812,7 +813,7 @@
 	case outcome == delivery.Refused && now >= l.lastCutAt[limiter]+paceCutInterval:
 		l.lastCutAt[limiter], l.lastGrowthAt[limiter] = now, now
 		cut := paceCutFactor * min(float64(l.callsInLastSecond(limiter, now)), cmp.Or(l.pace[limiter], math.MaxFloat64))
-		if limit > 0 && left < exhaustedShare { // the limit is used up, so this is not just a brief burst
+		if limit > 0 && freeShare < exhaustedShare { // the limit is used up, so this is not just a brief burst
 			cut = min(cut, minPaceShare*limit/l.nodes)
 		}
 		// Where refused calls count against the limit, a minimum pace above this node's part would keep all calls refused.
@@ -823,7 +824,7 @@
 
 // holdUntil holds the calls of a limiter until a time. It never shortens a hold.
 func (l *limiters) holdUntil(limiter int32, until int64) {
-	l.waitUntil[limiter] = max(l.waitUntil[limiter], until)
+	l.heldUntil[limiter] = max(l.heldUntil[limiter], until)
 }
 
 func (l *limiters) callsInLastSecond(limiter int32, now int64) int {
--- a/store/record.go
+++ b/store/record.go
@@ -181,7 +181,7 @@
 }
 
 // MayHaveRun reports whether the attempt may have taken effect, as far as is known.
-func (s *Attempt) MayHaveRun() bool { return !s.Ended || s.Outcome.MayHaveRun() }
+func (a *Attempt) MayHaveRun() bool { return !a.Ended || a.Outcome.MayHaveRun() }
 
 // Resolution is the final state of an event that is not delivered.
 type Resolution uint8
@@ -217,15 +217,15 @@
 
 // BeginAttempt adds an attempt, or replaces one of the same number that was never sent. Attempts with lower numbers that
 // were never started are filled in as unsent, since they cannot have taken effect.
-func (e *Event) BeginAttempt(number int, s Attempt) {
+func (e *Event) BeginAttempt(number int, a Attempt) {
 	for len(e.Attempts) < number {
-		e.Attempts = append(e.Attempts, Attempt{StartedAt: s.StartedAt, Zone: s.Zone, Ended: true, Outcome: delivery.Unsent})
+		e.Attempts = append(e.Attempts, Attempt{StartedAt: a.StartedAt, Zone: a.Zone, Ended: true, Outcome: delivery.Unsent})
 	}
 	switch {
 	case len(e.Attempts) == number:
-		e.Attempts = append(e.Attempts, s)
+		e.Attempts = append(e.Attempts, a)
 	case e.Attempts[number].Ended && e.Attempts[number].Outcome == unsent:
-		e.Attempts[number] = s
+		e.Attempts[number] = a
 	}
 }
 
@@ -244,12 +244,12 @@
 	to = binary.AppendVarint(append(to, byte(e.Resolution)), e.RetryAfter)
 	to = binary.AppendVarint(to, int64(len(e.Attempts)))
 	for i := range e.Attempts {
-		s := &e.Attempts[i]
+		a := &e.Attempts[i]
 		ended := byte(0)
-		if s.Ended {
+		if a.Ended {
 			ended = 1
 		}
-		to = append(appendText(binary.AppendVarint(to, s.StartedAt), s.Zone), ended, byte(s.Outcome))
+		to = append(appendText(binary.AppendVarint(to, a.StartedAt), a.Zone), ended, byte(a.Outcome))
 	}
 	return append(binary.AppendUvarint(to, uint64(len(e.Body))), e.Body...)
 }
--- a/store/recovery.go
+++ b/store/recovery.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &Recovery{Backoffs: map[string]int64{}, Outages: map[string]int64{}, Completed: map[string]int64{},
+	recovery := &Recovery{Backoffs: map[string]int64{}, Outages: map[string]int64{}, Completed: map[string]int64{},
 		fileSizes: map[string]int64{}}
 	var files []segmentFile
 	for _, name := range names {
@@ -51,12 +51,12 @@
 		if err != nil {
 			return nil, err
 		}
-		f.Size += int64(len(data))
-		f.fileSizes[name] = int64(len(data))
+		recovery.Size += int64(len(data))
+		recovery.fileSizes[name] = int64(len(data))
 		h, err := decodeHeader(data)
 		if err != nil {
-			f.addFault(name, 0, err.Error())
-			f.RecordsLost = true
+			recovery.addFault(name, 0, err.Error())
+			recovery.RecordsLost = true
 			if name != mirrorName {
 				files = append(files, segmentFile{name: name, invalidHeader: true})
 			}
@@ -64,14 +64,14 @@
 		}
 		files = append(files, segmentFile{name: name, segmentHeader: h, data: data})
 	}
-	f.epoch = majorityEpoch(files)
+	recovery.epoch = majorityEpoch(files)
 	var mirror *segmentFile
 	files = slices.DeleteFunc(files, func(r segmentFile) bool {
 		switch {
 		case r.invalidHeader:
 			return true
-		case r.epoch != f.epoch:
-			f.addFault(r.name, 8, "file belongs to another store; ignored")
+		case r.epoch != recovery.epoch:
+			recovery.addFault(r.name, 8, "file belongs to another store; ignored")
 			return true
 		case r.name == mirrorName:
 			mirror = &r
@@ -80,8 +80,8 @@
 		return false
 	})
 	slices.SortFunc(files, func(a, b segmentFile) int { return cmp.Compare(a.number, b.number) })
-	f.Segments = len(files)
-	l := loader{recovery: f, events: map[string]*loadedEvent{}}
+	recovery.Segments = len(files)
+	l := loader{recovery: recovery, events: map[string]*loadedEvent{}}
 	for i := range files {
 		if i+1 < len(files) {
 			files[i].truncateTo(&files[i+1])
@@ -90,11 +90,11 @@
 	}
 	if mirror != nil {
 		l.loadMirror(mirror)
-	} else if len(files) > 0 && !f.hasFault(mirrorName) {
-		f.addFault(mirrorName, 0, "file is missing")
+	} else if len(files) > 0 && !recovery.hasFault(mirrorName) {
+		recovery.addFault(mirrorName, 0, "file is missing")
 	}
 	l.finish()
-	return f, nil
+	return recovery, nil
 }
 
 // segmentFile is a segment, or the mirror, as read from disk.
@@ -131,12 +131,12 @@
 	return epoch
 }
 
-func (f *Recovery) addFault(name string, offset int, reason string) {
-	f.Faults = append(f.Faults, fmt.Sprintf("%s: offset %d: %s", name, offset, reason))
+func (r *Recovery) addFault(name string, offset int, reason string) {
+	r.Faults = append(r.Faults, fmt.Sprintf("%s: offset %d: %s", name, offset, reason))
 }
 
-func (f *Recovery) hasFault(name string) bool {
-	return slices.ContainsFunc(f.Faults, func(fault string) bool { return strings.HasPrefix(fault, name+":") })
+func (r *Recovery) hasFault(name string) bool {
+	return slices.ContainsFunc(r.Faults, func(fault string) bool { return strings.HasPrefix(fault, name+":") })
 }
 
 // loadedEvent is an event with the sequence number of its state record.
@@ -147,9 +147,9 @@
 
 // loader builds a Recovery from records.
 type loader struct {
-	recovery      *Recovery
-	events        map[string]*loadedEvent
-	doubtedBefore uint64 // sequence number; events whose state precedes it may have progressed further
+	recovery    *Recovery
+	events      map[string]*loadedEvent
+	staleBefore uint64 // sequence number; events whose state precedes it may have progressed further
 }
 
 // loadSegment applies the records of one segment.
@@ -222,7 +222,7 @@
 
 func (l *loader) markLost(before uint64) {
 	l.recovery.RecordsLost = true
-	l.doubtedBefore = max(l.doubtedBefore, before)
+	l.staleBefore = max(l.staleBefore, before)
 }
 
 // apply applies one record. It returns false if the record cannot be decoded.
@@ -340,7 +340,7 @@
 // finish sorts the events by arrival and treats unresolved ones from before a gap as possibly executed.
 func (l *loader) finish() {
 	for _, entry := range l.events {
-		if e := entry.event; entry.seq < l.doubtedBefore && e.Resolution == Unresolved && !e.MayHaveRun() &&
+		if e := entry.event; entry.seq < l.staleBefore && e.Resolution == Unresolved && !e.MayHaveRun() &&
 			len(e.Attempts) < maxRecordedAttempts {
 			e.Attempts = append(e.Attempts, Attempt{StartedAt: unknownStart})
 		}
@@ -510,8 +510,8 @@
 }
 
 // isForeign reports whether a file was ignored because it belongs to another store. Such files are not removed.
-func (f *Recovery) isForeign(name string) bool {
-	return slices.ContainsFunc(f.Faults, func(fault string) bool {
+func (r *Recovery) isForeign(name string) bool {
+	return slices.ContainsFunc(r.Faults, func(fault string) bool {
 		return strings.HasPrefix(fault, name+":") && strings.Contains(fault, "another store")
 	})
 }
