--- a/node/journal_test.go
+++ b/node/journal_test.go
@@ -326,14 +326,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkReport := func(what string, data []byte, wantPending int, wantTruncated, wantMissing, wantFaults bool) {
+	checkReport := func(what string, data []byte, wantPending int, wantTorn, wantLost, wantFaults bool) {
 		t.Helper()
 		if err := os.WriteFile(name, data, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		before := folderSize(t, folder)
 		report, err := ReadJournal(folder)
-		if err != nil || len(report.Pending) != wantPending || (report.TruncatedBytes > 0) != wantTruncated || report.RecordsMissing != wantMissing ||
+		if err != nil || len(report.Pending) != wantPending || (report.TornBytes > 0) != wantTorn || report.RecordsLost != wantLost ||
 			(len(report.Faults) > 0) != wantFaults {
 			t.Errorf("%s: %+v, %v", what, report, err)
 		}
--- a/node/journalreport.go
+++ b/node/journalreport.go
@@ -22,17 +22,17 @@
 
 // JournalReport describes the content of a state folder.
 type JournalReport struct {
-	Pending        []PendingEvent
-	SizeBytes      int64    // total size of the files
-	Records        int      // number of readable records
-	TruncatedBytes int      // bytes of an incomplete record at the end, which are ignored
-	RecordsMissing bool     // events recorded before the missing records count as possibly run
-	Faults         []string // file, offset and reason of each damaged, missing or foreign part
+	Pending     []PendingEvent
+	SizeBytes   int64    // total size of the files
+	Records     int      // number of readable records
+	TornBytes   int      // bytes of an incomplete record at the end, which are ignored
+	RecordsLost bool     // events recorded before the missing records count as possibly run
+	Faults      []string // file, offset and reason of each damaged, missing or foreign part
 }
 
-func (v resolution) String() string { return [...]string{"open", "declined", "discarded"}[v] }
+func (r resolution) String() string { return [...]string{"open", "declined", "discarded"}[r] }
 
-// ReadJournal reads the journal of a state folder, in the current or the previous format. It changes nothing, and the
+// ReadJournal reads the journal of a state folder, in the current or the legacy format. It changes nothing, and the
 // node may be running. Damage is part of the report; an error means that the folder cannot be read or has no journal.
 func ReadJournal(folder string) (*JournalReport, error) {
 	if !hasJournal(folder) {
@@ -43,7 +43,7 @@
 		return nil, err
 	}
 	r := &JournalReport{SizeBytes: found.Size, Records: found.Records,
-		TruncatedBytes: found.TornBytes, RecordsMissing: found.RecordsLost}
+		TornBytes: found.TornBytes, RecordsLost: found.RecordsLost}
 	for _, fault := range found.Faults {
 		r.Faults = append(r.Faults, filepath.Join(folder, fault))
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -103,8 +103,8 @@
 	sockets = max(minSockets, sockets-reservedSockets)
 	idleEndpoints := sockets / endpointIdleDivisor
 	var eventsPerCall []int
-	for _, p := range settings.DestinationKinds {
-		eventsPerCall = append(eventsPerCall, p.MaxEventsPerCall)
+	for _, kind := range settings.DestinationKinds {
+		eventsPerCall = append(eventsPerCall, kind.MaxEventsPerCall)
 	}
 	n.decisions = newDecisionLoop(c, scheduler, settings.MinRoundInterval, append(eventsPerCall, 1))
 	n.endpoints = &endpointPool{clock: c, journal: n.journal, dial: newDialer(settings.ConnectTimeout),
@@ -215,8 +215,8 @@
 	return ""
 }
 
-// safetyOf returns what may happen if an event of a stream type is repeated. A type that is no longer configured counts as
-// idempotent, since nothing forbids repeating its events.
+// safetyOf returns whether events of a stream type can be repeated without a second effect. A type that is no longer
+// configured counts as idempotent, since nothing forbids repeating its events.
 func (n *Node) safetyOf(typ int) delivery.Safety {
 	if typ >= len(n.types) {
 		return delivery.Idempotent
--- a/node/notices.go
+++ b/node/notices.go
@@ -72,7 +72,7 @@
 	id              uint64
 	address         string
 	reader          *bufio.Reader
-	stopCloseOnMove func() bool
+	stopCloseOnMove func() bool // cancels closing it when the platform's address changes
 }
 
 func (c *platformConn) Close() error {
--- a/node/wire.go
+++ b/node/wire.go
@@ -53,15 +53,15 @@
 }
 
 // writeCall writes the HTTP request of a call with one event, or of a bulk call with several. The id, idempotency key and
-// body of each event are passed on unchanged. wait, in ns, is sent as the deadline.
-func writeCall(out *bytebufferpool.ByteBuffer, attempts []*attempt, wait int64) error {
+// body of each event are passed on unchanged. timeout, in ns, is sent as the deadline.
+func writeCall(out *bytebufferpool.ByteBuffer, attempts []*attempt, timeout int64) error {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.Header.SetNoDefaultContentType(true)
 	req.Header.SetUserAgent("jaspersill")
 	req.Header.SetHost("endpoint")
-	req.Header.Set(headerDeadline, strconv.FormatInt(wait/1e6, 10))
+	req.Header.Set(headerDeadline, strconv.FormatInt(timeout/1e6, 10))
 	if len(attempts) == 1 {
 		e := attempts[0].event
 		req.SetRequestURI("/inbox")
--- a/store/recovery.go
+++ b/store/recovery.go
@@ -66,15 +66,15 @@
 	}
 	recovery.epoch = majorityEpoch(files)
 	var mirror *segmentFile
-	files = slices.DeleteFunc(files, func(r segmentFile) bool {
+	files = slices.DeleteFunc(files, func(file segmentFile) bool {
 		switch {
-		case r.invalidHeader:
+		case file.invalidHeader:
 			return true
-		case r.epoch != recovery.epoch:
-			recovery.addFault(r.name, 8, "file belongs to another store; ignored")
+		case file.epoch != recovery.epoch:
+			recovery.addFault(file.name, 8, "file belongs to another store; ignored")
 			return true
-		case r.name == mirrorName:
-			mirror = &r
+		case file.name == mirrorName:
+			mirror = &file
 			return true
 		}
 		return false
@@ -106,9 +106,9 @@
 }
 
 // truncateTo drops the data after the end that the next segment's header records for this one.
-func (r *segmentFile) truncateTo(next *segmentFile) {
-	if size := int(next.previousSize); next.number == r.number+1 && size >= headerSize && size < len(r.data) {
-		r.data = r.data[:size]
+func (f *segmentFile) truncateTo(next *segmentFile) {
+	if size := int(next.previousSize); next.number == f.number+1 && size >= headerSize && size < len(f.data) {
+		f.data = f.data[:size]
 	}
 }
 
@@ -116,10 +116,10 @@
 // number wins.
 func majorityEpoch(files []segmentFile) (epoch uint64) {
 	count, last := map[uint64]int{}, map[uint64]uint64{}
-	for _, r := range files {
-		if !r.invalidHeader {
-			count[r.epoch]++
-			last[r.epoch] = max(last[r.epoch], r.number)
+	for _, file := range files {
+		if !file.invalidHeader {
+			count[file.epoch]++
+			last[file.epoch] = max(last[file.epoch], file.number)
 		}
 	}
 	for e := range count {
@@ -153,47 +153,47 @@
 }
 
 // loadSegment applies the records of one segment.
-func (l *loader) loadSegment(r *segmentFile, first, last bool) {
-	f := l.recovery
-	f.lastSegment = max(f.lastSegment, r.number)
-	if !first && r.firstSeq != f.seq+1 {
-		f.addFault(r.name, 24, fmt.Sprintf("records %d to %d are missing before this segment", f.seq+1, r.firstSeq-1))
-		l.markLost(r.firstSeq)
+func (l *loader) loadSegment(file *segmentFile, first, last bool) {
+	recovery := l.recovery
+	recovery.lastSegment = max(recovery.lastSegment, file.number)
+	if !first && file.firstSeq != recovery.seq+1 {
+		recovery.addFault(file.name, 24, fmt.Sprintf("records %d to %d are missing before this segment", recovery.seq+1, file.firstSeq-1))
+		l.markLost(file.firstSeq)
 	}
-	f.seq = max(f.seq, r.firstSeq-1)
-	for at := headerSize; at < len(r.data); {
-		payload, seq, size, torn, err := decodeFrame(r.data[at:])
+	recovery.seq = max(recovery.seq, file.firstSeq-1)
+	for at := headerSize; at < len(file.data); {
+		payload, seq, size, torn, err := decodeFrame(file.data[at:])
 		if torn {
-			rest := r.data[at:]
+			rest := file.data[at:]
 			switch {
-			case hasIntactRecord(rest, f.seq):
-				f.addFault(r.name, at, "record has a wrong length")
-				l.markLost(f.seq + 1)
+			case hasIntactRecord(rest, recovery.seq):
+				recovery.addFault(file.name, at, "record has a wrong length")
+				l.markLost(recovery.seq + 1)
 			case last: // incomplete record left by a kill; it was never acknowledged
-				f.TornBytes = len(rest)
+				recovery.TornBytes = len(rest)
 			}
 			return
 		}
 		if err != nil {
-			f.addFault(r.name, at, err.Error())
-			l.markLost(f.seq + 1)
+			recovery.addFault(file.name, at, err.Error())
+			l.markLost(recovery.seq + 1)
 			if size == 0 {
 				return
 			}
 			at += size
-			f.seq++
+			recovery.seq++
 			continue
 		}
-		if seq != f.seq+1 {
-			f.addFault(r.name, at, fmt.Sprintf("found record %d, expected record %d", seq, f.seq+1))
+		if seq != recovery.seq+1 {
+			recovery.addFault(file.name, at, fmt.Sprintf("found record %d, expected record %d", seq, recovery.seq+1))
 			l.markLost(seq)
 		}
-		f.seq = max(f.seq, seq)
+		recovery.seq = max(recovery.seq, seq)
 		if !l.apply(payload, seq) {
-			f.addFault(r.name, at, "record cannot be decoded")
+			recovery.addFault(file.name, at, "record cannot be decoded")
 			l.markLost(seq)
 		} else {
-			f.Records++
+			recovery.Records++
 		}
 		at += size
 	}
@@ -242,12 +242,12 @@
 	entry := l.events[name]
 	switch k {
 	case recAttemptStarted:
-		number, s := int(d.readByte()), Attempt{StartedAt: d.readVarint(), Zone: d.readText()}
+		number, a := int(d.readByte()), Attempt{StartedAt: d.readVarint(), Zone: d.readText()}
 		if d.invalid {
 			return false
 		}
 		if entry != nil {
-			entry.event.BeginAttempt(number, s)
+			entry.event.BeginAttempt(number, a)
 		}
 	case recAttemptEnded:
 		number, result := int(d.readByte()), outcome(d.readByte())
@@ -288,37 +288,37 @@
 
 // applyMark applies a backoff, which is never shortened, or an outage.
 func (l *loader) applyMark(k kind, name string, value int64) {
-	f := l.recovery
+	recovery := l.recovery
 	switch {
 	case k == recBackoff:
-		f.Backoffs[name] = max(f.Backoffs[name], value)
+		recovery.Backoffs[name] = max(recovery.Backoffs[name], value)
 	case value == 0:
-		delete(f.Outages, name)
+		delete(recovery.Outages, name)
 	default:
-		f.Outages[name] = value
+		recovery.Outages[name] = value
 	}
 }
 
 // loadMirror applies the second copy of backoffs and outages. Its backoffs are always merged, since that never shortens
 // one. Its outages are used only if the log lost records.
-func (l *loader) loadMirror(r *segmentFile) {
-	f := l.recovery
+func (l *loader) loadMirror(file *segmentFile) {
+	recovery := l.recovery
 	outages := map[string]int64{}
 	at := headerSize
-	for at < len(r.data) {
-		payload, _, size, torn, err := decodeFrame(r.data[at:])
+	for at < len(file.data) {
+		payload, _, size, torn, err := decodeFrame(file.data[at:])
 		if torn || (err != nil && size == 0) {
 			break
 		}
 		if err != nil {
-			f.addFault(r.name, at, err.Error())
+			recovery.addFault(file.name, at, err.Error())
 			at += size
 			continue
 		}
 		d := Decoder{rest: payload}
 		k, name, value := kind(d.readByte()), d.readText(), d.readVarint()
 		if d.invalid || (k != recBackoff && k != recOutage) {
-			f.addFault(r.name, at, "record cannot be decoded")
+			recovery.addFault(file.name, at, "record cannot be decoded")
 		} else if k == recBackoff {
 			l.applyMark(k, name, value)
 		} else {
@@ -326,13 +326,13 @@
 		}
 		at += size
 	}
-	f.mirrorSize = at
-	if at < len(r.data) {
-		f.addFault(r.name, at, "file is truncated from this offset on")
+	recovery.mirrorSize = at
+	if at < len(file.data) {
+		recovery.addFault(file.name, at, "file is truncated from this offset on")
 	}
 	for name, since := range outages {
-		if _, known := f.Outages[name]; f.RecordsLost && since != 0 && !known {
-			f.Outages[name] = since
+		if _, known := recovery.Outages[name]; recovery.RecordsLost && since != 0 && !known {
+			recovery.Outages[name] = since
 		}
 	}
 }
