--- a/store/record.go
+++ b/store/record.go
@@ -267,9 +267,9 @@
 		return nil
 	}
 	for range n {
-		s := Attempt{StartedAt: d.readVarint(), Zone: d.readText()}
-		s.Ended, s.Outcome = d.readByte() == 1, delivery.Outcome(d.readByte())
-		e.Attempts = append(e.Attempts, s)
+		a := Attempt{StartedAt: d.readVarint(), Zone: d.readText()}
+		a.Ended, a.Outcome = d.readByte() == 1, delivery.Outcome(d.readByte())
+		e.Attempts = append(e.Attempts, a)
 	}
 	e.Body = d.readBytes()
 	if d.invalid {
