--- a/cmd/jaspersill-lab/loopback.go
+++ b/cmd/jaspersill-lab/loopback.go
@@ -108,12 +108,12 @@
 			return result, err
 		}
 	}
-	s, err := emulator.Open(sc, seed, 0, nil)
+	em, err := emulator.Open(sc, seed, 0, nil)
 	if err != nil {
 		return result, err
 	}
-	defer s.Close()
-	nodes, err := emulator.ConfigureNodes(s, folder, "", 0, 1)
+	defer em.Close()
+	nodes, err := emulator.ConfigureNodes(em, folder, "", 0, 1)
 	if err == nil {
 		err = nodes.Start(ctx, r.program)
 	}
@@ -121,8 +121,8 @@
 		return result, err
 	}
 	latencies := hdrhistogram.New(1e5, 1e12, 3)
-	s.OnDelivery(func(_ int, latency int64) { latencies.RecordValue(max(1e5, latency)) })
-	result.Summary = s.Run(ctx, nodes, workload.NewGenerator(sc, seed), seed)
+	em.OnDelivery(func(_ int, latency int64) { latencies.RecordValue(max(1e5, latency)) })
+	result.Summary = em.Run(ctx, nodes, workload.NewGenerator(sc, seed), seed)
 	nodes.Stop()
 	for i, q := range runner.Percentiles {
 		result.LatencyMs[i] = float64(latencies.ValueAtQuantile(q)) / 1e6
@@ -150,13 +150,13 @@
 					fmt.Fprintf(w, time.Now().Format("15:04:05.000 ")+format+"\n", args...)
 				}
 			}
-			s, err := emulator.Open(sc, seed, 0, printLine)
+			em, err := emulator.Open(sc, seed, 0, printLine)
 			if err != nil {
 				return err
 			}
-			defer s.Close()
-			s.AcceptUnknownEvents()
-			nodes, err := emulator.ConfigureNodes(s, folder, listen, 0, 1)
+			defer em.Close()
+			em.AcceptUnknownEvents()
+			nodes, err := emulator.ConfigureNodes(em, folder, listen, 0, 1)
 			if err != nil {
 				return err
 			}
@@ -171,7 +171,7 @@
 					nodes.Address(i),
 				)
 			}
-			s.Start(c.Context(), nil)
+			em.Start(c.Context(), nil)
 			<-c.Context().Done()
 			return nil
 		}}
@@ -222,18 +222,18 @@
 				plan.OnResult = recorder.record
 			}
 			if started = len(args) == 0; started {
-				s, err := emulator.Open(sc, 1, 0, nil)
+				em, err := emulator.Open(sc, 1, 0, nil)
 				if err != nil {
 					return err
 				}
-				defer s.Close()
-				s.AcceptUnknownEvents()
+				defer em.Close()
+				em.AcceptUnknownEvents()
 				folder, err := os.MkdirTemp("", "lab-")
 				if err != nil {
 					return err
 				}
 				defer os.RemoveAll(folder)
-				nodes, err := emulator.ConfigureNodes(s, folder, "", 0, cores)
+				nodes, err := emulator.ConfigureNodes(em, folder, "", 0, cores)
 				if err == nil {
 					err = nodes.Start(c.Context(), program)
 				}
@@ -266,8 +266,8 @@
 			for _, l := range f.Loads {
 				fmt.Fprintf(
 					w,
-					"offered %.0f/s, sent %.0f/s: %d taken on, %d declined, %d failed; ms p50 %.2f p90 %.2f p99 %.2f "+
-						"p99.9 %.2f; own lag p99 %.3f ms\n",
+					"offered %.0f/s, sent %.0f/s: %d accepted, %d declined, %d failed; ms p50 %.2f p90 %.2f p99 %.2f "+
+						"p99.9 %.2f; generator lag p99 %.3f ms\n",
 					l.OfferedRate,
 					l.SentRate,
 					l.Acked,
@@ -316,13 +316,13 @@
 	total := 0.0
 	for _, t := range sc.Types {
 		dest := 0
-		for _, p := range sc.DestinationKinds {
-			for range p.Destinations {
+		for _, dk := range sc.DestinationKinds {
+			for range dk.Destinations {
 				requests = append(requests, loadgen.Request{Kind: t.Name, Owner: sc.Customers[0].Name, Dest: dest,
 					Timeout: time.Duration(
 						t.MaxAge,
 					), HasIdempotencyKey: t.Safety == "deduplicated", Body: make([]byte, 300)})
-				total += t.Rate * p.Weight
+				total += t.Rate * dk.Weight
 				weights = append(weights, total)
 				dest++
 			}
--- a/cmd/jaspersill-lab/simulate.go
+++ b/cmd/jaspersill-lab/simulate.go
@@ -199,7 +199,7 @@
 		if d.Metric == "G" {
 			fmt.Fprintf(
 				c.OutOrStdout(),
-				"%s beside %s: %+.4f in G (%+.4f to %+.4f, %d pairs)\n",
+				"%s compared with %s: %+.4f in G (%+.4f to %+.4f, %d pairs)\n",
 				d.Name,
 				f.Variants[0].Name,
 				d.Interval.Mean,
--- a/cmd/jaspersill-lab/soak.go
+++ b/cmd/jaspersill-lab/soak.go
@@ -120,7 +120,7 @@
 	}
 	if len(byRule) > 0 {
 		fmt.Fprintf(out, "  by rule: %v\n", byRule)
-		fmt.Fprintf(out, "  again: jaspersill-lab soak --seed %d --nodes %d --length %v --only %q --paths=%v\n", report.Seed, s.options.Nodes,
+		fmt.Fprintf(out, "  reproduce with: jaspersill-lab soak --seed %d --nodes %d --length %v --only %q --paths=%v\n", report.Seed, s.options.Nodes,
 			s.options.Length, s.options.Only, s.options.PathFaults)
 	}
 }
--- a/lab/destination/destination.go
+++ b/lab/destination/destination.go
@@ -40,7 +40,7 @@
 	Dest, Kind      int32
 	WorkFactor      float64
 	Mode            Mode
-	Epoch           uint32 // incremented when the process dies; calls of earlier epochs are lost
+	Epoch           uint32 // incremented when the process dies, which loses older calls
 	Draining        bool
 	Gone            bool
 	OpenConnections int
@@ -49,7 +49,7 @@
 	slowFactor, failShare, loseShare, unreadableShare, lateShare, lateFactor float64
 	availableAt                                                              int64
 	workerFreeAt                                                             []int64 // by worker
-	queuedStarts                                                             []int64 // when queued calls start, in order
+	queuedStarts                                                             []int64 // starts of queued calls, in order
 	group                                                                    int32
 }
 
@@ -103,9 +103,9 @@
 	Offered      []int64 // calls that arrived, by destination kind
 }
 
-// New draws the destinations of a scenario from seed, and their random behaviour from seed and luck: runs with the same
-// seed and different luck have the same destinations.
-func New(sc *scenario.Scenario, seed, luck uint64) *Model {
+// New draws the destinations of a scenario from seed, and their random behaviour from seed and noiseSeed: runs with the
+// same seed and different noiseSeed have the same destinations.
+func New(sc *scenario.Scenario, seed, noiseSeed uint64) *Model {
 	m := &Model{scenario: sc, random: rand.New(rand.NewPCG(seed, 0x70a7)),
 		Refused: make([]int64, len(sc.DestinationKinds)), Offered: make([]int64, len(sc.DestinationKinds))}
 	rate, work := 0.0, 0.0
@@ -133,7 +133,7 @@
 			}
 		}
 	}
-	m.random = rand.New(rand.NewPCG(seed, 0x11c3+luck))
+	m.random = rand.New(rand.NewPCG(seed, 0x11c3+noiseSeed))
 	return m
 }
 
--- a/lab/emulator/clients.go
+++ b/lab/emulator/clients.go
@@ -148,8 +148,8 @@
 	em.releaseIfDone(e)
 }
 
-// scheduleRetry submits a declined or unanswered event again after retryAfter with jitter; 0 stands for the clients' own
-// retry delay. It does nothing once the retries are used up or the deadline would have passed.
+// scheduleRetry submits a declined or unanswered event again after retryAfter with jitter; 0 stands for the clients'
+// own retry delay. It does nothing once the retries are used up or the deadline would have passed.
 func (c *clients) scheduleRetry(a workload.Arrival, retries int, retryAfter int64) {
 	k := &c.emulator.scenario.Clients
 	if retries >= k.MaxRetries {
--- a/lab/emulator/directory.go
+++ b/lab/emulator/directory.go
@@ -104,11 +104,11 @@
 	time.AfterFunc(time.Duration(em.scenario.Fleet.DirectoryDelay), publish)
 }
 
-// recordDrains tells the checker, after drainGrace, which endpoints a node was told are draining or gone.
+// recordDrains tells the checker, after socketGrace, which endpoints a node was told are draining or gone.
 func (em *Emulator) recordDrains(node int32, changes []endpointChange) {
 	for _, c := range changes {
 		if c.state != delivery.Ready {
-			time.AfterFunc(drainGrace, func() {
+			time.AfterFunc(socketGrace, func() {
 				em.mu.Lock()
 				defer em.mu.Unlock()
 				em.checker.RecordDrain(em.now(), node, c.ep)
@@ -200,7 +200,7 @@
 	for {
 		select {
 		case <-changed:
-		case <-time.After(watchKeepAlive):
+		case <-time.After(watchKeepalive):
 		}
 		em.mu.Lock()
 		if em.stopped || em.directoryDown > 0 {
--- a/lab/emulator/emulator.go
+++ b/lab/emulator/emulator.go
@@ -1,6 +1,7 @@
-// Package emulator runs a scenario in real time against node processes, over loopback sockets. It emulates destinations,
-// directory, platform and clients. It shares the destination model and the rule checker with the simulator, so that
-// a run here differs from a simulated one only by the real nodes and sockets. It listens on 127.0.0.1 only.
+// Package emulator runs a scenario in real time against node processes, over loopback sockets. It emulates
+// destinations, directory, platform and clients. It shares the destination model and the rule checker with the
+// simulator, so that a run here differs from a simulated one only by the real nodes and sockets. It listens on
+// 127.0.0.1 only.
 package emulator
 
 import (
@@ -21,11 +22,11 @@
 )
 
 const (
-	retryAfterGrace   = 100 * time.Millisecond // tolerance for calls right after a retry-after time; set by the protocol
-	drainGrace        = 50 * time.Millisecond  // tolerance added to time limits on sockets; set by the protocol
+	retryAfterGrace   = 100 * time.Millisecond // calls this soon after a Retry-After are permitted; set by the protocol
+	socketGrace       = 50 * time.Millisecond  // tolerance added to time limits on sockets; set by the protocol
 	endpointDrainTime = 3 * time.Second        // from the end of the drain grace until a draining endpoint is gone
 	maxBodySize       = 64 << 10               // bytes; set by the protocol
-	watchKeepAlive    = 2 * time.Second        // interval of empty lines on an unchanged watch; set by the protocol
+	watchKeepalive    = 2 * time.Second        // interval of empty lines on an unchanged watch; set by the protocol
 )
 
 // event is an event that a client submitted to a node.
@@ -82,13 +83,13 @@
 }
 
 // Open opens the sockets that a scenario needs. logf may be nil.
-func Open(sc *scenario.Scenario, seed, luck uint64, logf func(format string, args ...any)) (*Emulator, error) {
+func Open(sc *scenario.Scenario, seed, noiseSeed uint64, logf func(format string, args ...any)) (*Emulator, error) {
 	if logf == nil {
 		logf = func(string, ...any) {}
 	}
-	em := &Emulator{scenario: sc, startedAt: time.Now(), destinations: destination.New(sc, seed, luck),
+	em := &Emulator{scenario: sc, startedAt: time.Now(), destinations: destination.New(sc, seed, noiseSeed),
 		checker: checker.New(sc), events: make(map[string]*event),
-		random: rand.New(rand.NewPCG(seed, 0x57a6+luck)), directoryChanged: make(chan struct{}),
+		random: rand.New(rand.NewPCG(seed, 0x57a6+noiseSeed)), directoryChanged: make(chan struct{}),
 		conns: make(map[net.Conn]struct{}), seenOutages: make(map[nodeGroup]int64), logf: logf}
 	em.eventTable.Acquire("") // reserves index 0
 	for ep := range em.destinations.Endpoints {
--- a/lab/emulator/emulator_test.go
+++ b/lab/emulator/emulator_test.go
@@ -145,8 +145,8 @@
 	}
 }
 
-// Guards against a checker that misses violations on sockets: a node that sends each event twice must be reported, as in
-// the simulator.
+// Guards against a checker that misses violations on sockets: a node that sends each event twice must be reported, as
+// in the simulator.
 func TestNodeThatSendsTwiceIsDetected(t *testing.T) {
 	sc := loadScenario(t, strings.Replace(shortScenario, "7s", "1s", 1))
 	sc.Fleet.Nodes = 1
--- a/lab/emulator/faults.go
+++ b/lab/emulator/faults.go
@@ -190,8 +190,8 @@
 	})
 }
 
-// seenOutage and recordOutage get and set the start of the last outage that a node saw at an endpoint group. The lock is
-// held.
+// seenOutage and recordOutage get and set the start of the last outage that a node saw at an endpoint group. The lock
+// is held.
 func (em *Emulator) seenOutage(node, group int32) int64 {
 	return em.seenOutages[nodeGroup{node, group}]
 }
--- a/lab/emulator/nodes.go
+++ b/lab/emulator/nodes.go
@@ -61,9 +61,9 @@
 	return "", errors.New("no free loopback address")
 }
 
-// ConfigureNodes writes the configuration of each node of a scenario into a folder and creates the state folders. memory
-// in MB and cores are the limits of each node, 0 for none. listen is the client address of the first node; if it is
-// empty, a free one is chosen.
+// ConfigureNodes writes the configuration of each node of a scenario into a folder and creates the state folders.
+// memory in MB and cores are the limits of each node, 0 for none. listen is the client address of the first node; if it
+// is empty, a free one is chosen.
 func ConfigureNodes(em *Emulator, folder, listen string, memory, cores float64) (*Nodes, error) {
 	n := &Nodes{emulator: em, folder: folder}
 	var peers, relayAddresses []string
--- a/lab/faultproxy/faultproxy.go
+++ b/lab/faultproxy/faultproxy.go
@@ -1,10 +1,10 @@
-// Package faultproxy provides proxies on loopback that inject network faults. Data on a TCP connection is repeated, held
-// back, split, merged, truncated, dripped or altered, one direction is closed, or the connection is reset. Datagrams are
-// repeated, delayed, reordered or dropped. Which data is affected is drawn from a seed.
+// Package faultproxy provides proxies on loopback that inject network faults. Data on a TCP connection is repeated,
+// held back, split, merged, truncated, dripped or altered, one direction is closed, or the connection is reset.
+// Datagrams are repeated, delayed, reordered or dropped. Which data is affected is drawn from a seed.
 //
-// The proxy does not parse any protocol. A fault applies to a chunk: the result of one read, which on loopback is usually
-// what the sender wrote in one call. Both ends can ask whether a connection was disturbed, so that a test can tell an
-// injected fault from a fault of the program under test.
+// The proxy does not parse any protocol. A fault applies to a chunk: the result of one read, which on loopback is
+// usually what the sender wrote in one call. Both ends can ask whether a connection was disturbed, so that a test can
+// tell an injected fault from a fault of the program under test.
 package faultproxy
 
 import (
@@ -168,7 +168,7 @@
 	c.client.Close()
 	c.target.Close()
 	delete(p.open, c)
-	if address := c.target.LocalAddr().String(); p.byTarget[address] == c { // the port may be reused by another connection
+	if address := c.target.LocalAddr().String(); p.byTarget[address] == c { // another connection may reuse the port
 		delete(p.byTarget, address)
 	}
 }
--- a/lab/loadgen/load.go
+++ b/lab/loadgen/load.go
@@ -141,9 +141,8 @@
 				if due >= p.Duration {
 					return
 				}
-				idle := time.Since(
-					start,
-				) <= due // the connection was idle before the due time, so any lag is the generator's own
+				// If the connection is idle before the due time, any lag is the generator's own.
+				idle := time.Since(start) <= due
 				waitUntil(start, due)
 				if idle {
 					c.lag.RecordValue(max(1e3, min(maxLag, int64(time.Since(start)-due))))
--- a/lab/policy/policy.go
+++ b/lab/policy/policy.go
@@ -166,7 +166,7 @@
 	budgetMax      = 10.0
 	tripAfter      = 5          // consecutive failures that open the circuit breaker
 	tripDuration   = int64(5e9) // ns
-	answerMargin   = int64(3e7) // ns before its deadline by which an event gets its end
+	deadlineMargin = int64(3e7) // ns before its deadline by which an event gets its end
 )
 
 type simpleEvent struct {
@@ -193,7 +193,7 @@
 	out                 delivery.Executor
 	events              []simpleEvent
 	waiting             []int32
-	callsOut            int
+	callsInFlight       int
 	byDest              [][]int32
 	ready               []bool
 	callsByEndpoint     []int32
@@ -261,7 +261,7 @@
 // trySend sends an event if that is allowed now, and reports whether it did.
 func (p *simplePolicy) trySend(evt int32) bool {
 	e := &p.events[evt]
-	if p.now < e.notBefore || p.now < p.blockedUntil[e.dest] || p.callsOut >= p.limits.MaxConcurrentCalls {
+	if p.now < e.notBefore || p.now < p.blockedUntil[e.dest] || p.callsInFlight >= p.limits.MaxConcurrentCalls {
 		return false
 	}
 	ep := int32(-1)
@@ -284,7 +284,7 @@
 	}
 	e.inFlight, e.sentAt = true, p.now
 	e.sends++
-	p.callsOut++
+	p.callsInFlight++
 	p.callsByEndpoint[ep]++
 	p.out.Send(evt, ep, timeout)
 	return true
@@ -319,7 +319,7 @@
 func (p *simplePolicy) utilityLoss(evt int32) float64 {
 	e := &p.events[evt]
 	t := &p.sim.Scenario().Types[e.typ]
-	age := p.now + answerMargin - (e.deadline - p.types[e.typ].MaxAge)
+	age := p.now + deadlineMargin - (e.deadline - p.types[e.typ].MaxAge)
 	return t.Utility * (t.UtilityShare(age) - t.UtilityShare(age+int64(2e9)))
 }
 
@@ -340,7 +340,7 @@
 		p.events = append(p.events, simpleEvent{})
 	}
 	p.ensureDestination(dest)
-	p.events[evt] = simpleEvent{typ: int32(typ), dest: dest, deadline: p.now + timeLeft - answerMargin, live: true}
+	p.events[evt] = simpleEvent{typ: int32(typ), dest: dest, deadline: p.now + timeLeft - deadlineMargin, live: true}
 	p.waiting = append(p.waiting, evt)
 	p.budget = min(budgetMax, p.budget+budgetPerEvent)
 }
@@ -367,7 +367,7 @@
 	limitLeft, limit float64,
 ) {
 	e := &p.events[evt]
-	p.callsOut--
+	p.callsInFlight--
 	p.callsByEndpoint[ep]--
 	e.inFlight = false
 	if retryAfter > 0 {
--- a/lab/report/page.go
+++ b/lab/report/page.go
@@ -51,9 +51,9 @@
 		maxY = 1
 	}
 	if sc != nil {
-		for _, t := range sc.Faults {
-			from, to := float64(t.Start)/1e9, float64(t.Start+t.Duration)/1e9
-			if t.Duration == 0 {
+		for _, fault := range sc.Faults {
+			from, to := float64(fault.Start)/1e9, float64(fault.Start+fault.Duration)/1e9
+			if fault.Duration == 0 {
 				to = from + end/300
 			}
 			area, err := plotter.NewPolygon(
@@ -151,19 +151,19 @@
 		}
 		add(s.Name+": attempts by outcome", "attempts per second", outcomes)
 		var load []series
-		for n, p := range sc.DestinationKinds {
-			load = append(load, series{name: p.Name + " offered", points: secondSeries(seconds,
+		for n, dk := range sc.DestinationKinds {
+			load = append(load, series{name: dk.Name + " offered", points: secondSeries(seconds,
 				func(x *runner.SecondStats) float64 { return float64(x.Offered[n]) })})
-			if refused := (series{name: p.Name + " refused", points: secondSeries(seconds,
+			if refused := (series{name: dk.Name + " refused", points: secondSeries(seconds,
 				func(x *runner.SecondStats) float64 { return float64(x.Refused[n]) })}); anyPositive(refused.points) {
 				load = append(load, refused)
 			}
-			if p.Limit > 0 {
-				limit := p.Limit * float64(p.Destinations)
-				if p.LimitPerEndpoint {
-					limit *= float64(p.Endpoints)
+			if dk.Limit > 0 {
+				limit := dk.Limit * float64(dk.Destinations)
+				if dk.LimitPerEndpoint {
+					limit *= float64(dk.Endpoints)
 				}
-				load = append(load, series{name: p.Name + " limit", dashed: true, points: secondSeries(seconds,
+				load = append(load, series{name: dk.Name + " limit", dashed: true, points: secondSeries(seconds,
 					func(*runner.SecondStats) float64 { return limit })})
 			}
 		}
@@ -208,7 +208,7 @@
 			switch metric {
 			case "whole":
 				total += s.Overall
-			case "spell":
+			case "worst window":
 				total += s.WorstWindow
 			case "type":
 				total += s.WorstType
--- a/lab/runner/run_test.go
+++ b/lab/runner/run_test.go
@@ -266,7 +266,7 @@
 	}
 }
 
-func BenchmarkWorld(b *testing.B) {
+func BenchmarkSimulation(b *testing.B) {
 	for _, size := range []struct {
 		name             string
 		nodes, endpoints int
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -62,7 +62,7 @@
 	MaxEvents          int      `toml:"events"` // unfinished events per node
 	MaxAttempts        int      `toml:"sends"`  // sends per event
 	Tick               Duration `toml:"tick"`
-	MaxRetryAfter      Duration `toml:"come_back"` // longest retry-after time that clients honour; "0s" if none can be sent
+	MaxRetryAfter      Duration `toml:"come_back"` // longest that clients honour; "0s" if none can be sent
 	AllowDuplicates    bool     `toml:"copies"`    // an event may have two sends in flight
 	PeerMessages       bool     `toml:"notes"`
 	PeerMessageLoss    float64  `toml:"note_loss"` // share of peer messages that are lost
@@ -142,7 +142,7 @@
 	Start          Duration `toml:"at"`
 	Duration       Duration `toml:"for"`
 	Factor         float64  `toml:"times"`            // multiplies the usual rate
-	Burst          int      `toml:"clump,omitempty"`  // events that arrive at once for one destination, instead of the factor
+	Burst          int      `toml:"clump,omitempty"`  // events at once for one destination, instead of the factor
 	Period         Duration `toml:"every,omitempty"`  // on and off for half a period each; time between bursts
 	GreedyCustomer string   `toml:"greedy,omitempty"` // customer to which all additional events belong
 }
@@ -287,22 +287,22 @@
 	inherit(&s.Faults, base.Faults)
 	s.Base = ""
 	for i := range s.DestinationKinds {
-		p := &s.DestinationKinds[i]
-		p.Endpoints, p.MaxEventsPerCall, p.Destinations = max(
-			p.Endpoints,
+		dk := &s.DestinationKinds[i]
+		dk.Endpoints, dk.MaxEventsPerCall, dk.Destinations = max(
+			dk.Endpoints,
 			1,
 		), max(
-			p.MaxEventsPerCall,
+			dk.MaxEventsPerCall,
 			1,
 		), max(
-			p.Destinations,
+			dk.Destinations,
 			1,
 		)
-		if p.MinWorkFactor == 0 && p.MaxWorkFactor == 0 {
-			p.MinWorkFactor, p.MaxWorkFactor = 1, 1
+		if dk.MinWorkFactor == 0 && dk.MaxWorkFactor == 0 {
+			dk.MinWorkFactor, dk.MaxWorkFactor = 1, 1
 		}
-		if p.Weight == 0 {
-			p.Weight = 1
+		if dk.Weight == 0 {
+			dk.Weight = 1
 		}
 	}
 	if len(s.Customers) == 0 {
@@ -420,68 +420,68 @@
 			"a duration for deduplicated types, and none for others", t.DedupWindow)
 	}
 	shares := 0.0
-	for i, o := range s.Customers {
-		c.floatRange(fmt.Sprintf("customer %d (%s): share", i+1, o.Name), o.Share, 0, 1)
-		shares += o.Share
+	for i, customer := range s.Customers {
+		c.floatRange(fmt.Sprintf("customer %d (%s): share", i+1, customer.Name), customer.Share, 0, 1)
+		shares += customer.Share
 	}
 	c.require(math.Abs(shares-1) < 0.01, "customer: sum of shares", "1", shares)
 	endpoints, dests := 0, 0
-	for i, p := range s.DestinationKinds {
-		at := fmt.Sprintf("partner %d (%s): ", i+1, p.Name)
+	for i, dk := range s.DestinationKinds {
+		at := fmt.Sprintf("partner %d (%s): ", i+1, dk.Name)
 		c.require(
-			p.Name != "" && !strings.ContainsAny(p.Name, " ,"),
+			dk.Name != "" && !strings.ContainsAny(dk.Name, " ,"),
 			at+"name",
 			"a name without spaces or commas",
-			strconv.Quote(p.Name),
+			strconv.Quote(dk.Name),
 		)
-		c.intRange(at+"destinations", p.Destinations, 1, maxEndpoints)
-		c.intRange(at+"endpoints", p.Endpoints, 1, 64)
-		c.intRange(at+"workers", p.Workers, 1, 1e4)
-		c.intRange(at+"queue", p.Queue, 0, 1e5)
-		c.floatRange(at+"weight", p.Weight, 0, 1e6)
-		c.floatRange(at+"pace_least", p.MinWorkFactor, 0.01, 100)
-		c.floatRange(at+"pace_most", p.MaxWorkFactor, p.MinWorkFactor, 100)
-		c.floatRange(at+"limit", p.Limit, 0, 1e6)
-		c.durationRange(at+"span", p.LimitWindow, 0, hour)
-		c.floatRange(at+"told", p.RetryAfterShare, 0, 1)
-		c.intRange(at+"connections", p.MaxConnections, 0, 1e5)
-		c.durationRange(at+"handshake", p.Handshake, 0, Duration(time.Minute))
-		c.intRange(at+"per_call", p.MaxEventsPerCall, 1, 100)
-		if p.Destinations <= maxEndpoints && p.Endpoints <= 64 {
-			endpoints, dests = endpoints+p.Destinations*p.Endpoints, dests+p.Destinations
+		c.intRange(at+"destinations", dk.Destinations, 1, maxEndpoints)
+		c.intRange(at+"endpoints", dk.Endpoints, 1, 64)
+		c.intRange(at+"workers", dk.Workers, 1, 1e4)
+		c.intRange(at+"queue", dk.Queue, 0, 1e5)
+		c.floatRange(at+"weight", dk.Weight, 0, 1e6)
+		c.floatRange(at+"pace_least", dk.MinWorkFactor, 0.01, 100)
+		c.floatRange(at+"pace_most", dk.MaxWorkFactor, dk.MinWorkFactor, 100)
+		c.floatRange(at+"limit", dk.Limit, 0, 1e6)
+		c.durationRange(at+"span", dk.LimitWindow, 0, hour)
+		c.floatRange(at+"told", dk.RetryAfterShare, 0, 1)
+		c.intRange(at+"connections", dk.MaxConnections, 0, 1e5)
+		c.durationRange(at+"handshake", dk.Handshake, 0, Duration(time.Minute))
+		c.intRange(at+"per_call", dk.MaxEventsPerCall, 1, 100)
+		if dk.Destinations <= maxEndpoints && dk.Endpoints <= 64 {
+			endpoints, dests = endpoints+dk.Destinations*dk.Endpoints, dests+dk.Destinations
 		}
 	}
 	c.intRange("partner: total endpoints", endpoints, 1, maxEndpoints)
-	for i, l := range s.LoadChanges {
+	for i, change := range s.LoadChanges {
 		at := fmt.Sprintf("load %d: ", i+1)
-		c.floatRange(at+"times", l.Factor, 0, 1000)
-		c.intRange(at+"clump", l.Burst, 0, 1e5)
+		c.floatRange(at+"times", change.Factor, 0, 1000)
+		c.intRange(at+"clump", change.Burst, 0, 1e5)
 		c.require(
-			l.GreedyCustomer == "" ||
-				slices.ContainsFunc(s.Customers, func(o Customer) bool { return o.Name == l.GreedyCustomer }),
+			change.GreedyCustomer == "" ||
+				slices.ContainsFunc(s.Customers, func(customer Customer) bool { return customer.Name == change.GreedyCustomer }),
 			at+"greedy",
 			"the name of a customer",
-			strconv.Quote(l.GreedyCustomer),
+			strconv.Quote(change.GreedyCustomer),
 		)
 	}
-	for i, t := range s.Faults {
-		at := fmt.Sprintf("trouble %d (%s): ", i+1, t.Kind)
-		target, ok := faultTarget(t.Kind)
-		c.require(ok, at+"kind", "a kind listed by `jaspersill-lab scenario reference`", strconv.Quote(t.Kind))
+	for i, fault := range s.Faults {
+		at := fmt.Sprintf("trouble %d (%s): ", i+1, fault.Kind)
+		target, ok := faultTarget(fault.Kind)
+		c.require(ok, at+"kind", "a kind listed by `jaspersill-lab scenario reference`", strconv.Quote(fault.Kind))
 		c.require(
-			target != "destinations" || t.Destinations+t.Destination > 0,
+			target != "destinations" || fault.Destinations+fault.Destination > 0,
 			at+"destinations",
 			"a count, or a destination",
 			0,
 		)
-		c.require(target != "nodes" || t.Nodes+t.Node > 0, at+"nodes", "a count, or a node", 0)
-		c.intRange(at+"destination", t.Destination, 0, dests)
-		c.intRange(at+"destinations", t.Destinations, 0, dests)
-		c.intRange(at+"node", t.Node, 0, f.Nodes)
-		c.intRange(at+"nodes", t.Nodes, 0, f.Nodes)
-		c.floatRange(at+"share", t.Share, 0, 1)
-		c.floatRange(at+"times", t.Factor, 0, 1000)
-		c.require(t.Period == 0 || t.Period >= 20*ms, at+"every", "at least 20ms", t.Period)
+		c.require(target != "nodes" || fault.Nodes+fault.Node > 0, at+"nodes", "a count, or a node", 0)
+		c.intRange(at+"destination", fault.Destination, 0, dests)
+		c.intRange(at+"destinations", fault.Destinations, 0, dests)
+		c.intRange(at+"node", fault.Node, 0, f.Nodes)
+		c.intRange(at+"nodes", fault.Nodes, 0, f.Nodes)
+		c.floatRange(at+"share", fault.Share, 0, 1)
+		c.floatRange(at+"times", fault.Factor, 0, 1000)
+		c.require(fault.Period == 0 || fault.Period >= 20*ms, at+"every", "at least 20ms", fault.Period)
 	}
 	return c.err
 }
@@ -510,9 +510,9 @@
 
 // DeliveryDestinationKinds returns the kinds of destinations as they are configured in a node.
 func (s *Scenario) DeliveryDestinationKinds() (kinds []delivery.DestinationKind) {
-	for _, p := range s.DestinationKinds {
+	for _, dk := range s.DestinationKinds {
 		kinds = append(kinds, delivery.DestinationKind{
-			LimitPerEndpoint: p.LimitPerEndpoint, MaxEventsPerCall: p.MaxEventsPerCall,
+			LimitPerEndpoint: dk.LimitPerEndpoint, MaxEventsPerCall: dk.MaxEventsPerCall,
 		})
 	}
 	return kinds
@@ -559,13 +559,13 @@
 		c.Types[i].Rate *= factor
 	}
 	for i := range c.Faults {
-		t := &c.Faults[i]
-		t.Node, t.Destination = min(t.Node, c.Fleet.Nodes), 0
-		if target, _ := faultTarget(t.Kind); target == "destinations" {
-			t.Destinations = scale(max(1, t.Destinations))
+		fault := &c.Faults[i]
+		fault.Node, fault.Destination = min(fault.Node, c.Fleet.Nodes), 0
+		if target, _ := faultTarget(fault.Kind); target == "destinations" {
+			fault.Destinations = scale(max(1, fault.Destinations))
 		}
-		if t.Nodes > 0 {
-			t.Nodes = min(scale(t.Nodes), c.Fleet.Nodes)
+		if fault.Nodes > 0 {
+			fault.Nodes = min(scale(fault.Nodes), c.Fleet.Nodes)
 		}
 	}
 	return c
--- a/lab/search/search.go
+++ b/lab/search/search.go
@@ -35,35 +35,35 @@
 	scn := base.Clone()
 	scn.Faults, scn.LoadChanges = nil, nil
 	dests := 0
-	for _, p := range scn.DestinationKinds {
-		dests += p.Destinations
+	for _, dk := range scn.DestinationKinds {
+		dests += dk.Destinations
 	}
 	length := float64(scn.Length)
 	for range minFaults + random.IntN(maxFaults-minFaults+1) {
 		kind := scenario.FaultKinds[random.IntN(len(scenario.FaultKinds))]
-		t := scenario.Fault{Kind: kind.Name, Start: scenario.Duration(length * (0.1 + 0.5*random.Float64())),
+		fault := scenario.Fault{Kind: kind.Name, Start: scenario.Duration(length * (0.1 + 0.5*random.Float64())),
 			Duration: scenario.Duration(length * (0.05 + 0.3*random.Float64()))}
 		switch kind.Target {
 		case "destinations":
-			t.Destinations = 1 + random.IntN(max(1, dests/3))
+			fault.Destinations = 1 + random.IntN(max(1, dests/3))
 			if random.IntN(4) == 0 {
-				t.Endpoints = 1
+				fault.Endpoints = 1
 			}
 		case "nodes":
-			t.Nodes = 1 + random.IntN(max(1, scn.Fleet.Nodes/3))
+			fault.Nodes = 1 + random.IntN(max(1, scn.Fleet.Nodes/3))
 		}
 		switch kind.Name {
 		case "fail", "lose", "spoil", "late", "notes-lost":
-			t.Share = 0.05 + 0.95*random.Float64()*random.Float64()
+			fault.Share = 0.05 + 0.95*random.Float64()*random.Float64()
 		}
 		switch kind.Name {
 		case "slow", "late":
-			t.Factor = 2 + 18*random.Float64()
+			fault.Factor = 2 + 18*random.Float64()
 		}
 		if random.IntN(3) == 0 && kind.Target == "destinations" && kind.Name != "replace" {
-			t.Period = max(scenario.Duration(1e9), t.Duration/scenario.Duration(2+random.IntN(5)))
+			fault.Period = max(scenario.Duration(1e9), fault.Duration/scenario.Duration(2+random.IntN(5)))
 		}
-		scn.Faults = append(scn.Faults, t)
+		scn.Faults = append(scn.Faults, fault)
 	}
 	if random.IntN(3) == 0 {
 		scn.LoadChanges = append(
@@ -197,21 +197,21 @@
 	}
 	end := scenario.Duration(0)
 	for i := range scn.Faults {
-		t := &scn.Faults[i]
-		end = max(end, t.Start+t.Duration)
-		add(func(c *scenario.Scenario) bool { c.Faults[i].Period = 0; return t.Period > 0 })
-		add(func(c *scenario.Scenario) bool { c.Faults[i].Endpoints = 0; return t.Endpoints > 0 })
-		add(func(c *scenario.Scenario) bool { c.Faults[i].Destinations /= 2; return t.Destinations > 1 })
-		add(func(c *scenario.Scenario) bool { c.Faults[i].Nodes /= 2; return t.Nodes > 1 })
+		fault := &scn.Faults[i]
+		end = max(end, fault.Start+fault.Duration)
+		add(func(c *scenario.Scenario) bool { c.Faults[i].Period = 0; return fault.Period > 0 })
+		add(func(c *scenario.Scenario) bool { c.Faults[i].Endpoints = 0; return fault.Endpoints > 0 })
+		add(func(c *scenario.Scenario) bool { c.Faults[i].Destinations /= 2; return fault.Destinations > 1 })
+		add(func(c *scenario.Scenario) bool { c.Faults[i].Nodes /= 2; return fault.Nodes > 1 })
 		add(
 			func(c *scenario.Scenario) bool {
-				c.Faults[i].Duration = t.Duration / 2
-				return t.Duration > scenario.Duration(1e9)
+				c.Faults[i].Duration = fault.Duration / 2
+				return fault.Duration > scenario.Duration(1e9)
 			},
 		)
 		add(func(c *scenario.Scenario) bool {
-			c.Faults[i].Start = t.Start / 2
-			return t.Start > scenario.Duration(4e9)
+			c.Faults[i].Start = fault.Start / 2
+			return fault.Start > scenario.Duration(4e9)
 		})
 	}
 	add(func(c *scenario.Scenario) bool {
--- a/lab/simulator/calls.go
+++ b/lab/simulator/calls.go
@@ -35,9 +35,9 @@
 	if c := &sim.calls[i]; c.inUse && c.closed && c.scheduled == 0 {
 		c.inUse = false
 		sim.freeCalls = append(sim.freeCalls, i)
-		for _, o := range c.sends {
-			sim.events[o.evt].refs--
-			sim.freeEvent(o.evt)
+		for _, send := range c.sends {
+			sim.events[send.evt].refs--
+			sim.freeEvent(send.evt)
 		}
 	}
 }
@@ -90,8 +90,8 @@
 	}
 	c.reached = true
 	work := int64(0)
-	for _, o := range c.sends {
-		work = max(work, sim.events[o.evt].work)
+	for _, send := range c.sends {
+		work = max(work, sim.events[send.evt].work)
 	}
 	c.reachedAt = sim.now
 	work += work / 4 * int64(len(c.sends)-1) // a batch takes less time than its events one by one
@@ -146,14 +146,14 @@
 func (sim *Simulation) callDone(i int32) {
 	c := &sim.calls[i]
 	c.scheduled--
-	runs, leaves := sim.destinations.FinishCall(c.ep, c.epoch)
+	runs, answers := sim.destinations.FinishCall(c.ep, c.epoch)
 	if c.takesEffect {
-		for _, o := range c.sends {
-			sim.checker.RecordCallDone(sim.now, c.reachedAt, o.evt, runs, o.duplicate)
-			sim.traceEntry("run", c.node, o.evt, int64(o.number))
+		for _, send := range c.sends {
+			sim.checker.RecordCallDone(sim.now, c.reachedAt, send.evt, runs, send.duplicate)
+			sim.traceEntry("run", c.node, send.evt, int64(send.number))
 		}
 	}
-	if leaves && !c.closed && runs {
+	if answers && !c.closed && runs {
 		sim.scheduleCall(sim.now+c.result.AnswerDelay+int64(sim.scenario.Fleet.NetworkDelay), simResponse, i)
 		return
 	}
@@ -175,30 +175,31 @@
 		return
 	}
 	c.closed = true
-	f := &c.result
+	result := &c.result
 	group := sim.destinations.GroupOf(c.ep)
-	s.recordFailure(group, c.startedAt, f.Outcome)
-	if f.Outcome == delivery.Refused && f.RetryAfter > 0 {
-		sim.checker.RecordRetryAfter(sim.now, c.node, group, f.RetryAfter)
+	s.recordFailure(group, c.startedAt, result.Outcome)
+	if result.Outcome == delivery.Refused && result.RetryAfter > 0 {
+		sim.checker.RecordRetryAfter(sim.now, c.node, group, result.RetryAfter)
 	}
-	if c.connected && (f.Outcome == delivery.Acked || f.Outcome == delivery.Errored || f.Outcome == delivery.Refused) &&
+	if c.connected && (result.Outcome == delivery.Acked || result.Outcome == delivery.Errored ||
+		result.Outcome == delivery.Refused) &&
 		c.epoch == sim.destinations.Endpoints[c.ep].Epoch {
 		s.idleConnections[c.localEp] = append(s.idleConnections[c.localEp], idleConnection{sim.now, c.epoch})
 	} else {
 		sim.closeConnection(c)
 	}
 	for n := range c.sends {
-		o := &c.sends[n]
-		if e := &sim.events[o.evt]; e.incarnation != o.incarnation {
+		send := &c.sends[n]
+		if e := &sim.events[send.evt]; e.incarnation != send.incarnation {
 			continue
-		} else if o.abandoned {
-			if f.Outcome == delivery.Acked && e.end == checker.Open {
-				s.endEvent(o.evt, checker.Acked, 0)
-				s.enqueue(input{kind: inputWithdrawn, evt: o.evt})
+		} else if send.abandoned {
+			if result.Outcome == delivery.Acked && e.end == checker.Open {
+				s.endEvent(send.evt, checker.Acked, 0)
+				s.enqueue(input{kind: inputWithdrawn, evt: send.evt})
 			}
 			continue
 		}
-		sim.reportOutcome(s, c, o, f.Outcome, f.RetryAfter, f.LimitLeft, f.Limit)
+		sim.reportOutcome(s, c, send, result.Outcome, result.RetryAfter, result.LimitLeft, result.Limit)
 	}
 	sim.freeCall(i)
 }
@@ -207,18 +208,18 @@
 func (sim *Simulation) reportOutcome(
 	s *simNode,
 	c *call,
-	o *callSend,
+	send *callSend,
 	outcome delivery.Outcome,
 	retryAfter int64,
 	limitLeft, limit float64,
 ) {
-	e := &sim.events[o.evt]
+	e := &sim.events[send.evt]
 	e.inFlight--
 	e.call = -1
-	sim.checker.RecordOutcome(sim.now, o.evt, int(o.number), outcome)
-	sim.traceEntry("hear", s.index, o.evt, int64(outcome))
+	sim.checker.RecordOutcome(sim.now, send.evt, int(send.number), outcome)
+	sim.traceEntry("hear", s.index, send.evt, int64(outcome))
 	if outcome == delivery.Acked { // the journal records it before the scheduler is told
-		s.endEvent(o.evt, checker.Acked, 0)
+		s.endEvent(send.evt, checker.Acked, 0)
 	}
 	if s.phase >= closing { // the scheduler no longer runs
 		return
@@ -228,8 +229,8 @@
 			kind:       inputOutcome,
 			outcome:    outcome,
 			ended:      outcome == delivery.Acked,
-			evt:        o.evt,
-			send:       o.number,
+			evt:        send.evt,
+			send:       send.number,
 			ep:         c.localEp,
 			retryAfter: retryAfter,
 			latency:    sim.now - c.startedAt,
@@ -263,16 +264,16 @@
 	c := &sim.calls[i]
 	s := sim.nodes[e.node]
 	for n := range c.sends {
-		o := &c.sends[n]
-		if o.evt != evt || o.number != number || o.abandoned || c.closed {
+		send := &c.sends[n]
+		if send.evt != evt || send.number != number || send.abandoned || c.closed {
 			continue
 		}
-		o.abandoned = true
+		send.abandoned = true
 		if c.activeSends--; c.activeSends == 0 {
 			c.closed = true
 			sim.closeConnection(c)
 		} else if !c.reached {
-			o.abandoned = false // it cannot be taken out of a call that is on its way with other sends
+			send.abandoned = false // it cannot be taken out of a call that is on its way with other sends
 			c.activeSends++
 			return
 		}
@@ -284,7 +285,7 @@
 			}
 		}
 		s.recordFailure(sim.destinations.GroupOf(c.ep), c.startedAt, outcome)
-		sim.reportOutcome(s, c, o, outcome, 0, 0, 0)
+		sim.reportOutcome(s, c, send, outcome, 0, 0, 0)
 		sim.freeCall(i)
 		return
 	}
--- a/lab/simulator/node.go
+++ b/lab/simulator/node.go
@@ -72,7 +72,7 @@
 type input struct {
 	kind                inputKind
 	outcome             delivery.Outcome
-	ended               bool
+	ended               bool // inputResumed: a send may have run
 	evt, send           int32
 	ep                  int32 // the node's own index, but the endpoint's number for inputPeerHealthy
 	peer                int32
@@ -338,8 +338,8 @@
 	return int(group) < len(s.seenOutage) && from > 0 && s.seenOutage[group] == from
 }
 
-// recordFailure records that the node noticed an outage of an endpoint group, if a call failed during one. A call that fails
-// after the outage's end, for example by a timeout, does not count: the node could not have noticed in time.
+// recordFailure records that the node noticed an outage of an endpoint group, if a call failed during one. A call that
+// fails after the outage's end, for example by a timeout, does not count: the node could not have noticed in time.
 func (s *simNode) recordFailure(group int32, startedAt int64, outcome delivery.Outcome) {
 	from, to := s.sim.destinations.Outage(group)
 	if outcome == delivery.Acked || outcome == delivery.Unsent || from == 0 || startedAt >= to || s.sim.now < from ||
--- a/lab/simulator/queue.go
+++ b/lab/simulator/queue.go
@@ -28,7 +28,7 @@
 // scheduled.
 type simEvent struct {
 	at    int64
-	order uint64 // scheduling sequence number, with the kind in the low eight bits: 32 bytes in all, two to a cache line
+	order uint64 // sequence number, with the kind in the low eight bits; at 32 bytes two events fit a cache line
 	n     int64
 	a, b  int32
 }
@@ -54,14 +54,14 @@
 // scheduleBucketed schedules an event that seldom has an effect, such as a send timeout. Most of them are
 // obsolete by the time they are due and are dropped without ever entering the heap.
 func (q *eventQueue) scheduleBucketed(at int64, kind simEventKind, a, b int32, n int64) {
-	slot := at >> bucketWidthBits
-	if slot <= q.currentBucket || slot >= q.currentBucket+bucketCount {
+	interval := at >> bucketWidthBits
+	if interval <= q.currentBucket || interval >= q.currentBucket+bucketCount {
 		q.schedule(at, kind, a, b, n)
 		return
 	}
 	q.order++
-	q.buckets[slot%bucketCount] = append(
-		q.buckets[slot%bucketCount],
+	q.buckets[interval%bucketCount] = append(
+		q.buckets[interval%bucketCount],
 		simEvent{at: at, order: q.order<<8 | uint64(kind), n: n, a: a, b: b},
 	)
 	q.bucketed++
@@ -71,14 +71,14 @@
 func (q *eventQueue) promote() {
 	for q.bucketed > 0 && (len(q.heap) == 0 || q.heap[0].at>>bucketWidthBits > q.currentBucket) {
 		q.currentBucket++
-		slot := &q.buckets[q.currentBucket%bucketCount]
-		q.bucketed -= len(*slot)
-		for i := range *slot {
-			if e := &(*slot)[i]; q.stillValid(e) {
+		bucket := &q.buckets[q.currentBucket%bucketCount]
+		q.bucketed -= len(*bucket)
+		for i := range *bucket {
+			if e := &(*bucket)[i]; q.stillValid(e) {
 				q.push(*e)
 			}
 		}
-		*slot = (*slot)[:0]
+		*bucket = (*bucket)[:0]
 	}
 	if q.bucketed == 0 && len(q.heap) > 0 {
 		q.currentBucket = max(q.currentBucket, q.heap[0].at>>bucketWidthBits)
--- a/lab/soak/checks.go
+++ b/lab/soak/checks.go
@@ -8,14 +8,14 @@
 )
 
 // check checks every request against the rules after the run.
-func (h *history) check(keyedWindow time.Duration) {
+func (h *history) check(dedupWindow time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, r := range h.ordered {
 		h.checkAnswer(r)
 		h.checkFinal(r)
 		h.checkAfterEnd(r)
-		h.checkRepeats(r, keyedWindow)
+		h.checkRepeats(r, dedupWindow)
 		h.tally(r)
 	}
 	h.checkRecovery()
@@ -179,10 +179,10 @@
 	return joined
 }
 
-// checkAfterEnd checks that no request was forwarded after its refusal, notice, delivery or deadline. A node may forward
-// a repeatable request again after its delivery if it exited before it had time to store the delivery, or if the
-// response came on a disturbed connection. Calls on a disturbed connection are skipped, because the proxy may have held
-// them back; for the same reason, requests on one are not checked against their deadline.
+// checkAfterEnd checks that no request was forwarded after its refusal, notice, delivery or deadline. A node may
+// forward a repeatable request again after its delivery if it exited before it had time to store the delivery, or if
+// the response came on a disturbed connection. Calls on a disturbed connection are skipped, because the proxy may have
+// held them back; for the same reason, requests on one are not checked against their deadline.
 func (h *history) checkAfterEnd(r *request) {
 	for _, a := range r.attempts {
 		if a.conn.Disturbed() {
@@ -206,7 +206,7 @@
 	}
 }
 
-func (h *history) checkRepeats(r *request, keyedWindow time.Duration) {
+func (h *history) checkRepeats(r *request, dedupWindow time.Duration) {
 	var first *attempt
 	for i := range r.attempts {
 		a := &r.attempts[i]
@@ -219,9 +219,9 @@
 			continue
 		case r.class == Once:
 			h.addViolationLocked(RuleRepeat, a.at, r, "request that may not be repeated was executed twice")
-		case r.class == Keyed && a.at > first.at+keyedWindow+socketGrace && !a.conn.Disturbed():
+		case r.class == Keyed && a.at > first.at+dedupWindow+socketGrace && !a.conn.Disturbed():
 			// A call on a disturbed connection may have been sent in time and held back by the proxy.
-			h.addViolationLocked(RuleRepeat, a.at, r, "keyed request was executed again %v after its window", a.at-first.at-keyedWindow)
+			h.addViolationLocked(RuleRepeat, a.at, r, "keyed request was executed again %v after its window", a.at-first.at-dedupWindow)
 		default:
 			continue
 		}
--- a/lab/soak/client.go
+++ b/lab/soak/client.go
@@ -41,8 +41,8 @@
 	lingerTime            = 1200 * time.Millisecond // longer than the proxy holds back a chunk
 )
 
-// run sends requests at random intervals until ctx ends. isAccepting reports whether the platform directs new connections
-// to the node.
+// run sends requests at random intervals until ctx ends. isAccepting reports whether the platform directs new
+// connections to the node.
 func (c *client) run(ctx context.Context, meanInterval time.Duration, isAccepting func() bool) {
 	defer c.closeConn()
 	for ctx.Err() == nil {
@@ -83,8 +83,8 @@
 	}
 }
 
-// submit sends one request. If the node closed the idle connection at the same time, it sends the request once more on a
-// new one.
+// submit sends one request. If the node closed the idle connection at the same time, it sends the request once more on
+// a new one.
 func (c *client) submit() {
 	class := []Class{Repeatable, Once, Keyed}[c.random.IntN(3)]
 	id := fmt.Sprintf("%016x", c.random.Uint64())
@@ -99,7 +99,8 @@
 		c.finishDisturbed(r, status, err)
 		return
 	}
-	if errors.Is(err, errNoResponse) && c.proxy.ConnFromClient(c.conn.LocalAddr()) == nil { // the node refuses connections
+	if errors.Is(err, errNoResponse) && c.proxy.ConnFromClient(c.conn.LocalAddr()) == nil {
+		// The node refuses connections.
 		c.closeConn()
 		c.history.recordResponse(r, 0, "")
 		return
--- a/lab/soak/discovery.go
+++ b/lab/soak/discovery.go
@@ -15,7 +15,8 @@
 
 const watchKeepalive = 2 * time.Second // interval of a watch's empty lines, set by the protocol
 
-// discovery emulates the platform: it serves the endpoint list and receives notices, on a separate address for each node.
+// discovery emulates the platform: it serves the endpoint list and receives notices, on a separate address for each
+// node.
 type discovery struct {
 	history   *history
 	endpoints []*endpoint
--- a/lab/soak/endpoint.go
+++ b/lab/soak/endpoint.go
@@ -21,9 +21,9 @@
 	"jaspersill/lab/faultproxy"
 )
 
-// assumedToldAfter is the time after which a node counts as informed of a change, even if every message that announced
-// it was disturbed.
-const assumedToldAfter = 6 * time.Second
+// assumedInformedAfter is the time after which a node counts as informed of a change, even if every message that
+// announced it was disturbed.
+const assumedInformedAfter = 6 * time.Second
 
 // mode is the behavior of an endpoint.
 type mode string
@@ -70,8 +70,8 @@
 	drains      map[int]drainNotice // by node
 }
 
-// retryWait is a Retry-After sent to a node, and the connection that carried it. On a disturbed connection it may not have
-// arrived.
+// retryWait is a Retry-After sent to a node, and the connection that carried it. On a disturbed connection it may not
+// have arrived.
 type retryWait struct {
 	interval
 	conn *faultproxy.Connection
@@ -147,7 +147,7 @@
 	if notice, informed := e.drains[node]; !informed || notice.conn.Disturbed() {
 		at := e.history.now()
 		if informed {
-			at = min(at, notice.at+assumedToldAfter)
+			at = min(at, notice.at+assumedInformedAfter)
 		}
 		e.drains[node] = drainNotice{at, conn}
 	}
@@ -311,8 +311,8 @@
 	return open
 }
 
-// wasReset reports whether the peer of a closed connection answered the last response with a reset, because it had closed
-// the connection before and did not read it.
+// wasReset reports whether the peer of a closed connection answered the last response with a reset, because it had
+// closed the connection before and did not read it.
 func wasReset(conn net.Conn) (unread bool) {
 	time.Sleep(resetDelay)
 	raw, err := conn.(syscall.Conn).SyscallConn()
@@ -337,9 +337,9 @@
 	e.retryWaits[node] = retryWait{interval{now, max(now+retryAfter, before.to)}, conn}
 }
 
-// admit checks a call against the rules on draining, Retry-After and slow start, and decides how to answer it. A call on a
-// disturbed connection is not checked against the first two, because the proxy may have held it back and its send time is
-// unknown.
+// admit checks a call against the rules on draining, Retry-After and slow start, and decides how to answer it. A call
+// on a disturbed connection is not checked against the first two, because the proxy may have held it back and its send
+// time is unknown.
 func (e *endpoint) admit(node int, conn *faultproxy.Connection) (m mode, delay time.Duration, refused bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -349,7 +349,7 @@
 	}
 	if e.mode == unavailable {
 		e.sawOutage[node] = true
-	} else if e.recoveredAt > 0 && now < e.recoveredAt+rampTime {
+	} else if e.recoveredAt > 0 && now < e.recoveredAt+warmupTime {
 		e.arrivals = append(e.arrivals, arrival{now, node})
 		e.checkSlowStart(now)
 	}
@@ -369,7 +369,7 @@
 	if notice, informed := e.drains[node]; informed {
 		at := notice.at
 		if notice.conn.Disturbed() {
-			at += assumedToldAfter
+			at += assumedInformedAfter
 		}
 		if now > at+drainGrace+socketGrace+processingGrace {
 			e.history.addViolation(RuleDrain, "node %d sent to endpoint %d %v after being informed that it is draining", node,
@@ -388,16 +388,16 @@
 // two standard deviations and two calls, or three of each for small numbers. It is a violation only if more than two
 // thirds of the calls came from nodes that saw the outage. The caller holds e.mu.
 func (e *endpoint) checkSlowStart(now time.Duration) {
-	middle := max(0, now-fallAfter/2-e.recoveredAt)
-	share := coldShare + (1-coldShare)*middle.Seconds()/rampTime.Seconds()
-	n := fallMultiple * share * e.capacity * fallAfter.Seconds()
+	middle := max(0, now-overloadAfter/2-e.recoveredAt)
+	share := coldShare + (1-coldShare)*middle.Seconds()/warmupTime.Seconds()
+	n := overloadFactor * share * e.capacity * overloadAfter.Seconds()
 	limit := n + 2*math.Sqrt(n) + 2
 	if n < 30 {
 		limit = n + 3*math.Sqrt(n) + 3
 	}
 	calls, sawOutage := 0, 0
 	for _, a := range e.arrivals {
-		if now-a.at < fallAfter {
+		if now-a.at < overloadAfter {
 			calls++
 			if e.sawOutage[a.node] {
 				sawOutage++
@@ -406,7 +406,7 @@
 	}
 	if float64(calls) > limit && sawOutage*3 > calls*2 {
 		e.history.addViolation(RuleSlowStart, "endpoint %d, recovered %v ago, got %d calls in %v, %d of them from nodes that "+
-			"saw its outage: limit %.0f", e.number, now-e.recoveredAt, calls, fallAfter, sawOutage, limit)
+			"saw its outage: limit %.0f", e.number, now-e.recoveredAt, calls, overloadAfter, sawOutage, limit)
 		e.recoveredAt = 0
 	}
 }
--- a/lab/soak/paths.go
+++ b/lab/soak/paths.go
@@ -10,8 +10,8 @@
 	"jaspersill/lab/faultproxy"
 )
 
-// network holds the fault proxies of a run. Except for the idle connections of crowded nodes and the readiness and metrics
-// requests, all network traffic of a node passes through them.
+// network holds the fault proxies of a run. Except for the idle connections of crowded nodes and the readiness and
+// metrics requests, all network traffic of a node passes through them.
 type network struct {
 	endpoints [][]*faultproxy.Proxy       // by node and endpoint
 	discovery []*faultproxy.Proxy         // by node
@@ -121,9 +121,9 @@
 	remoteResponseJitter = 48 * time.Millisecond
 )
 
-// addRepeatedResponses adds repeated responses, of endpoints or of the platform to notices, as the only faults of a run.
-// With notices, connections to the platform are also reset on requests after the first, so that a notice may be lost
-// behind a response that was repeated.
+// addRepeatedResponses adds repeated responses, of endpoints or of the platform to notices, as the only faults of a
+// run. With notices, connections to the platform are also reset on requests after the first, so that a notice may be
+// lost behind a response that was repeated.
 func (p *plan) addRepeatedResponses(nodes int, notices bool) {
 	delay := delayRanges[p.random.IntN(len(delayRanges))]
 	probability := maxRepeatRate * (0.2 + 0.8*p.random.Float64())
@@ -151,8 +151,8 @@
 	})
 }
 
-// pathFaults are the kinds of faults for each path. Repeated or altered requests to endpoints are left out, because no node
-// can prevent their effects; so are repeated or altered responses to clients, because they mislead the client.
+// pathFaults are the kinds of faults for each path. Repeated or altered requests to endpoints are left out, because no
+// node can prevent their effects; so are repeated or altered responses to clients, because they mislead the client.
 var pathFaults = map[string][]faultproxy.Kind{
 	pathEndpointRequests: {faultproxy.Hold, faultproxy.Split, faultproxy.Merge, faultproxy.Truncate, faultproxy.Drip,
 		faultproxy.Reset, faultproxy.HalfClose},
--- a/lab/soak/paths_test.go
+++ b/lab/soak/paths_test.go
@@ -27,7 +27,8 @@
 	}
 }
 
-// Guards against an endpoint's response that arrives twice and is taken as the response to the next call on its connection.
+// Guards against an endpoint's response that arrives twice and is taken as the response to the next call on its
+// connection.
 func TestRepeatedResponseCompletesNoOtherRequest(t *testing.T) {
 	for _, seed := range []uint64{2, 4, 8} { // repeated after 1 to 15 ms, 0.2 to 0.6 s and 30 to 60 ms
 		runSoak(t, Options{Seed: seed, Nodes: 4, Length: 6 * time.Second, Only: groupAnswers})
--- a/lab/soak/plan.go
+++ b/lab/soak/plan.go
@@ -213,7 +213,8 @@
 	}
 }
 
-// addKill kills a node between 3/4 and 7/8 of the run's length, as the runs of the original fault report did.
+// addKill kills a node between 3/4 and 7/8 of the run's length, after its faults of system calls have begun, and
+// restarts it on the same state folder.
 func (p *plan) addKill(node int) {
 	p.addStep(p.length*3/4+p.randomDuration(p.length/8), func(ctx context.Context, r *run) {
 		r.restart(ctx, node, nil, (*process).kill)
--- a/lab/soak/process.go
+++ b/lab/soak/process.go
@@ -31,12 +31,12 @@
 	slots                   = 16
 	maxOpenRequests         = 200
 	maxAttempts             = 6
-	keyedWindow             = 1500 * time.Millisecond
+	dedupWindow             = 1500 * time.Millisecond
 	drainGrace              = 300 * time.Millisecond
 	coldShare               = 0.2             // share of its capacity that an endpoint has right after an outage
-	fallMultiple            = 2.0             // multiple of its current capacity that overloads a recovering endpoint
-	fallAfter               = 2 * time.Second // time window for which the calls are counted
-	rampTime                = 4 * time.Second // time until an endpoint is back at full capacity
+	overloadFactor          = 2.0             // multiple of its current capacity that overloads a recovering endpoint
+	overloadAfter           = 2 * time.Second // time window for which the calls are counted
+	warmupTime              = 4 * time.Second // time until an endpoint is back at full capacity
 	endpointCapacity        = 200.0
 	socketLimit             = 1024
 	crowdedSocketLimit      = 160
@@ -69,7 +69,8 @@
 	p := &process{number: number, program: options.Program, history: h,
 		configFile: filepath.Join(options.Folder, name+".json"), folder: filepath.Join(options.Folder, name),
 		logFile: filepath.Join(options.Folder, name+".log")}
-	// Each node has its own loopback address, because a port of 127.0.0.1 may be taken by another process during a restart.
+	// Each node has its own loopback address, because a port of 127.0.0.1 may be taken by another process during a
+	// restart.
 	listener, err := net.Listen("tcp", loopbackAddress(options.Seed, number))
 	if err != nil {
 		return nil, err
@@ -105,7 +106,7 @@
 func settings(nodes, me int) map[string]any {
 	class := func(name Class, semantics string) map[string]any {
 		return map[string]any{"name": name, "semantics": semantics, "group": "all", "aim_ms": 500,
-			"deadline_ms": maxDeadline.Milliseconds(), "value": 1, "late_value": 0.5, "memory_span_ms": keyedWindow.Milliseconds()}
+			"deadline_ms": maxDeadline.Milliseconds(), "value": 1, "late_value": 0.5, "memory_span_ms": dedupWindow.Milliseconds()}
 	}
 	return map[string]any{"me": me, "replicas_of_me": nodes, "tick_ms": 2, "models": []any{"m0"}, "areas": []any{"here"},
 		"discovery": "subscribe", "weight_kind": "silent",
@@ -118,8 +119,8 @@
 			"peer_messages": true,
 			"retry_after":   true, "max_retry_after_ms": 1000, "conn_idle_ms": endpointIdleTimeout.Milliseconds(),
 			"connect_timeout_ms": connectMillis},
-		"rules": map[string]any{"cold_share": coldShare, "ramp_time_ms": rampTime.Milliseconds(), "fall_multiple": fallMultiple,
-			"tip_after_ms": fallAfter.Milliseconds(), "drain_grace_ms": drainGrace.Milliseconds(), "ask_within_ms": 5000}}
+		"rules": map[string]any{"cold_share": coldShare, "ramp_time_ms": warmupTime.Milliseconds(), "fall_multiple": overloadFactor,
+			"tip_after_ms": overloadAfter.Milliseconds(), "drain_grace_ms": drainGrace.Milliseconds(), "ask_within_ms": 5000}}
 }
 
 func (p *process) writeConfig() error {
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -102,7 +102,7 @@
 	for _, p := range r.processes {
 		r.readViolations(ctx, p)
 	}
-	r.history.check(keyedWindow)
+	r.history.check(dedupWindow)
 	r.history.checkUntried(r.restarts)
 	h := r.history
 	h.mu.Lock()
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -32,8 +32,8 @@
 	os.Exit(code)
 }
 
-// Guards against requests that are lost, completed twice or sent after their final answer while faults of the machine, the
-// endpoints and discovery overlap.
+// Guards against requests that are lost, completed twice or sent after their final answer while faults of the machine,
+// the endpoints and discovery overlap.
 func TestRulesAreKeptWhileFaultsOverlap(t *testing.T) {
 	for _, run := range []Options{
 		{Seed: 11, Nodes: 10, Length: 6 * time.Second},
@@ -45,8 +45,8 @@
 	}
 }
 
-// Guards against checks that overlook violations. Each of these histories breaks one rule, or none where a fault excuses
-// what it shows.
+// Guards against checks that overlook violations. Each of these histories breaks one rule, or none where a fault
+// excuses what it shows.
 func TestChecksDetectEachViolation(t *testing.T) {
 	const second = time.Second
 	accepted := func() *request {
@@ -117,7 +117,7 @@
 		r := accepted()
 		h.ordered = []*request{r}
 		c.change(r, h)
-		h.check(keyedWindow)
+		h.check(dedupWindow)
 		switch {
 		case c.rule == "" && len(h.violations) > 0:
 			t.Errorf("%s: %v", c.name, h.violations)
--- a/lab/sysfault/launch.go
+++ b/lab/sysfault/launch.go
@@ -22,8 +22,8 @@
 
 const parentSocket = 3 // the launcher's descriptor of the socket to its parent
 
-// ExecUnderFilterIfRequested executes the program named in the arguments under the filter if Start started this process,
-// and returns otherwise. A program that calls Start has to call it first in its main function.
+// ExecUnderFilterIfRequested executes the program named in the arguments under the filter if Start started this
+// process, and returns otherwise. A program that calls Start has to call it first in its main function.
 func ExecUnderFilterIfRequested() {
 	if os.Getenv(launcherEnv) == "" {
 		return
--- a/lab/workload/generator.go
+++ b/lab/workload/generator.go
@@ -44,9 +44,9 @@
 		g.cumulativeRates = append(g.cumulativeRates, sum)
 	}
 	sum = 0
-	for _, p := range scn.DestinationKinds {
-		for range p.Destinations {
-			sum += p.Weight
+	for _, dk := range scn.DestinationKinds {
+		for range dk.Destinations {
+			sum += dk.Weight
 			g.cumulativeWeights = append(g.cumulativeWeights, sum)
 		}
 	}
@@ -70,11 +70,11 @@
 
 // arrivalRate returns the current total rate in events per second.
 func (g *Generator) arrivalRate() float64 {
-	random := g.cumulativeRates[len(g.cumulativeRates)-1]
+	rate := g.cumulativeRates[len(g.cumulativeRates)-1]
 	for i := range g.scenario.LoadChanges {
-		random *= loadFactor(&g.scenario.LoadChanges[i], g.now)
+		rate *= loadFactor(&g.scenario.LoadChanges[i], g.now)
 	}
-	return random
+	return rate
 }
 
 // Next implements Source.
@@ -134,17 +134,17 @@
 	a := Arrival{At: g.now, Deadline: g.now + int64(t.MaxAge), Type: int32(typ), Dest: int32(dest),
 		Work: int64(float64(t.Work) * math.Exp(t.Sigma*g.random.NormFloat64()))}
 	x := g.random.Float64()
-	for i, o := range g.scenario.Customers {
-		if a.Customer = int32(i); x < o.Share {
+	for i, customer := range g.scenario.Customers {
+		if a.Customer = int32(i); x < customer.Share {
 			break
 		}
-		x -= o.Share
+		x -= customer.Share
 	}
 	for i := range g.scenario.LoadChanges { // all additional events of a greedy customer are its own
 		change := &g.scenario.LoadChanges[i]
 		if f := loadFactor(change, g.now); change.GreedyCustomer != "" && f > 1 && g.random.Float64() < 1-1/f {
-			a.Customer = int32(slices.IndexFunc(g.scenario.Customers, func(o scenario.Customer) bool {
-				return o.Name == change.GreedyCustomer
+			a.Customer = int32(slices.IndexFunc(g.scenario.Customers, func(customer scenario.Customer) bool {
+				return customer.Name == change.GreedyCustomer
 			}))
 		}
 	}
--- a/lab/workload/recording.go
+++ b/lab/workload/recording.go
@@ -123,8 +123,8 @@
 		return Arrival{}, false
 	}
 	dests := 0
-	for _, p := range r.Scenario.DestinationKinds {
-		dests += p.Destinations
+	for _, dk := range r.Scenario.DestinationKinds {
+		dests += dk.Destinations
 	}
 	switch {
 	case record.At < r.lastArrival:
