--- a/cmd/jaspersill-lab/simulate.go
+++ b/cmd/jaspersill-lab/simulate.go
@@ -189,7 +189,7 @@
 			mean(func(r *runner.Result) float64 { return r.Summary.WorstType }),
 			mean(func(r *runner.Result) float64 { return r.Summary.Waste }),
 			mean(func(r *runner.Result) float64 { return r.LatencyMs[2] }),
-			s.Broken,
+			s.ViolationCount,
 		)
 	}
 	if err := t.Flush(); err != nil {
@@ -281,8 +281,8 @@
 				return err
 			}
 			for _, s := range f.Variants {
-				if strings.HasPrefix(s.Name, "module") && s.Broken > 0 {
-					return fmt.Errorf("%s: %d rule violations", s.Name, s.Broken)
+				if strings.HasPrefix(s.Name, "module") && s.ViolationCount > 0 {
+					return fmt.Errorf("%s: %d rule violations", s.Name, s.ViolationCount)
 				}
 			}
 			return nil
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -23,11 +23,11 @@
 
 // VariantResult holds the results of one policy, build or value of a key.
 type VariantResult struct {
-	Name     string          `json:"name"`
-	Results  []runner.Result `json:"results"`
-	G        stat.Interval   `json:"g"`
-	Broken   int             `json:"broken"`
-	Position float64         `json:"place"` // between the policies once (0) and informed (1), if both were run; else 0
+	Name           string          `json:"name"`
+	Results        []runner.Result `json:"results"`
+	G              stat.Interval   `json:"g"`
+	ViolationCount int             `json:"broken"`
+	Position       float64         `json:"place"` // from the policy once (0) to informed (1); 0 unless both were run
 }
 
 // Difference is the paired difference in a metric between a variant and the first one.
@@ -75,11 +75,11 @@
 
 // Add adds the results of a variant.
 func (f *File) Add(name string, results []runner.Result) {
-	broken, first := runner.CountViolations(results)
-	f.Variants = append(f.Variants, VariantResult{Name: name, Results: results, Broken: broken,
+	violations, first := runner.CountViolations(results)
+	f.Variants = append(f.Variants, VariantResult{Name: name, Results: results, ViolationCount: violations,
 		G: stat.MeanInterval(runner.MetricValues(results, runner.G), 1)})
-	if broken > 0 {
-		f.Notes = append(f.Notes, fmt.Sprintf("%s: %d rule violations, the first: %s", name, broken, first))
+	if violations > 0 {
+		f.Notes = append(f.Notes, fmt.Sprintf("%s: %d rule violations, the first: %s", name, violations, first))
 	}
 }
 
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -40,7 +40,7 @@
 	for i, s := range variants {
 		f.Add(s.Name, results[i])
 	}
-	f.Variants[0].Broken, f.Notes = 1, append(f.Notes, "once: 1 broken rules; the first: <b>")
+	f.Variants[0].ViolationCount, f.Notes = 1, append(f.Notes, "once: 1 broken rules; the first: <b>")
 	f.ComputePositions()
 	f.ComputeDifferences()
 	folder := filepath.Join(t.TempDir(), "result")
--- a/lab/simulator/calls.go
+++ b/lab/simulator/calls.go
@@ -51,18 +51,18 @@
 func (sim *Simulation) startCall(i int32) {
 	c := &sim.calls[i]
 	s := sim.nodes[c.node]
-	p := &sim.destinations.Endpoints[c.ep]
+	endpoint := &sim.destinations.Endpoints[c.ep]
 	delay := int64(sim.scenario.Fleet.NetworkDelay)
 	if s.takeIdleConnection(c.ep, c.localEp) {
-		c.connected, c.epoch = true, p.Epoch
+		c.connected, c.epoch = true, endpoint.Epoch
 		sim.scheduleCall(sim.now+delay, simCallReached, i)
 		return
 	}
 	sim.Stats.Connections++
 	switch sim.destinations.Connect(sim.now, c.ep) {
 	case destination.Connected:
-		c.connected, c.epoch = true, p.Epoch
-		sim.scheduleCall(sim.now+3*delay+int64(sim.scenario.DestinationKinds[p.Kind].Handshake), simCallReached, i)
+		c.connected, c.epoch = true, endpoint.Epoch
+		sim.scheduleCall(sim.now+3*delay+int64(sim.scenario.DestinationKinds[endpoint.Kind].Handshake), simCallReached, i)
 	case destination.ConnectRefused:
 		sim.destinations.AddInTransit(c.ep, -1)
 		c.result = destination.CallResult{Outcome: delivery.ConnectFailed}
@@ -299,7 +299,7 @@
 }
 
 func (sim *Simulation) closeConnections(ep int32, list []idleConnection) {
-	for _, l := range list {
-		sim.destinations.Close(ep, l.epoch)
+	for _, idle := range list {
+		sim.destinations.Close(ep, idle.epoch)
 	}
 }
--- a/lab/simulator/faults.go
+++ b/lab/simulator/faults.go
@@ -168,7 +168,7 @@
 
 // CombineFaults merges the active ones of a scenario's faults into their joint effect on an endpoint.
 func CombineFaults(faults []scenario.Fault, active []int) destination.Faults {
-	p := destination.Faults{SlowFactor: 1, LateFactor: 1}
+	combined := destination.Faults{SlowFactor: 1, LateFactor: 1}
 	for _, i := range active {
 		fault := &faults[i]
 		share, factor := fault.Share, fault.Factor
@@ -178,24 +178,24 @@
 		if factor == 0 {
 			factor = 1
 		}
-		p.Mode = max(p.Mode, faultModes[fault.Kind])
-		p.ReturnsWarm = p.ReturnsWarm || fault.ReturnsWarm
+		combined.Mode = max(combined.Mode, faultModes[fault.Kind])
+		combined.ReturnsWarm = combined.ReturnsWarm || fault.ReturnsWarm
 		switch fault.Kind {
 		case "shut":
-			p.AvailableAt = max(p.AvailableAt, int64(fault.Start+fault.Duration))
+			combined.AvailableAt = max(combined.AvailableAt, int64(fault.Start+fault.Duration))
 		case "fail":
-			p.FailShare = max(p.FailShare, share)
+			combined.FailShare = max(combined.FailShare, share)
 		case "slow":
-			p.SlowFactor *= factor
+			combined.SlowFactor *= factor
 		case "lose":
-			p.LoseShare = 1 - (1-p.LoseShare)*(1-share)
+			combined.LoseShare = 1 - (1-combined.LoseShare)*(1-share)
 		case "spoil":
-			p.UnreadableShare = 1 - (1-p.UnreadableShare)*(1-share)
+			combined.UnreadableShare = 1 - (1-combined.UnreadableShare)*(1-share)
 		case "late":
-			p.LateShare, p.LateFactor = max(p.LateShare, share), max(p.LateFactor, factor)
+			combined.LateShare, combined.LateFactor = max(combined.LateShare, share), max(combined.LateFactor, factor)
 		}
 	}
-	return p
+	return combined
 }
 
 // applyFaults applies the joint effect of all active faults to an endpoint.
--- a/lab/simulator/node.go
+++ b/lab/simulator/node.go
@@ -143,8 +143,8 @@
 		s.idleConnections = append(s.idleConnections, nil)
 	}
 	rate := 0.0
-	if p := &s.sim.scenario.DestinationKinds[e.Kind]; p.LimitListed {
-		rate = p.Limit
+	if dk := &s.sim.scenario.DestinationKinds[e.Kind]; dk.LimitListed {
+		rate = dk.Limit
 	}
 	to.EndpointListed(localEp, e.Dest, int(e.Kind), 0, state, rate)
 }
@@ -316,18 +316,18 @@
 // takeIdleConnection takes an idle connection that is still open from the pool, and reports whether there was one.
 func (s *simNode) takeIdleConnection(ep, localEp int32) bool {
 	sim := s.sim
-	p := &sim.destinations.Endpoints[ep]
-	maxIdle := int64(idleTimeoutShare * float64(sim.scenario.DestinationKinds[p.Kind].IdleTimeout))
+	endpoint := &sim.destinations.Endpoints[ep]
+	maxIdle := int64(idleTimeoutShare * float64(sim.scenario.DestinationKinds[endpoint.Kind].IdleTimeout))
 	for n := len(s.idleConnections[localEp]); n > 0; n = len(s.idleConnections[localEp]) {
-		l := s.idleConnections[localEp][n-1]
+		idle := s.idleConnections[localEp][n-1]
 		s.idleConnections[localEp] = s.idleConnections[localEp][:n-1]
-		if l.epoch != p.Epoch { // the endpoint's process has died since, and with it the connection
+		if idle.epoch != endpoint.Epoch { // the endpoint's process has died since, and with it the connection
 			continue
 		}
-		if sim.now-l.lastUsed < maxIdle {
+		if sim.now-idle.lastUsed < maxIdle {
 			return true
 		}
-		sim.destinations.Close(ep, l.epoch)
+		sim.destinations.Close(ep, idle.epoch)
 	}
 	return false
 }
