--- a/cmd/jaspersill/check.go
+++ b/cmd/jaspersill/check.go
@@ -99,14 +99,14 @@
 				}
 				w := c.OutOrStdout()
 				fmt.Fprintf(w, "%d bytes, %d records, %d pending events\n", r.SizeBytes, r.Records, len(r.Pending))
-				if r.TruncatedBytes > 0 {
+				if r.TornBytes > 0 {
 					fmt.Fprintf(
 						w,
 						"the last %d bytes are an incomplete record and are ignored\n",
-						r.TruncatedBytes,
+						r.TornBytes,
 					)
 				}
-				if r.RecordsMissing {
+				if r.RecordsLost {
 					fmt.Fprintln(w, "records are missing: events before them are treated as possibly processed")
 				}
 				if len(r.Faults) > 0 {
--- a/node/call.go
+++ b/node/call.go
@@ -254,7 +254,7 @@
 		return false
 	}
 	for {
-		err := c.pool.journal.recordAttempt(a.event, a.number, c.pool.clock.timeOfDay(), c.pool.site(c.endpoint))
+		err := c.pool.journal.recordAttempt(a.event, a.number, c.pool.clock.timeOfDay(), c.pool.zone(c.endpoint))
 		if err == nil {
 			return true
 		}
--- a/node/call_test.go
+++ b/node/call_test.go
@@ -156,7 +156,7 @@
 		want   result
 	}{
 		{"200", respond(httpResponse("200 OK", "Srv-Load: x0=0.4,x1=25\r\n", "any")),
-			result{outcome: delivery.Acked, final: true, rateFree: 0.4, rateLimit: 25}},
+			result{outcome: delivery.Acked, final: true, freeShare: 0.4, rateLimit: 25}},
 		{"500", respond(httpResponse("500 Error", "", "")), result{outcome: delivery.Errored}},
 		{"429", respond(httpResponse("429 Full", "Retry-After: 1.5\r\nSrv-Load: x0=0,x1=3\r\n", "")),
 			result{outcome: delivery.Refused, retryAfter: 1500 * ms, rateLimit: 3}},
@@ -467,7 +467,7 @@
 	for i, want := range []result{{outcome: delivery.Acked, final: true}, {outcome: delivery.Errored}, {outcome: delivery.Refused},
 		{outcome: delivery.Unsent, final: true}, {outcome: delivery.Unsent}} {
 		got := results[i]
-		if got.outcome != want.outcome || got.final != want.final || got.retryAfter != 250*ms || got.rateFree != 0.5 || got.rateLimit != 2 {
+		if got.outcome != want.outcome || got.final != want.final || got.retryAfter != 250*ms || got.freeShare != 0.5 || got.rateLimit != 2 {
 			t.Errorf("event %d: got %+v, want %+v", i, got, want)
 		}
 	}
--- a/node/decisionloop.go
+++ b/node/decisionloop.go
@@ -174,7 +174,7 @@
 		if r.confirmation != nil && !ended {
 			to.Unconfirmed(e.index, a.number)
 		}
-		to.Outcome(e.index, a.number, a.endpoint, r.outcome, r.retryAfter, r.duration, ended, r.rateFree, r.rateLimit)
+		to.Outcome(e.index, a.number, a.endpoint, r.outcome, r.retryAfter, r.duration, ended, r.freeShare, r.rateLimit)
 	})
 }
 
--- a/node/endpointpool.go
+++ b/node/endpointpool.go
@@ -31,7 +31,7 @@
 	mu              sync.Mutex
 	stalledReads    map[uint32]int // by destination, connections on which reads fail for a reason local to this machine
 	addresses       []string       // by endpoint
-	sites           []string
+	zones           []string
 	names           []string
 	reuse           []connreuse.EndpointStats
 	refusals        connreuse.RefusalStats
@@ -48,10 +48,10 @@
 	p.mu.Lock()
 	defer p.unlockAndSettle()
 	for int(ep) >= len(p.addresses) {
-		p.addresses, p.sites, p.names = append(p.addresses, ""), append(p.sites, ""), append(p.names, "")
+		p.addresses, p.zones, p.names = append(p.addresses, ""), append(p.zones, ""), append(p.names, "")
 		p.idle, p.callsByEndpoint, p.reuse = append(p.idle, nil), append(p.callsByEndpoint, 0), append(p.reuse, connreuse.EndpointStats{})
 	}
-	if p.names[ep], p.sites[ep] = name, site; p.addresses[ep] != address {
+	if p.names[ep], p.zones[ep] = name, site; p.addresses[ep] != address {
 		p.addresses[ep] = address
 		p.closeIdleLocked(ep, closeMoved)
 	}
@@ -81,7 +81,7 @@
 		return false
 	}
 	p.closeIdleLocked(ep, closeMoved)
-	p.addresses[ep], p.sites[ep], p.names[ep], p.reuse[ep] = "", "", "", connreuse.EndpointStats{}
+	p.addresses[ep], p.zones[ep], p.names[ep], p.reuse[ep] = "", "", "", connreuse.EndpointStats{}
 	return true
 }
 
@@ -174,10 +174,10 @@
 	p.closeLocked(conn, reason)
 }
 
-func (p *endpointPool) site(ep int32) string {
+func (p *endpointPool) zone(ep int32) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.sites[ep]
+	return p.zones[ep]
 }
 
 // putIdle returns a connection to the pool after a call of the given duration. The connection is closed instead if the
--- a/node/event.go
+++ b/node/event.go
@@ -78,7 +78,7 @@
 	outcome              delivery.Outcome
 	retryAfter, duration int64
 	final                bool    // the endpoint states that the event needs no further attempt
-	rateFree, rateLimit  float64 // from the response: the free share of the rate limit, and the limit in calls per second
+	freeShare, rateLimit float64 // from the response: the free share of the rate limit, and the limit in calls per second
 
 	confirmation *confirmation // set if the response may belong to another call and acting on it would then do harm
 }
--- a/node/iofaults_test.go
+++ b/node/iofaults_test.go
@@ -275,7 +275,7 @@
 }
 
 // Guards against client connections that are closed without a response because a read or write failed momentarily.
-func TestClientIsAnsweredDespiteMomentarySocketErrors(t *testing.T) {
+func TestClientIsAnsweredDespiteTransientSocketErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR, syscall.ETIMEDOUT,
 		syscall.EHOSTUNREACH} {
 		env := newTestEnv(t)
@@ -298,7 +298,7 @@
 
 // Guards against attempts that count as failures of their endpoint because a system call on this machine failed
 // momentarily.
-func TestAttemptSurvivesMomentarySocketErrors(t *testing.T) {
+func TestAttemptSurvivesTransientSocketErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL, syscall.EINTR} {
 		endpoint := newTestEndpoint(t, respond(httpResponse("200 OK", "", "")))
 		p := newTestPool(t, endpoint.Addr().String())
@@ -418,7 +418,7 @@
 }
 
 // Guards against a start that fails because a socket momentarily cannot be opened.
-func TestOpenSocketRetriesMomentaryErrors(t *testing.T) {
+func TestOpenSocketRetriesTransientErrors(t *testing.T) {
 	fails := 3
 	l, err := openSocket(func() (net.Listener, error) {
 		if fails--; fails >= 0 {
--- a/node/journal_test.go
+++ b/node/journal_test.go
@@ -333,7 +333,7 @@
 		}
 		before := folderSize(t, folder)
 		report, err := ReadJournal(folder)
-		if err != nil || len(report.Pending) != wantPending || (report.TruncatedBytes > 0) != wantTruncated || report.RecordsMissing != wantMissing ||
+		if err != nil || len(report.Pending) != wantPending || (report.TornBytes > 0) != wantTruncated || report.RecordsLost != wantMissing ||
 			(len(report.Faults) > 0) != wantFaults {
 			t.Errorf("%s: %+v, %v", what, report, err)
 		}
--- a/node/journalreport.go
+++ b/node/journalreport.go
@@ -22,12 +22,12 @@
 
 // JournalReport describes the content of a state folder.
 type JournalReport struct {
-	Pending        []PendingEvent
-	SizeBytes      int64    // total size of the files
-	Records        int      // number of readable records
-	TruncatedBytes int      // bytes of an incomplete record at the end, which are ignored
-	RecordsMissing bool     // events recorded before the missing records count as possibly run
-	Faults         []string // file, offset and reason of each damaged, missing or foreign part
+	Pending     []PendingEvent
+	SizeBytes   int64    // total size of the files
+	Records     int      // number of readable records
+	TornBytes   int      // bytes of an incomplete record at the end, which are ignored
+	RecordsLost bool     // events recorded before the missing records count as possibly run
+	Faults      []string // file, offset and reason of each damaged, missing or foreign part
 }
 
 func (v resolution) String() string { return [...]string{"open", "declined", "discarded"}[v] }
@@ -43,7 +43,7 @@
 		return nil, err
 	}
 	r := &JournalReport{SizeBytes: found.Size, Records: found.Records,
-		TruncatedBytes: found.TornBytes, RecordsMissing: found.RecordsLost}
+		TornBytes: found.TornBytes, RecordsLost: found.RecordsLost}
 	for _, fault := range found.Faults {
 		r.Faults = append(r.Faults, filepath.Join(folder, fault))
 	}
--- a/node/peers.go
+++ b/node/peers.go
@@ -20,14 +20,14 @@
 	peerIndex     map[string]int // by the peer's address
 	decisions     *decisionLoop
 
-	processStart uint64 // sent with each datagram, so that peers can order them across restarts
+	incarnation  uint64 // sent with each datagram, so that peers can order them across restarts
 	sequence     atomic.Uint32
 	lastReceived map[int]receivedDatagram // by peer; owned by the goroutine that runs receive
 }
 
 // receivedDatagram is the position of a peer's latest datagram and the time it was received.
 type receivedDatagram struct {
-	order      peermsg.Sequence
+	sequence   peermsg.Sequence
 	receivedAt time.Time
 }
 
@@ -40,7 +40,7 @@
 
 func newPeerMessenger(address, broadcast string, peers []string, self int, d *decisionLoop,
 	timeOfDay int64) (*peerMessenger, error) {
-	p := &peerMessenger{peerIndex: make(map[string]int), decisions: d, processStart: uint64(timeOfDay),
+	p := &peerMessenger{peerIndex: make(map[string]int), decisions: d, incarnation: uint64(timeOfDay),
 		lastReceived: make(map[int]receivedDatagram)}
 	if address == "" || broadcast == "" {
 		return p, nil // peer messages are not configured
@@ -96,8 +96,8 @@
 // isNewer reports whether a datagram is later than all others received from its peer, and records it if so.
 func (p *peerMessenger) isNewer(peer int, order peermsg.Sequence, now time.Time) bool {
 	newest, known := p.lastReceived[peer]
-	if known && !order.After(newest.order) &&
-		(order.Incarnation == newest.order.Incarnation || now.Sub(newest.receivedAt) < maxDatagramDelay) {
+	if known && !order.After(newest.sequence) &&
+		(order.Incarnation == newest.sequence.Incarnation || now.Sub(newest.receivedAt) < maxDatagramDelay) {
 		return false
 	}
 	p.lastReceived[peer] = receivedDatagram{order, now}
@@ -106,7 +106,7 @@
 
 // announceHealthy tells all peers that an endpoint answers calls.
 func (p *peerMessenger) announceHealthy(host string) {
-	data := peermsg.EncodeHealthyHost(host, peermsg.Sequence{Incarnation: p.processStart, Number: p.sequence.Add(1)})
+	data := peermsg.EncodeHealthyHost(host, peermsg.Sequence{Incarnation: p.incarnation, Number: p.sequence.Add(1)})
 	if p.conn == nil || len(data) > peermsg.MaxSize {
 		return
 	}
--- a/node/wire.go
+++ b/node/wire.go
@@ -144,7 +144,7 @@
 		return callResponse{results: []result{{outcome: delivery.Unreadable, retryAfter: r.retryAfter(resp)}}, close: closeAnswer}
 	}
 	var common result
-	common.rateFree, common.rateLimit = parseLoad(string(resp.Header.Peek(headerLoad)))
+	common.freeShare, common.rateLimit = parseLoad(string(resp.Header.Peek(headerLoad)))
 	common.retryAfter = parseRetryAfter(string(resp.Header.Peek(headerRetryAfter)))
 	out := callResponse{results: make([]result, len(attempts))}
 	out.identity.Digest = responseDigest(resp)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -275,7 +275,7 @@
 			// Credit starts to grow at the end of a requested wait: all nodes would spend what they saved during it at once.
 			for _, sibling := range s.byDest[e.dest] {
 				if s.endpoints.ejected[sibling] && s.endpoints.limiter[sibling] == s.endpoints.limiter[ep] {
-					s.endpoints.creditAt[sibling] = max(s.endpoints.creditAt[sibling], s.limiters.waitUntil[s.endpoints.limiter[ep]])
+					s.endpoints.creditAt[sibling] = max(s.endpoints.creditAt[sibling], s.limiters.heldUntil[s.endpoints.limiter[ep]])
 				}
 			}
 		}
@@ -458,7 +458,7 @@
 		c := &s.calls[e.call]
 		// A send may have to wait for its connection. By the time the connection is open, a requested wait, the list or the
 		// dedup window may forbid the send.
-		if !e.unsentCancelled && (s.now < s.limiters.waitUntil[s.endpoints.limiter[c.endpoint]] ||
+		if !e.unsentCancelled && (s.now < s.limiters.heldUntil[s.endpoints.limiter[c.endpoint]] ||
 			!s.endpoints.ready[c.endpoint] || s.now >= s.dedupWindowEnd(e)) {
 			s.exec.CancelUnsent(int32(i), e.sends-1)
 			e.unsentCancelled = true
@@ -491,7 +491,7 @@
 		s.endpoints.lastListedAt[ep] = s.now
 	}
 	limiter := s.endpoints.limiter[ep]
-	expired := s.now >= max(s.endpoints.lastListedAt[ep]+removedRetention, s.limiters.waitUntil[limiter])
+	expired := s.now >= max(s.endpoints.lastListedAt[ep]+removedRetention, s.limiters.heldUntil[limiter])
 	if expired {
 		if s.limiters.endpointCount[limiter]--; s.limiters.endpointCount[limiter] == 0 && s.destLimiter[dest] == limiter {
 			s.destLimiter[dest] = -1
@@ -552,7 +552,7 @@
 	for _, ep := range s.byDest[e.dest] {
 		limiter := s.endpoints.limiter[ep]
 		switch {
-		case !s.endpoints.ready[ep] || s.now < s.limiters.waitUntil[limiter]:
+		case !s.endpoints.ready[ep] || s.now < s.limiters.heldUntil[limiter]:
 		case e.mayHaveRun() && t.DedupPerZone && s.endpoints.zone[ep] != ranZone: // would not recognize the duplicate
 		case s.joinableCall(ep, t) >= 0:
 			return ep
@@ -779,7 +779,7 @@
 	maxEventsPerCall, inFlight                   []int     // inFlight: calls
 	limit, endpointCount                         []float64 // limit: reported by the destination, in calls per second
 	pace, credit                                 []float64 // pace: calls per second, 0 for unpaced; credit: calls allowed now
-	waitUntil, creditAt, lastCutAt, lastGrowthAt []int64
+	heldUntil, creditAt, lastCutAt, lastGrowthAt []int64
 	recentCalls                                  [][]int64  // start times within the last second
 	lastCall                                     [][2]int32 // call opened last, by waitClass; -1: none
 }
@@ -789,7 +789,7 @@
 	i := int32(slices.Index(append(l.endpointCount, 0), 0)) // an index is free once all its endpoints are forgotten
 	l.maxEventsPerCall, l.inFlight, l.endpointCount = setAt(l.maxEventsPerCall, i, maxEvents), setAt(l.inFlight, i, 0),
 		setAt(l.endpointCount, i, 0)
-	l.waitUntil, l.limit, l.recentCalls = setAt(l.waitUntil, i, 0), setAt(l.limit, i, 0), setAt(l.recentCalls, i, nil)
+	l.heldUntil, l.limit, l.recentCalls = setAt(l.heldUntil, i, 0), setAt(l.limit, i, 0), setAt(l.recentCalls, i, nil)
 	l.pace, l.credit, l.creditAt = setAt(l.pace, i, 0), setAt(l.credit, i, credit), setAt(l.creditAt, i, 0)
 	l.lastCutAt, l.lastGrowthAt = setAt(l.lastCutAt, i, -paceCutInterval), setAt(l.lastGrowthAt, i, 0)
 	l.lastCall = setAt(l.lastCall, i, [2]int32{-1, -1})
@@ -823,7 +823,7 @@
 
 // holdUntil holds the calls of a limiter until a time. It never shortens a hold.
 func (l *limiters) holdUntil(limiter int32, until int64) {
-	l.waitUntil[limiter] = max(l.waitUntil[limiter], until)
+	l.heldUntil[limiter] = max(l.heldUntil[limiter], until)
 }
 
 func (l *limiters) callsInLastSecond(limiter int32, now int64) int {
--- a/store/recovery.go
+++ b/store/recovery.go
@@ -147,9 +147,9 @@
 
 // loader builds a Recovery from records.
 type loader struct {
-	recovery      *Recovery
-	events        map[string]*loadedEvent
-	doubtedBefore uint64 // sequence number; events whose state precedes it may have progressed further
+	recovery    *Recovery
+	events      map[string]*loadedEvent
+	staleBefore uint64 // sequence number; events whose state precedes it may have progressed further
 }
 
 // loadSegment applies the records of one segment.
@@ -222,7 +222,7 @@
 
 func (l *loader) markLost(before uint64) {
 	l.recovery.RecordsLost = true
-	l.doubtedBefore = max(l.doubtedBefore, before)
+	l.staleBefore = max(l.staleBefore, before)
 }
 
 // apply applies one record. It returns false if the record cannot be decoded.
@@ -340,7 +340,7 @@
 // finish sorts the events by arrival and treats unresolved ones from before a gap as possibly executed.
 func (l *loader) finish() {
 	for _, entry := range l.events {
-		if e := entry.event; entry.seq < l.doubtedBefore && e.Resolution == Unresolved && !e.MayHaveRun() &&
+		if e := entry.event; entry.seq < l.staleBefore && e.Resolution == Unresolved && !e.MayHaveRun() &&
 			len(e.Attempts) < maxRecordedAttempts {
 			e.Attempts = append(e.Attempts, Attempt{StartedAt: unknownStart})
 		}
--- a/store/write_failure_test.go
+++ b/store/write_failure_test.go
@@ -118,7 +118,7 @@
 
 // Guards against giving up events that were never attempted because a kill left an incomplete record, which was never
 // acknowledged.
-func TestTornLastRecordCausesNoDoubt(t *testing.T) {
+func TestTornLastRecordIsNotReportedAsLoss(t *testing.T) {
 	fsys := newMemFS()
 	s, _ := openStore(t, fsys, 0)
 	for i := range 3 {
