--- a/store/recovery.go
+++ b/store/recovery.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &Recovery{Backoffs: map[string]int64{}, Outages: map[string]int64{}, Completed: map[string]int64{},
+	recovery := &Recovery{Backoffs: map[string]int64{}, Outages: map[string]int64{}, Completed: map[string]int64{},
 		fileSizes: map[string]int64{}}
 	var files []segmentFile
 	for _, name := range names {
@@ -51,12 +51,12 @@
 		if err != nil {
 			return nil, err
 		}
-		f.Size += int64(len(data))
-		f.fileSizes[name] = int64(len(data))
+		recovery.Size += int64(len(data))
+		recovery.fileSizes[name] = int64(len(data))
 		h, err := decodeHeader(data)
 		if err != nil {
-			f.addFault(name, 0, err.Error())
-			f.RecordsLost = true
+			recovery.addFault(name, 0, err.Error())
+			recovery.RecordsLost = true
 			if name != mirrorName {
 				files = append(files, segmentFile{name: name, invalidHeader: true})
 			}
@@ -64,24 +64,24 @@
 		}
 		files = append(files, segmentFile{name: name, segmentHeader: h, data: data})
 	}
-	f.epoch = majorityEpoch(files)
+	recovery.epoch = majorityEpoch(files)
 	var mirror *segmentFile
-	files = slices.DeleteFunc(files, func(r segmentFile) bool {
+	files = slices.DeleteFunc(files, func(file segmentFile) bool {
 		switch {
-		case r.invalidHeader:
+		case file.invalidHeader:
 			return true
-		case r.epoch != f.epoch:
-			f.addFault(r.name, 8, "file belongs to another store; ignored")
+		case file.epoch != recovery.epoch:
+			recovery.addFault(file.name, 8, "file belongs to another store; ignored")
 			return true
-		case r.name == mirrorName:
-			mirror = &r
+		case file.name == mirrorName:
+			mirror = &file
 			return true
 		}
 		return false
 	})
 	slices.SortFunc(files, func(a, b segmentFile) int { return cmp.Compare(a.number, b.number) })
-	f.Segments = len(files)
-	l := loader{recovery: f, events: map[string]*loadedEvent{}}
+	recovery.Segments = len(files)
+	l := loader{recovery: recovery, events: map[string]*loadedEvent{}}
 	for i := range files {
 		if i+1 < len(files) {
 			files[i].truncateTo(&files[i+1])
@@ -90,11 +90,11 @@
 	}
 	if mirror != nil {
 		l.loadMirror(mirror)
-	} else if len(files) > 0 && !f.hasFault(mirrorName) {
-		f.addFault(mirrorName, 0, "file is missing")
+	} else if len(files) > 0 && !recovery.hasFault(mirrorName) {
+		recovery.addFault(mirrorName, 0, "file is missing")
 	}
 	l.finish()
-	return f, nil
+	return recovery, nil
 }
 
 // segmentFile is a segment, or the mirror, as read from disk.
@@ -106,9 +106,9 @@
 }
 
 // truncateTo drops the data after the end that the next segment's header records for this one.
-func (r *segmentFile) truncateTo(next *segmentFile) {
-	if size := int(next.previousSize); next.number == r.number+1 && size >= headerSize && size < len(r.data) {
-		r.data = r.data[:size]
+func (f *segmentFile) truncateTo(next *segmentFile) {
+	if size := int(next.previousSize); next.number == f.number+1 && size >= headerSize && size < len(f.data) {
+		f.data = f.data[:size]
 	}
 }
 
@@ -116,10 +116,10 @@
 // number wins.
 func majorityEpoch(files []segmentFile) (epoch uint64) {
 	count, last := map[uint64]int{}, map[uint64]uint64{}
-	for _, r := range files {
-		if !r.invalidHeader {
-			count[r.epoch]++
-			last[r.epoch] = max(last[r.epoch], r.number)
+	for _, file := range files {
+		if !file.invalidHeader {
+			count[file.epoch]++
+			last[file.epoch] = max(last[file.epoch], file.number)
 		}
 	}
 	for e := range count {
@@ -131,12 +131,12 @@
 	return epoch
 }
 
-func (f *Recovery) addFault(name string, offset int, reason string) {
-	f.Faults = append(f.Faults, fmt.Sprintf("%s: offset %d: %s", name, offset, reason))
+func (r *Recovery) addFault(name string, offset int, reason string) {
+	r.Faults = append(r.Faults, fmt.Sprintf("%s: offset %d: %s", name, offset, reason))
 }
 
-func (f *Recovery) hasFault(name string) bool {
-	return slices.ContainsFunc(f.Faults, func(fault string) bool { return strings.HasPrefix(fault, name+":") })
+func (r *Recovery) hasFault(name string) bool {
+	return slices.ContainsFunc(r.Faults, func(fault string) bool { return strings.HasPrefix(fault, name+":") })
 }
 
 // loadedEvent is an event with the sequence number of its state record.
@@ -147,53 +147,53 @@
 
 // loader builds a Recovery from records.
 type loader struct {
-	recovery      *Recovery
-	events        map[string]*loadedEvent
-	doubtedBefore uint64 // sequence number; events whose state precedes it may have progressed further
+	recovery    *Recovery
+	events      map[string]*loadedEvent
+	staleBefore uint64 // sequence number; events whose state precedes it may have progressed further
 }
 
 // loadSegment applies the records of one segment.
-func (l *loader) loadSegment(r *segmentFile, first, last bool) {
-	f := l.recovery
-	f.lastSegment = max(f.lastSegment, r.number)
-	if !first && r.firstSeq != f.seq+1 {
-		f.addFault(r.name, 24, fmt.Sprintf("records %d to %d are missing before this segment", f.seq+1, r.firstSeq-1))
-		l.markLost(r.firstSeq)
+func (l *loader) loadSegment(file *segmentFile, first, last bool) {
+	recovery := l.recovery
+	recovery.lastSegment = max(recovery.lastSegment, file.number)
+	if !first && file.firstSeq != recovery.seq+1 {
+		recovery.addFault(file.name, 24, fmt.Sprintf("records %d to %d are missing before this segment", recovery.seq+1, file.firstSeq-1))
+		l.markLost(file.firstSeq)
 	}
-	f.seq = max(f.seq, r.firstSeq-1)
-	for at := headerSize; at < len(r.data); {
-		payload, seq, size, torn, err := decodeFrame(r.data[at:])
+	recovery.seq = max(recovery.seq, file.firstSeq-1)
+	for at := headerSize; at < len(file.data); {
+		payload, seq, size, torn, err := decodeFrame(file.data[at:])
 		if torn {
-			rest := r.data[at:]
+			rest := file.data[at:]
 			switch {
-			case hasIntactRecord(rest, f.seq):
-				f.addFault(r.name, at, "record has a wrong length")
-				l.markLost(f.seq + 1)
+			case hasIntactRecord(rest, recovery.seq):
+				recovery.addFault(file.name, at, "record has a wrong length")
+				l.markLost(recovery.seq + 1)
 			case last: // incomplete record left by a kill; it was never acknowledged
-				f.TornBytes = len(rest)
+				recovery.TornBytes = len(rest)
 			}
 			return
 		}
 		if err != nil {
-			f.addFault(r.name, at, err.Error())
-			l.markLost(f.seq + 1)
+			recovery.addFault(file.name, at, err.Error())
+			l.markLost(recovery.seq + 1)
 			if size == 0 {
 				return
 			}
 			at += size
-			f.seq++
+			recovery.seq++
 			continue
 		}
-		if seq != f.seq+1 {
-			f.addFault(r.name, at, fmt.Sprintf("found record %d, expected record %d", seq, f.seq+1))
+		if seq != recovery.seq+1 {
+			recovery.addFault(file.name, at, fmt.Sprintf("found record %d, expected record %d", seq, recovery.seq+1))
 			l.markLost(seq)
 		}
-		f.seq = max(f.seq, seq)
+		recovery.seq = max(recovery.seq, seq)
 		if !l.apply(payload, seq) {
-			f.addFault(r.name, at, "record cannot be decoded")
+			recovery.addFault(file.name, at, "record cannot be decoded")
 			l.markLost(seq)
 		} else {
-			f.Records++
+			recovery.Records++
 		}
 		at += size
 	}
@@ -222,7 +222,7 @@
 
 func (l *loader) markLost(before uint64) {
 	l.recovery.RecordsLost = true
-	l.doubtedBefore = max(l.doubtedBefore, before)
+	l.staleBefore = max(l.staleBefore, before)
 }
 
 // apply applies one record. It returns false if the record cannot be decoded.
@@ -242,12 +242,12 @@
 	entry := l.events[name]
 	switch k {
 	case recAttemptStarted:
-		number, s := int(d.readByte()), Attempt{StartedAt: d.readVarint(), Zone: d.readText()}
+		number, a := int(d.readByte()), Attempt{StartedAt: d.readVarint(), Zone: d.readText()}
 		if d.invalid {
 			return false
 		}
 		if entry != nil {
-			entry.event.BeginAttempt(number, s)
+			entry.event.BeginAttempt(number, a)
 		}
 	case recAttemptEnded:
 		number, result := int(d.readByte()), outcome(d.readByte())
@@ -288,37 +288,37 @@
 
 // applyMark applies a backoff, which is never shortened, or an outage.
 func (l *loader) applyMark(k kind, name string, value int64) {
-	f := l.recovery
+	recovery := l.recovery
 	switch {
 	case k == recBackoff:
-		f.Backoffs[name] = max(f.Backoffs[name], value)
+		recovery.Backoffs[name] = max(recovery.Backoffs[name], value)
 	case value == 0:
-		delete(f.Outages, name)
+		delete(recovery.Outages, name)
 	default:
-		f.Outages[name] = value
+		recovery.Outages[name] = value
 	}
 }
 
 // loadMirror applies the second copy of backoffs and outages. Its backoffs are always merged, since that never shortens
 // one. Its outages are used only if the log lost records.
-func (l *loader) loadMirror(r *segmentFile) {
-	f := l.recovery
+func (l *loader) loadMirror(file *segmentFile) {
+	recovery := l.recovery
 	outages := map[string]int64{}
 	at := headerSize
-	for at < len(r.data) {
-		payload, _, size, torn, err := decodeFrame(r.data[at:])
+	for at < len(file.data) {
+		payload, _, size, torn, err := decodeFrame(file.data[at:])
 		if torn || (err != nil && size == 0) {
 			break
 		}
 		if err != nil {
-			f.addFault(r.name, at, err.Error())
+			recovery.addFault(file.name, at, err.Error())
 			at += size
 			continue
 		}
 		d := Decoder{rest: payload}
 		k, name, value := kind(d.readByte()), d.readText(), d.readVarint()
 		if d.invalid || (k != recBackoff && k != recOutage) {
-			f.addFault(r.name, at, "record cannot be decoded")
+			recovery.addFault(file.name, at, "record cannot be decoded")
 		} else if k == recBackoff {
 			l.applyMark(k, name, value)
 		} else {
@@ -326,13 +326,13 @@
 		}
 		at += size
 	}
-	f.mirrorSize = at
-	if at < len(r.data) {
-		f.addFault(r.name, at, "file is truncated from this offset on")
+	recovery.mirrorSize = at
+	if at < len(file.data) {
+		recovery.addFault(file.name, at, "file is truncated from this offset on")
 	}
 	for name, since := range outages {
-		if _, known := f.Outages[name]; f.RecordsLost && since != 0 && !known {
-			f.Outages[name] = since
+		if _, known := recovery.Outages[name]; recovery.RecordsLost && since != 0 && !known {
+			recovery.Outages[name] = since
 		}
 	}
 }
@@ -340,7 +340,7 @@
 // finish sorts the events by arrival and treats unresolved ones from before a gap as possibly executed.
 func (l *loader) finish() {
 	for _, entry := range l.events {
-		if e := entry.event; entry.seq < l.doubtedBefore && e.Resolution == Unresolved && !e.MayHaveRun() &&
+		if e := entry.event; entry.seq < l.staleBefore && e.Resolution == Unresolved && !e.MayHaveRun() &&
 			len(e.Attempts) < maxRecordedAttempts {
 			e.Attempts = append(e.Attempts, Attempt{StartedAt: unknownStart})
 		}
@@ -510,8 +510,8 @@
 }
 
 // isForeign reports whether a file was ignored because it belongs to another store. Such files are not removed.
-func (f *Recovery) isForeign(name string) bool {
-	return slices.ContainsFunc(f.Faults, func(fault string) bool {
+func (r *Recovery) isForeign(name string) bool {
+	return slices.ContainsFunc(r.Faults, func(fault string) bool {
 		return strings.HasPrefix(fault, name+":") && strings.Contains(fault, "another store")
 	})
 }
