--- a/lab/soak/plan.go
+++ b/lab/soak/plan.go
@@ -69,11 +69,11 @@
 }
 
 const (
-	groupDisk    = "disk"
-	groupSockets = "sockets"
-	groupSlow    = "slow"
-	groupKills   = "kills"
-	groupCalls   = "calls"
+	groupDisk    = "disk"    // system calls on files fail
+	groupSockets = "sockets" // all other system calls fail
+	groupSlow    = "slow"    // writes to files are delayed
+	groupKills   = "kills"   // nodes are killed, terminated and told to reload
+	groupCalls   = "calls"   // system calls of all kinds fail
 	groupAnswers = "answers" // responses of endpoints arrive twice
 	groupNotices = "notices" // responses of the platform arrive twice
 	groupPaths   = "paths"   // all network connections are disturbed
@@ -213,7 +213,8 @@
 	}
 }
 
-// addKill kills a node between 3/4 and 7/8 of the run's length, as the runs of the original fault report did.
+// addKill kills a node between 3/4 and 7/8 of the run's length, after its faults of system calls have begun, and
+// restarts it on the same state folder.
 func (p *plan) addKill(node int) {
 	p.addStep(p.length*3/4+p.randomDuration(p.length/8), func(ctx context.Context, r *run) {
 		r.restart(ctx, node, nil, (*process).kill)
--- a/node/clients.go
+++ b/node/clients.go
@@ -238,7 +238,7 @@
 	c.respond(ctx, request.response)
 }
 
-// acceptEvent starts processing an event or refuses it, and returns the answer for the client.
+// acceptEvent starts processing an event or refuses it, and returns the response for the client.
 func (c *clientServer) acceptEvent(ctx *fasthttp.RequestCtx, e *event) clientResponse {
 	if reason := c.node.refusalReason(e); reason != "" {
 		recordRefusal(e.id, reason)
@@ -252,11 +252,11 @@
 }
 
 // respond tells the client that its event was accepted, or when to retry.
-func (c *clientServer) respond(ctx *fasthttp.RequestCtx, a clientResponse) {
-	ctx.SetStatusCode(a.status)
-	if a.status == statusDeclined {
+func (c *clientServer) respond(ctx *fasthttp.RequestCtx, response clientResponse) {
+	ctx.SetStatusCode(response.status)
+	if response.status == statusDeclined {
 		ctx.Response.Header.Set(headerRetryAfter,
-			strconv.FormatFloat(float64(a.retryAfter)/1e9, 'f', retryAfterDecimals, 64))
+			strconv.FormatFloat(float64(response.retryAfter)/1e9, 'f', retryAfterDecimals, 64))
 	}
 }
 
@@ -318,7 +318,7 @@
 	if conn, ok := ctx.Conn().(*clientConn); ok { // the deadline counts from the arrival of the request
 		left -= uint64(min(conn.receiveDelay().Milliseconds(), int64(left)))
 	}
-	e.monoDeadline, e.wallDeadline = n.clock.now()+int64(left)*1e6, n.clock.timeOfDay()+int64(left)*1e6
+	e.monoDeadline, e.deadlineTimeOfDay = n.clock.now()+int64(left)*1e6, n.clock.timeOfDay()+int64(left)*1e6
 	e.safety = n.safetyOf(e.typ)
 	e.request = lifecycle.NewRequest(e.id, e.monoDeadline, n.repeatable(e.typ))
 	e.updates, e.response = make(chan eventUpdate, updateBuffer), make(chan clientResponse, 1)
--- a/node/decisionloop.go
+++ b/node/decisionloop.go
@@ -16,7 +16,7 @@
 	clock         clock
 	scheduler     delivery.Scheduler
 	minInterval   int64 // minimum time between rounds
-	eventsPerCall []int // maximum number of events in one call, by partner
+	eventsPerCall []int // maximum number of events in one call, by destination kind
 	endpoints     *endpointPool
 	directory     *directory
 	peers         *peerMessenger
@@ -31,7 +31,7 @@
 	activeAttempts []*attempt // the attempt in flight, by event index; nil for none
 	destIndex      idmap.Table[uint32]
 	endpointIndex  idmap.Table[string]
-	partnerOf      []int   // by endpoint index
+	kindOf         []int   // destination kind, by endpoint index
 	forgotten      []int32 // endpoints that the scheduler has removed but calls may still use
 
 	wakeAt    int64 // 0 if the scheduler did not ask to be woken
@@ -174,7 +174,7 @@
 		if r.confirmation != nil && !ended {
 			to.Unconfirmed(e.index, a.number)
 		}
-		to.Outcome(e.index, a.number, a.endpoint, r.outcome, r.retryAfter, r.duration, ended, r.rateFree, r.rateLimit)
+		to.Outcome(e.index, a.number, a.endpoint, r.outcome, r.retryAfter, r.duration, ended, r.freeShare, r.rateLimit)
 	})
 }
 
@@ -196,14 +196,15 @@
 	}
 }
 
-// registerEndpoint returns the index of an endpoint; fresh means that it was newly assigned. An endpoint that is listed again
-// just after the scheduler removed it must keep its index, so its release is cancelled.
-func (d *decisionLoop) registerEndpoint(host string, partner int) (ep int32, fresh bool) {
+// registerEndpoint returns the index of an endpoint; fresh means that it was newly assigned, so nothing is known of the
+// endpoint. kind is the index of its destination kind. An endpoint that is listed again just after the scheduler removed
+// it must keep its index, so its release is cancelled.
+func (d *decisionLoop) registerEndpoint(host string, kind int) (ep int32, fresh bool) {
 	ep, fresh = d.endpointIndex.Acquire(host)
-	if int(ep) == len(d.partnerOf) {
-		d.partnerOf = append(d.partnerOf, 0)
+	if int(ep) == len(d.kindOf) {
+		d.kindOf = append(d.kindOf, 0)
 	}
-	d.partnerOf[ep] = partner
+	d.kindOf[ep] = kind
 	d.forgotten = slices.DeleteFunc(d.forgotten, func(removed int32) bool { return removed == ep })
 	return ep, fresh
 }
@@ -220,7 +221,7 @@
 	a := &attempt{event: e, number: e.attemptCount, endpoint: ep, timeout: timeout, startedAt: d.clock.now()}
 	e.attemptCount++
 	d.activeAttempts[evt] = a
-	maxAttempts := d.eventsPerCall[min(d.partnerOf[ep], len(d.eventsPerCall)-1)]
+	maxAttempts := d.eventsPerCall[min(d.kindOf[ep], len(d.eventsPerCall)-1)]
 	for _, c := range d.newCalls {
 		if c.endpoint == ep && len(c.attempts) < maxAttempts && c.bodySize+bulkSize(e) <= maxBodyBytes {
 			a.call, c.attempts, c.bodySize = c, append(c.attempts, a), c.bodySize+bulkSize(e)
@@ -261,7 +262,7 @@
 func (d *decisionLoop) Watch(on bool)            { d.directory.setWatching(on) }
 func (d *decisionLoop) CloseIdle(ep int32)       { d.endpoints.closeIdle(ep) }
 func (d *decisionLoop) Forget(ep int32)          { d.forgotten = append(d.forgotten, ep) }
-func (d *decisionLoop) AnnounceHealthy(ep int32) { d.peers.sendGood(d.endpointIndex.ID(ep)) }
+func (d *decisionLoop) AnnounceHealthy(ep int32) { d.peers.announceHealthy(d.endpointIndex.ID(ep)) }
 
 // Probe only logs: the scheduler never requests a probe, and the protocol has no call for one.
 func (d *decisionLoop) Probe(ep int32) {
--- a/node/journal_test.go
+++ b/node/journal_test.go
@@ -56,7 +56,7 @@
 func fillJournal(t *testing.T, j *journal) {
 	t.Helper()
 	for i, body := range []string{"over", "a\r\n\x00b", "", strings.Repeat("long", 16<<10)} {
-		e := &event{id: fmt.Sprint("e", i), idempotencyKey: "m", dest: 7, wallDeadline: 1 << 60, body: []byte(body)}
+		e := &event{id: fmt.Sprint("e", i), idempotencyKey: "m", dest: 7, deadlineTimeOfDay: 1 << 60, body: []byte(body)}
 		if err := j.accept(e, "alert", "acme"); err != nil {
 			t.Fatal(err)
 		}
@@ -84,7 +84,7 @@
 		t.Fatalf("%d events pending, want %d", len(pending), want)
 	}
 	for _, e := range pending {
-		if e.idempotencyKey != "m" || e.dest != 7 || e.wallDeadline != 1<<60 {
+		if e.idempotencyKey != "m" || e.dest != 7 || e.deadlineTimeOfDay != 1<<60 {
 			t.Errorf("%s recovered as %+v", e.id, e)
 		}
 		switch e.id {
@@ -136,11 +136,11 @@
 		refused := 0
 		for i := range 1500 {
 			e := &event{
-				id:             fmt.Sprintf("%016x", i),
-				idempotencyKey: "m",
-				dest:           7,
-				wallDeadline:   1 << 60,
-				body:           make([]byte, size),
+				id:                fmt.Sprintf("%016x", i),
+				idempotencyKey:    "m",
+				dest:              7,
+				deadlineTimeOfDay: 1 << 60,
+				body:              make([]byte, size),
 			}
 			switch err := j.accept(e, "alert", "acme"); {
 			case err == nil:
@@ -333,7 +333,7 @@
 		}
 		before := folderSize(t, folder)
 		report, err := ReadJournal(folder)
-		if err != nil || len(report.Pending) != wantPending || (report.TruncatedBytes > 0) != wantTorn || report.RecordsMissing != wantLost ||
+		if err != nil || len(report.Pending) != wantPending || (report.TornBytes > 0) != wantTorn || report.RecordsLost != wantLost ||
 			(len(report.Faults) > 0) != wantFaults {
 			t.Errorf("%s: %+v, %v", what, report, err)
 		}
@@ -354,8 +354,8 @@
 	}
 }
 
-// Guards against events whose body files are gone while the legacy journal itself could not be removed: the next start
-// imports them again and would discard them.
+// Guards against a legacy journal whose failed removal goes unnoticed: the next start would import its events again,
+// including those completed since, and would discard those whose body files are gone.
 func TestUnremovableLegacyJournalKeepsItsBodies(t *testing.T) {
 	folder := t.TempDir()
 	legacy := &legacyJournal{name: filepath.Join(folder, legacyName)}
--- a/node/wire.go
+++ b/node/wire.go
@@ -53,15 +53,15 @@
 }
 
 // writeCall writes the HTTP request of a call with one event, or of a bulk call with several. The id, idempotency key and
-// body of each event are passed on unchanged. The deadline is wait, in ns.
-func writeCall(out *bytebufferpool.ByteBuffer, attempts []*attempt, wait int64) error {
+// body of each event are passed on unchanged. timeout, in ns, is sent as the deadline.
+func writeCall(out *bytebufferpool.ByteBuffer, attempts []*attempt, timeout int64) error {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.Header.SetNoDefaultContentType(true)
 	req.Header.SetUserAgent("jaspersill")
 	req.Header.SetHost("endpoint")
-	req.Header.Set(headerDeadline, strconv.FormatInt(wait/1e6, 10))
+	req.Header.Set(headerDeadline, strconv.FormatInt(timeout/1e6, 10))
 	if len(attempts) == 1 {
 		e := attempts[0].event
 		req.SetRequestURI("/inbox")
@@ -144,7 +144,7 @@
 		return callResponse{results: []result{{outcome: delivery.Unreadable, retryAfter: r.retryAfter(resp)}}, close: closeAnswer}
 	}
 	var common result
-	common.rateFree, common.rateLimit = parseLoad(string(resp.Header.Peek(headerLoad)))
+	common.freeShare, common.rateLimit = parseLoad(string(resp.Header.Peek(headerLoad)))
 	common.retryAfter = parseRetryAfter(string(resp.Header.Peek(headerRetryAfter)))
 	out := callResponse{results: make([]result, len(attempts))}
 	out.identity.Digest = responseDigest(resp)
@@ -234,7 +234,7 @@
 
 // classifyStatus maps the HTTP status of a response to the outcome of the attempt, and tells whether the event is
 // complete.
-func classifyStatus(status int, noSlot, bulk bool) (how delivery.Outcome, over bool) {
+func classifyStatus(status int, noSlot, bulk bool) (outcome delivery.Outcome, final bool) {
 	switch {
 	case status == fasthttp.StatusOK:
 		return delivery.Acked, true
@@ -309,7 +309,7 @@
 // parseLoad parses a load report: x0 is the share of the limit that is left, x1 the limit in calls per second. A report
 // with a malformed part is ignored as a whole, as its remaining parts could say that nothing is left or that there is no
 // limit.
-func parseLoad(text string) (left, limit float64) {
+func parseLoad(text string) (freeShare, limit float64) {
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		f, err := strconv.ParseFloat(value, 64)
@@ -318,10 +318,10 @@
 		}
 		switch name {
 		case "x0":
-			left = f
+			freeShare = f
 		case "x1":
 			limit = f
 		}
 	}
-	return left, limit
+	return freeShare, limit
 }
